--- a/crates/agent/src/control/foreign.rs
+++ b/crates/agent/src/control/foreign.rs
@@ -220,7 +220,7 @@
     }
 
     fn read_accepted(&self, service: &ServiceName) {
-        if self.parts.documents_from == DocumentSource::Teams {
+        if self.parts.documents_from == DocumentSource::ObjectStore {
             self.parts.calls.read_accepted(service);
         }
     }
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -55,7 +55,7 @@
     /// Hand over everything, then say so.
     Stopping,
     /// End the thread.
-    Ending,
+    Exiting,
 }
 
 /// What the control thread is made from.
@@ -75,16 +75,18 @@
     /// Seeds nonces and jitter.
     pub seed: u64,
     /// Configurations of the whole fleet; none: teams write documents of their own.
-    pub fleet: Option<FleetSource>,
+    pub central_config: Option<CentralConfigSource>,
     pub closed_zones: ClosedZonesSource,
 }
 
 /// The newest configuration of the whole fleet; none until the first is known.
-pub type FleetSource = watch_channel::Receiver<Option<Arc<FleetConfig>>>;
+pub type CentralConfigSource = watch_channel::Receiver<Option<Arc<FleetConfig>>>;
 
-/// Runs control until [`Phase::Ending`]. To be called on a current-thread runtime of its own.
+/// Runs control until [`Phase::Exiting`]. To be called on a current-thread runtime of its own.
 pub async fn run(parts: ControlParts) {
-    let ControlParts { listener, key, mut reports, mut phase, handed_over, mut fleet, .. } = parts;
+    let ControlParts {
+        listener, key, mut reports, mut phase, handed_over, mut central_config, ..
+    } = parts;
     let mut closed_zones = Some(parts.closed_zones);
     let (links, mut events) = ControlLinks::start(parts.own.clone(), listener, key);
     let (done_sender, mut done) = mpsc::unbounded_channel();
@@ -98,9 +100,9 @@
         gate: parts.gate,
         snapshots: parts.snapshots,
         seed: parts.seed,
-        documents_from: match fleet {
-            Some(_) => DocumentSource::Fleet,
-            None => DocumentSource::Teams,
+        documents_from: match central_config {
+            Some(_) => DocumentSource::CentralConfig,
+            None => DocumentSource::ObjectStore,
         },
     });
     let mut handed_over = Some(handed_over);
@@ -112,14 +114,14 @@
             _ = ticks.tick() => control.tick(),
             Some(event) = events.recv() => control.peer_event(event),
             Some(it) = done.recv() => control.call_done(it),
-            Some(it) = next_config(&mut fleet) => control.fleet_changed(&it),
+            Some(it) = next_config(&mut central_config) => control.fleet_changed(&it),
             Some(it) = next_closed_zones(&mut closed_zones) => control.closed_zones_changed(&it),
             Some(report) = reports.recv() => control.report(report),
             changed = phase.changed() => match *phase.borrow() {
                 _ if changed.is_err() => return,
                 Phase::Running => {}
                 Phase::Stopping => control.stop(),
-                Phase::Ending => return,
+                Phase::Exiting => return,
             },
         }
         control.publish();
@@ -133,7 +135,7 @@
 }
 
 /// The next configuration of the whole fleet.
-async fn next_config(fleet: &mut Option<FleetSource>) -> Option<Arc<FleetConfig>> {
+async fn next_config(fleet: &mut Option<CentralConfigSource>) -> Option<Arc<FleetConfig>> {
     let Some(source) = fleet else { return std::future::pending().await };
     if source.changed().await.is_err() {
         log::error!(target: "config", "Nobody tells of configurations any more.");
--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -41,7 +41,8 @@
             }
             Envelope::FetchDocument { service } => self.send_document(&from, service),
             // What comes as a whole is not taken apart again.
-            Envelope::Document { .. } if self.parts.documents_from == DocumentSource::Fleet => {}
+            Envelope::Document { .. }
+                if self.parts.documents_from == DocumentSource::CentralConfig => {}
             Envelope::Document { service, version, text } => {
                 self.offer_document(&service, version, &text);
             }
@@ -90,7 +91,7 @@
         version: ConfigVersion,
     ) {
         let used = self.documents.of(&service).is_some() || service == *self.service();
-        let fetched = self.parts.documents_from == DocumentSource::Teams;
+        let fetched = self.parts.documents_from == DocumentSource::ObjectStore;
         if fetched && used && self.documents.wants(&service, version) {
             self.parts.links.send(from, Envelope::FetchDocument { service }.encode());
         }
--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DocumentSource {
     /// From the object store, where coordinators accept what teams write.
-    Teams,
+    ObjectStore,
     /// From one configuration of the whole fleet, which is accepted already.
-    Fleet,
+    CentralConfig,
 }
 
 /// All state of the control thread.
@@ -109,7 +109,7 @@
         self.watch_upstream(now);
         self.report_load(now);
         self.refresh_foreign(now);
-        if self.parts.documents_from == DocumentSource::Teams {
+        if self.parts.documents_from == DocumentSource::ObjectStore {
             self.seek_document(now);
             self.accept(now);
             self.watch_platform(now);
--- a/crates/agent/src/control/tests/config.rs
+++ b/crates/agent/src/control/tests/config.rs
@@ -135,7 +135,7 @@
     let peers: Vec<_> = fleet.agents.iter().map(|it| it.own.control).collect();
     // Not the coordinator: no term begins without the platform.
     let member = (fleet.coordinator().await + 1) % fleet.agents.len();
-    fleet.platform.down.store(true, Ordering::SeqCst);
+    fleet.platform.is_down.store(true, Ordering::SeqCst);
     let former = fleet.agents.remove(member);
     let name = former.own.name.clone();
     former.kill();
@@ -144,7 +144,7 @@
     assert_eq!(restarted.version(), version);
     // It has joined too: it sees the owners that the coordinator tells its members of.
     restarted.wait_owned(SLOTS).await;
-    fleet.platform.down.store(false, Ordering::SeqCst);
+    fleet.platform.is_down.store(false, Ordering::SeqCst);
     fleet.agents.push(restarted);
     let later = fleet.change(3).await;
     assert!(later > version);
@@ -162,7 +162,7 @@
 #[tokio::test]
 async fn a_change_after_the_store_came_back_from_an_older_copy_is_in_force_on_all() {
     let fleet = Fleet::start().await;
-    fleet.platform.keep_copy();
+    fleet.platform.take_snapshot();
     for weight in 2..5 {
         fleet.change(weight).await;
     }
--- a/crates/agent/src/control/tests/fleet.rs
+++ b/crates/agent/src/control/tests/fleet.rs
@@ -110,7 +110,7 @@
             phase: phases,
             handed_over: sender,
             seed: u64::from(control.port()),
-            fleet: None,
+            central_config: None,
             closed_zones,
         }));
         tokio::spawn(serve_gate(reporter.clone(), tasks));
@@ -178,7 +178,7 @@
     pub(super) async fn stop(self) -> Vec<ConfigVersion> {
         self.phase.send_replace(Phase::Stopping);
         timeout(PATIENCE, self.handed_over).await.expect("a handover in time").unwrap();
-        self.phase.send_replace(Phase::Ending);
+        self.phase.send_replace(Phase::Exiting);
         self.control.await.unwrap();
         self.versions.abort();
         self.versions.await.unwrap_or_default()
--- a/crates/agent/src/control/tests/platform.rs
+++ b/crates/agent/src/control/tests/platform.rs
@@ -27,7 +27,7 @@
     store: Mutex<Store>,
     copy: Mutex<Store>,
     changed: watch::Sender<()>,
-    pub(crate) down: AtomicBool,
+    pub(crate) is_down: AtomicBool,
     /// So many updates of `accepted/` take effect and then lose their answer.
     pub(super) lost_answers: AtomicU32,
 }
@@ -38,13 +38,13 @@
             store: Mutex::default(),
             copy: Mutex::default(),
             changed: watch::Sender::new(()),
-            down: AtomicBool::new(false),
+            is_down: AtomicBool::new(false),
             lost_answers: AtomicU32::new(0),
         }
     }
 
     /// Keeps a copy of all that there is now.
-    pub(crate) fn keep_copy(&self) {
+    pub(crate) fn take_snapshot(&self) {
         *self.copy.lock().unwrap() = self.store.lock().unwrap().clone();
     }
 
@@ -73,7 +73,7 @@
     }
 
     fn check(&self, step: &str) -> Result<(), StoreError> {
-        match self.down.load(Ordering::SeqCst) {
+        match self.is_down.load(Ordering::SeqCst) {
             true => Err(unavailable(step)),
             false => Ok(()),
         }
--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -29,7 +29,7 @@
 
 use selector::Selector;
 
-pub(crate) use selector::home;
+pub(crate) use selector::designated_member;
 
 /// The shortest time after which a caller comes back to a key that nobody serves, before jitter.
 const COME_BACK_MIN: Duration = Duration::from_millis(30);
@@ -61,7 +61,7 @@
 
 /// The final answer for a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ending {
+pub struct FinalReply {
     pub reply: GateReply,
     /// When the caller may come back.
     pub retry_after: Option<Duration>,
@@ -94,14 +94,14 @@
     }
 
     /// Sends a request until it has its end. Dropping the future cancels it.
-    pub(crate) async fn send(&self, request: GateRequest, team: &TeamName) -> Ending {
+    pub(crate) async fn send(&self, request: GateRequest, team: &TeamName) -> FinalReply {
         let mut underway = self.parts.log.start(request);
         let ending = self.place(&mut underway, team).await;
         underway.end(&ending);
         ending
     }
 
-    async fn place(&self, underway: &mut Underway<'_>, team: &TeamName) -> Ending {
+    async fn place(&self, underway: &mut Underway<'_>, team: &TeamName) -> FinalReply {
         let useful_until = underway.useful_until;
         let Underway { request, placing, .. } = underway;
         let clock = self.parts.clock;
@@ -119,11 +119,11 @@
         loop {
             if self.parts.quarantine.is_quarantined(content) {
                 let reply = GateReply::not_run(NotRunReason::Quarantined);
-                return Ending::given_up(final_reply(reply, unknown));
+                return FinalReply::given_up(final_reply(reply, unknown));
             }
             let Some(routes) = self.routes(&request.service) else {
                 let reply = GateReply::not_run(NotRunReason::Unreachable);
-                return Ending::given_up(final_reply(reply, unknown));
+                return FinalReply::given_up(final_reply(reply, unknown));
             };
             let state = self.state(&routes);
             if std::mem::take(&mut fresh) {
@@ -151,7 +151,7 @@
             };
             if ended.outcome == Outcome::Answered {
                 self.parts.quarantine.answered(content);
-                return Ending { reply, retry_after: None };
+                return FinalReply { reply, retry_after: None };
             }
             if let Outcome::Unknown(reason) = ended.outcome {
                 unknown = Some(reason);
@@ -166,7 +166,7 @@
                 }
                 RetryVerdict::GiveUp { retry_after } => {
                     let retry_after = retry_after.map(|it| come_back(it, ended.outcome));
-                    return Ending { reply: final_reply(reply, unknown), retry_after };
+                    return FinalReply { reply: final_reply(reply, unknown), retry_after };
                 }
             }
         }
@@ -273,9 +273,9 @@
     }
 }
 
-impl Ending {
-    pub(crate) fn given_up(reply: GateReply) -> Ending {
-        Ending { reply, retry_after: None }
+impl FinalReply {
+    pub(crate) fn given_up(reply: GateReply) -> FinalReply {
+        FinalReply { reply, retry_after: None }
     }
 }
 
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -72,9 +72,12 @@
             // Whether another member may stand in for the home is for that member to say.
             (Routes::Any(members), None) => {
                 let avoided = self.avoided(now);
-                home(members.iter().filter(|it| !avoided.contains(&it.instance.name)), request.id)
-                    .or_else(|| home(members, request.id))
-                    .map(only)
+                designated_member(
+                    members.iter().filter(|it| !avoided.contains(&it.instance.name)),
+                    request.id,
+                )
+                .or_else(|| designated_member(members, request.id))
+                .map(only)
             }
             _ => None,
         }
@@ -218,7 +221,7 @@
 
 /// The one member that may run a request that is not idempotent: the same for all agents that
 /// know the same members, so that a resend finds the record of its first sending.
-pub(crate) fn home<'a>(
+pub(crate) fn designated_member<'a>(
     members: impl IntoIterator<Item = &'a MemberRoute>,
     id: RequestId,
 ) -> Option<Instance> {
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -15,7 +15,7 @@
 use upstream::{CallError, ClockBounds, Upstream};
 
 use crate::{
-    forward::home,
+    forward::designated_member,
     gate::{
         Gate,
         bound::Bound,
@@ -144,7 +144,9 @@
         }
         let snapshot = self.snapshots.load();
         match &snapshot.services.get(&request.service)?.routes {
-            Routes::Any(members) => home(members, request.id).filter(|it| *it != self.own),
+            Routes::Any(members) => {
+                designated_member(members, request.id).filter(|it| *it != self.own)
+            }
             Routes::ByKey(_) => None,
         }
     }
--- a/crates/agent/src/ingress/form.rs
+++ b/crates/agent/src/ingress/form.rs
@@ -8,7 +8,7 @@
 use volo_http::{body::Body, response::Response};
 
 use crate::{
-    forward::Ending,
+    forward::FinalReply,
     ingress::{refusal::Refusal, strip_connection},
 };
 
@@ -37,7 +37,7 @@
     /// Reads the head of a request.
     fn read(&self, head: &Parts) -> Result<CallHead, Refusal>;
     /// The response for the end of a request.
-    fn answer(&self, ending: Ending, id: &CallId) -> Response;
+    fn answer(&self, ending: FinalReply, id: &CallId) -> Response;
     /// The response to a request that goes nowhere.
     fn refuse(&self, refusal: &Refusal) -> Response;
 }
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -40,7 +40,7 @@
 
 use crate::{
     clock::Clock,
-    forward::{Ending, Forwarder},
+    forward::{FinalReply, Forwarder},
     metrics::Metrics,
     report::{Report, Reporter},
     request::{GateReply, GateRequest},
@@ -175,7 +175,7 @@
         let id = CallId { id, text: head.id_text.clone() };
         if self.closed.load(Ordering::SeqCst) {
             let reply = GateReply::not_run(NotRunReason::Draining);
-            let ending = Ending { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
+            let ending = FinalReply { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
             let resent = parts.headers.contains_key(own_form::FIRST_SENT_HEADER);
             return self.parts.form.answer(if resent { of_resend(ending) } else { ending }, &id);
         }
@@ -263,16 +263,16 @@
 
 /// The end of a request that was sent before, with an end that its caller doesn't know: though
 /// this sending was refused, the earlier one may have run.
-fn of_resend(ending: Ending) -> Ending {
+fn of_resend(ending: FinalReply) -> FinalReply {
     let Outcome::NotRun(_) = ending.reply.outcome() else { return ending };
-    Ending { reply: GateReply::unknown(UnknownReason::NoRecord), ..ending }
+    FinalReply { reply: GateReply::unknown(UnknownReason::NoRecord), ..ending }
 }
 
 /// A request that was sent on, with its labels.
 struct Done {
     team: TeamName,
     class: ClassName,
-    ending: Ending,
+    ending: FinalReply,
 }
 
 /// Counts a request down when its answer has left, or its caller.
--- a/crates/agent/src/ingress/own_form.rs
+++ b/crates/agent/src/ingress/own_form.rs
@@ -17,7 +17,7 @@
 use volo_http::{body::Body, response::Response};
 
 use crate::{
-    forward::Ending,
+    forward::FinalReply,
     ingress::{
         COME_BACK,
         form::{CallHead, CallId, CallerForm, answered, status_of},
@@ -59,7 +59,7 @@
         Ok(CallHead { host: None, id, id_text: None, deadline, age, content, headers })
     }
 
-    fn answer(&self, ending: Ending, id: &CallId) -> Response {
+    fn answer(&self, ending: FinalReply, id: &CallId) -> Response {
         let outcome = ending.reply.outcome();
         let mut response = match ending.reply {
             GateReply::Answered(answer) => answered(answer),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod snapshot;
 mod zones;
 
-pub use forward::Ending;
+pub use forward::FinalReply;
 pub use gate::Connect;
 pub use ingress::{
     AnnounceForm, CallHead, CallId, CallerForm, Heard, Refusal, answered, status_of,
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/port.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    control::FleetSource,
+    control::CentralConfigSource,
     gate::{Connect, connect_http},
     ingress::{AnnounceForm, CallerForm, OwnAnnounceForm, OwnForm},
     zones::{ClosedZones, ClosedZonesSource, follow_own_zones},
@@ -22,7 +22,7 @@
     pub announcements: Arc<dyn AnnounceForm>,
     pub connect: Connect,
     /// Configurations of the whole fleet; none: teams write documents of their own.
-    pub fleet: Option<FleetSource>,
+    pub central_config: Option<CentralConfigSource>,
     pub closed_zones: ClosedZonesSource,
 }
 
@@ -42,7 +42,7 @@
             callers: Arc::new(OwnForm),
             announcements: Arc::new(OwnAnnounceForm),
             connect: Box::new(connect_http),
-            fleet: None,
+            central_config: None,
             closed_zones,
         })
     }
--- a/crates/agent/src/quarantine/tests.rs
+++ b/crates/agent/src/quarantine/tests.rs
@@ -32,12 +32,12 @@
     let store = Arc::new(FakeStore::new());
     let (a, b, c) = (start(&store, "a"), start(&store, "b"), start(&store, "c"));
     a.upstream_ended(vec![HARMFUL, Fingerprint(7)]);
-    store.down.store(true, Ordering::SeqCst);
+    store.is_down.store(true, Ordering::SeqCst);
     b.upstream_ended(vec![Fingerprint(8)]);
     b.upstream_ended(vec![HARMFUL]);
     sleep(Duration::from_secs(5)).await;
     assert!(!c.is_quarantined(HARMFUL));
-    store.down.store(false, Ordering::SeqCst);
+    store.is_down.store(false, Ordering::SeqCst);
     for agent in [&a, &b, &c] {
         wait_quarantined(agent).await;
         assert!(!agent.is_quarantined(Fingerprint(7)) && !agent.is_quarantined(Fingerprint(8)));
@@ -77,7 +77,7 @@
     let (a, b) = (start(&store, "a"), start(&store, "b"));
     b.upstream_ended(vec![HARMFUL]);
     sleep(Duration::from_secs(1)).await;
-    store.keep_copy();
+    store.take_snapshot();
     a.upstream_ended(vec![HARMFUL]);
     sleep(Duration::from_secs(1)).await;
     store.roll_back();
--- a/crates/agent/src/ready.rs
+++ b/crates/agent/src/ready.rs
@@ -25,8 +25,8 @@
     fn is_ready(&self) -> bool {
         let snapshot = self.snapshots.load();
         let configured = match self.documents_from {
-            DocumentSource::Fleet => snapshot.routing.is_some(),
-            DocumentSource::Teams => !snapshot.services.is_empty(),
+            DocumentSource::CentralConfig => snapshot.routing.is_some(),
+            DocumentSource::ObjectStore => !snapshot.services.is_empty(),
         };
         configured && !self.is_leaving.load(Ordering::SeqCst)
     }
--- a/crates/agent/src/request_log/mod.rs
+++ b/crates/agent/src/request_log/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     clock::Clock,
-    forward::Ending,
+    forward::FinalReply,
     ingress::Refusal,
     request::{GateReply, GateRequest},
 };
@@ -97,7 +97,7 @@
     }
 
     /// The final answer of a request at the ingress.
-    fn ended(&self, underway: &Underway<'_>, ending: &Ending) {
+    fn ended(&self, underway: &Underway<'_>, ending: &FinalReply) {
         let Underway { request, placing, .. } = underway;
         let now = self.clock.now();
         let is_late = underway.useful_until.is_some_and(|it| it < now);
@@ -198,7 +198,7 @@
 
 impl Underway<'_> {
     /// The request has its final answer.
-    pub(crate) fn end(mut self, ending: &Ending) {
+    pub(crate) fn end(mut self, ending: &FinalReply) {
         self.has_ended = true;
         self.log.ended(&self, ending);
     }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     clock::Clock,
-    control::{self, ControlParts, DocumentSource, FleetSource, Phase},
+    control::{self, CentralConfigSource, ControlParts, DocumentSource, Phase},
     gate::GateHandle,
     links::LinkKey,
     plane::{Plane, PlaneParts},
@@ -91,11 +91,18 @@
     let listeners = runtime.block_on(async { Listeners::bind(&settings) })?;
     let platform_calls: Arc<CallCounts> = Arc::default();
     let ports = runtime.block_on(async { ports(&settings, &platform_calls) });
-    let Ports { store, traffic_store, callers, announcements, connect, fleet, closed_zones } =
-        ports.context("adapters")?;
-    let documents_from = match fleet {
-        Some(_) => DocumentSource::Fleet,
-        None => DocumentSource::Teams,
+    let Ports {
+        store,
+        traffic_store,
+        callers,
+        announcements,
+        connect,
+        central_config,
+        closed_zones,
+    } = ports.context("adapters")?;
+    let documents_from = match central_config {
+        Some(_) => DocumentSource::CentralConfig,
+        None => DocumentSource::ObjectStore,
     };
     let own = Instance {
         name: settings.instance.clone(),
@@ -125,7 +132,7 @@
         phases,
         handed_over,
         store: Arc::new(CountedStore::new(store, Arc::clone(&platform_calls))),
-        fleet,
+        central_config,
         closed_zones,
     };
     let control = thread::Builder::new()
@@ -156,7 +163,7 @@
     };
     let plane = runtime.block_on(plane)?;
     let ended = runtime.block_on(stop(signals, plane, &phase, all_handed_over, stop_max));
-    phase.send_replace(Phase::Ending);
+    phase.send_replace(Phase::Exiting);
     let control = control.join().map_err(|_| anyhow::anyhow!("the control thread panicked"))?;
     log::info!(target: "agent", "The agent has stopped.");
     ended.and(control)
@@ -273,7 +280,7 @@
     phases: watch::Receiver<Phase>,
     handed_over: oneshot::Sender<()>,
     store: Arc<dyn ObjectStore>,
-    fleet: Option<FleetSource>,
+    central_config: Option<CentralConfigSource>,
     closed_zones: ClosedZonesSource,
 }
 
@@ -296,7 +303,7 @@
                 phase: self.phases,
                 handed_over: self.handed_over,
                 seed: rand::random(),
-                fleet: self.fleet,
+                central_config: self.central_config,
                 closed_zones: self.closed_zones,
             })
             .await;
--- a/crates/agent/src/tests/fakes.rs
+++ b/crates/agent/src/tests/fakes.rs
@@ -375,7 +375,7 @@
             announce_form,
             announcements: None,
             ready: None,
-            documents_from: DocumentSource::Teams,
+            documents_from: DocumentSource::ObjectStore,
             store,
         })
         .unwrap();
--- a/crates/agent/src/zones/tests.rs
+++ b/crates/agent/src/zones/tests.rs
@@ -52,12 +52,12 @@
     let (sender, mut source) = watch::channel(ClosedZones::default());
     let following = tokio::spawn(follow_own_zones(Arc::clone(&store) as _, sender));
     wait_for(&mut source, &["pitlane"]).await;
-    store.down.store(true, std::sync::atomic::Ordering::SeqCst);
+    store.is_down.store(true, std::sync::atomic::Ordering::SeqCst);
     store.put("zones/drivers-stand", r#"{"closed": true}"#);
     store.put("zones/pitlane", r#"{"closed": false}"#);
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(source.borrow().len(), 1, "an outage opens nothing");
-    store.down.store(false, std::sync::atomic::Ordering::SeqCst);
+    store.is_down.store(false, std::sync::atomic::Ordering::SeqCst);
     wait_for(&mut source, &["drivers-stand"]).await;
     following.abort();
 }
