--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -58,33 +58,33 @@
 
 /// A term that an update is known to have won.
 #[derive(Debug)]
-pub(crate) struct Acquired {
+pub(crate) struct AcquiredTerm {
     pub(crate) object: Coordinator,
     pub(crate) version: ObjectVersion,
     /// What the object was before; none: it did not exist.
-    pub(crate) former: Option<Coordinator>,
+    pub(crate) previous: Option<Coordinator>,
     /// When the update that won was sent, at the earliest.
     pub(crate) sent_at: Timestamp,
     /// The last plan of the term that this node held before, if it is sure that no other came between.
-    pub(crate) carried: Option<Plan>,
+    pub(crate) carried_plan: Option<Plan>,
 }
 
 /// What a coordinator takes along into its next term when the platform has lost its latest.
 #[derive(Debug, Clone)]
-pub(crate) struct Carried {
+pub(crate) struct CarriedState {
     pub(crate) object: Coordinator,
     pub(crate) plan: Option<Plan>,
 }
 
 /// The way into the next term.
 #[derive(Debug, Clone)]
-pub(crate) enum NextTerm {
+pub(crate) enum Reacquisition {
     /// There is no reason, or it is not known yet.
-    NotYet,
+    NotDue,
     /// No other term has been settled: with this.
-    Carries(Box<Carried>),
+    WithState(Box<CarriedState>),
     /// Another may have been.
-    Uncertain,
+    WithoutState,
 }
 
 /// Whether the term goes on.
@@ -94,7 +94,7 @@
     /// Another node holds a later one.
     Lost,
     /// There has been this one, of which the platform's object tells nothing.
-    Outranked(Term),
+    HigherTermFound(Term),
     /// Given up by this node's own update.
     Released,
     /// The platform has come back from an older copy: the term has to be taken anew.
@@ -153,8 +153,13 @@
 }
 
 impl Coordination {
-    pub(crate) fn new(ctx: &mut Ctx<'_>, acquired: Acquired, known: Vec<Instance>) -> Coordination {
-        let Acquired { object, version, former, sent_at, carried } = acquired;
+    pub(crate) fn new(
+        ctx: &mut Ctx<'_>,
+        acquired: AcquiredTerm,
+        known: Vec<Instance>,
+    ) -> Coordination {
+        let AcquiredTerm { object, version, previous: former, sent_at, carried_plan: carried } =
+            acquired;
         let term = object.term;
         let first_term = former.is_none();
         let object = ObjectKeeper::new(object, version);
@@ -220,7 +225,7 @@
     }
 
     /// Until when this node may hold what it has granted itself.
-    pub(crate) fn own_lease_until(&mut self, ctx: &Ctx<'_>) -> Option<Timestamp> {
+    pub(crate) fn renew_own_lease(&mut self, ctx: &Ctx<'_>) -> Option<Timestamp> {
         if !self.may_renew(ctx) {
             return None;
         }
@@ -269,11 +274,11 @@
     }
 
     /// After a pause nothing that was proved before holds.
-    pub(crate) fn paused(&mut self, now: Timestamp) {
+    pub(crate) fn reset_confirmation(&mut self, now: Timestamp) {
         self.confirm.reset(now);
     }
 
-    pub(crate) fn message(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
+    pub(crate) fn handle_message(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
         match message {
             Message::Renew(renew) => {
                 self.heard_at = ctx.now;
@@ -348,7 +353,7 @@
     }
 
     /// The end of a platform call that this part may have made.
-    pub(crate) fn platform(
+    pub(crate) fn handle_platform_reply(
         &mut self,
         ctx: &mut Ctx<'_>,
         call: CallId,
@@ -372,7 +377,7 @@
         };
         match self.plan.reply(ctx, call, reply, first) {
             PlanReply::Deposed => return TermState::Lost,
-            PlanReply::Outranked(term) => return TermState::Outranked(term),
+            PlanReply::HigherTermFound(term) => return TermState::HigherTermFound(term),
             PlanReply::Acknowledged(version) => {
                 ctx.event(Event::PlanWritten { version });
                 self.plan_acknowledged();
@@ -483,30 +488,30 @@
     }
 
     /// Whether others than this node are about to leave.
-    pub(crate) fn others_leave(&self, me: &Instance) -> bool {
+    pub(crate) fn has_other_leaving_member(&self, me: &Instance) -> bool {
         let me = MemberId::from(me);
         self.members.rows.iter().any(|(id, row)| *id != me && row.leaving)
     }
 
     /// How this node is to take the term anew, once the platform has come back from an older copy. While it is confirmed
     /// no other term can have been settled; the platform does not confirm it any more, witnesses go on to.
-    pub(crate) fn next_term(&self, ctx: &Ctx<'_>) -> NextTerm {
-        let Some(rolled_back_at) = self.rolled_back_at else { return NextTerm::NotYet };
+    pub(crate) fn reacquisition(&self, ctx: &Ctx<'_>) -> Reacquisition {
+        let Some(rolled_back_at) = self.rolled_back_at else { return Reacquisition::NotDue };
         if ctx.config.keyed && self.may_renew(ctx) {
-            return NextTerm::Carries(Box::new(Carried {
+            return Reacquisition::WithState(Box::new(CarriedState {
                 object: self.object.acked().clone(),
                 plan: self.plan.acked().cloned(),
             }));
         }
         let witnessed = self.object.acked().confirmation == Confirmation::Witnesses;
         match witnessed && ctx.now.since(rolled_back_at) <= REAFFIRMED_WITHIN {
-            true => NextTerm::NotYet,
-            false => NextTerm::Uncertain,
+            true => Reacquisition::NotDue,
+            false => Reacquisition::WithoutState,
         }
     }
 
     /// Gives the term up, by an update after which this node renews nothing.
-    pub(crate) fn release(&mut self, ctx: &mut Ctx<'_>) {
+    pub(crate) fn release_term(&mut self, ctx: &mut Ctx<'_>) {
         if self.releasing || self.object.is_pending() {
             return;
         }
@@ -516,7 +521,7 @@
     }
 
     /// All members, to tell them that the term is given up.
-    pub(crate) fn instances(&self) -> impl Iterator<Item = &Instance> {
+    pub(crate) fn member_instances(&self) -> impl Iterator<Item = &Instance> {
         self.members.rows.values().map(|it| &it.instance)
     }
 }
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -75,7 +75,7 @@
     /// Another term has written a plan.
     Deposed,
     /// The plan is of this term, which is above the own one.
-    Outranked(Term),
+    HigherTermFound(Term),
 }
 
 /// `plans/S/G` as the coordinator sees it. Grants rest on plans that this term has written itself:
@@ -250,7 +250,7 @@
             !rolled_back && self.doubtful.as_ref().is_some_and(|it| Some(it.plan.nonce) == nonce);
         match found {
             Some(_) if own => return self.taken_effect(version),
-            Some(plan) if plan.term > self.term => return PlanReply::Outranked(plan.term),
+            Some(plan) if plan.term > self.term => return PlanReply::HigherTermFound(plan.term),
             // What this term has seen acknowledged was replaced.
             _ if self.acked.is_some() => return PlanReply::Deposed,
             // Slots of another size: what they name says nothing about the slots of this document.
--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -42,7 +42,7 @@
             }
             message @ (Message::Renew(_) | Message::Answer { .. }) => {
                 if let Some(coordination) = &mut self.coordination {
-                    coordination.message(ctx, from, &message);
+                    coordination.handle_message(ctx, from, &message);
                 }
             }
             Message::NotCoordinator { .. } if of_coordinator => self.vacate(),
@@ -59,7 +59,7 @@
             Message::Released { .. } => self.vacate(),
             Message::Renewed(answer) => {
                 self.known.heard_at = ctx.now;
-                let own = self.coordination.as_mut().and_then(|it| it.own_lease_until(ctx));
+                let own = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
                 self.member.renewed(ctx, &answer, own);
             }
             Message::SessionEnded { session, .. } => self.member.session_ended(ctx, session),
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     CallId, Event, Input, Limits, Output, PlatformReply, Report,
-    coordinator::{Acquired, Coordination, NextTerm, TermState},
+    coordinator::{AcquiredTerm, Coordination, Reacquisition, TermState},
     ctx::{Ctx, is_same},
     member::Member,
 };
@@ -167,7 +167,7 @@
     fn paused(&mut self, ctx: &mut Ctx<'_>) {
         self.member.end_session(ctx, "pause");
         if let Some(coordination) = &mut self.coordination {
-            coordination.paused(ctx.now);
+            coordination.reset_confirmation(ctx.now);
         }
     }
 
@@ -239,11 +239,11 @@
     }
 
     fn tick(&mut self, ctx: &mut Ctx<'_>) {
-        match self.coordination.as_ref().map(|it| it.next_term(ctx)) {
-            None | Some(NextTerm::NotYet) => {}
+        match self.coordination.as_ref().map(|it| it.reacquisition(ctx)) {
+            None | Some(Reacquisition::NotDue) => {}
             // It goes on with this one until it has the next.
-            Some(NextTerm::Carries(_)) => self.takeover.take_again(ctx.now),
-            Some(NextTerm::Uncertain) => {
+            Some(Reacquisition::WithState(_)) => self.takeover.take_again(ctx.now),
+            Some(Reacquisition::WithoutState) => {
                 self.lose_term(ctx);
                 self.takeover.take_again(ctx.now);
             }
@@ -262,10 +262,10 @@
             return;
         }
         let Some(coordination) = &mut self.coordination else { return };
-        match coordination.platform(ctx, call, reply) {
+        match coordination.handle_platform_reply(ctx, call, reply) {
             TermState::Held => {}
             TermState::Lost => self.lose_term(ctx),
-            TermState::Outranked(term) => {
+            TermState::HigherTermFound(term) => {
                 self.lose_term(ctx);
                 self.learn(ctx, term, None);
                 self.known.vacant = true;
@@ -277,14 +277,14 @@
     }
 
     fn extend_own_lease(&mut self, ctx: &mut Ctx<'_>) {
-        let until = self.coordination.as_mut().and_then(|it| it.own_lease_until(ctx));
+        let until = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
         if let Some(until) = until {
             self.member.extend_own(ctx, until);
         }
     }
 
     /// Takes the term that an update has won.
-    fn become_coordinator(&mut self, ctx: &mut Ctx<'_>, acquired: Acquired) {
+    fn become_coordinator(&mut self, ctx: &mut Ctx<'_>, acquired: AcquiredTerm) {
         let term = acquired.object.term;
         let newer = term > self.known.term;
         if !newer && (term < self.known.term || self.known.coordinator.is_some()) {
--- a/crates/ownership/src/node/stop.rs
+++ b/crates/ownership/src/node/stop.rs
@@ -61,13 +61,13 @@
         let Some(coordination) = &mut self.coordination else { return };
         let own_part_done =
             self.member.holdings.is_empty() && (self.member.dismissed || !self.member.has_lease());
-        let others_done = !coordination.others_leave(ctx.me());
+        let others_done = !coordination.has_other_leaving_member(ctx.me());
         let ready = own_part_done && others_done;
         if !ready && !gave_up {
             return;
         }
         let release_since = *self.stop.release_since.get_or_insert(ctx.now);
-        coordination.release(ctx);
+        coordination.release_term(ctx);
         if ctx.now.since(release_since) > RELEASE_MAX {
             self.released(ctx);
         }
@@ -77,7 +77,7 @@
     pub(super) fn released(&mut self, ctx: &mut Ctx<'_>) {
         if let Some(coordination) = &self.coordination {
             let term = coordination.term();
-            for it in coordination.instances().cloned().collect::<Vec<_>>() {
+            for it in coordination.member_instances().cloned().collect::<Vec<_>>() {
                 ctx.send(&it, Message::Released { term });
             }
         }
--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     CallId, Confirmation, Coordinator, Message, Plan, PlatformReply, PlatformRequest, TermTimes,
-    coordinator::{Acquired, Carried, NextTerm},
+    coordinator::{AcquiredTerm, CarriedState, Reacquisition},
     ctx::{Ctx, MemberId, is_same, is_same_seat},
 };
 
@@ -366,10 +366,10 @@
     }
 
     /// What this node takes along from the term that it holds still, if the platform has lost its record.
-    fn carried(&self, ctx: &Ctx<'_>) -> Option<Carried> {
-        match self.coordination.as_ref()?.next_term(ctx) {
-            NextTerm::Carries(carried) => Some(*carried),
-            NextTerm::NotYet | NextTerm::Uncertain => None,
+    fn carried(&self, ctx: &Ctx<'_>) -> Option<CarriedState> {
+        match self.coordination.as_ref()?.reacquisition(ctx) {
+            Reacquisition::WithState(carried) => Some(*carried),
+            Reacquisition::NotDue | Reacquisition::WithoutState => None,
         }
     }
 
@@ -420,6 +420,9 @@
         // Too late to go on with what this node held: another term may have been settled meanwhile.
         let former = if carried.is_some() { former } else { found.or(former) };
         let carried = carried.and_then(|it| it.plan);
-        self.become_coordinator(ctx, Acquired { object, version, former, sent_at, carried });
+        self.become_coordinator(
+            ctx,
+            AcquiredTerm { object, version, previous: former, sent_at, carried_plan: carried },
+        );
     }
 }
