--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -383,8 +383,8 @@
         let clock = &self.gate.upstream_clock;
         let start_before = clearance.map_or(until, |it| it.lease_until.min(until));
         Some(ClockBounds {
-            start_before_ms: clock.point_ms(start_before)?,
-            end_before_ms: clock.point_ms(until)?,
+            start_before_ms: clock.to_upstream_ms(start_before)?,
+            end_before_ms: clock.to_upstream_ms(until)?,
         })
     }
 
@@ -454,7 +454,7 @@
             }
             Ended::Answered(answer) => {
                 gate.sign(ended);
-                gate.quarantine.answered(self.request.content);
+                gate.quarantine.record_answer(self.request.content);
                 // An upstream that fails fast must not look like one that works fast.
                 permit.completion = match answer.status.is_server_error() {
                     true => Completion::Cut,
