--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use model::{GroupId, Instance, ServiceName, Timestamp};
-use ownership::{FenceCheck, Input, Limits, OwnLease};
+use ownership::{CoordinatorLease, FenceCheck, Input, Limits};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use settings::{AgentSettings, RoutingTable, ServiceDocument};
@@ -183,9 +183,9 @@
         } else {
             FenceCheck::Unchecked
         },
-        own_lease: match document.upstream.enforces_leases {
-            true => OwnLease::Whole,
-            false => OwnLease::Confirmation,
+        coordinator_lease: match document.upstream.enforces_leases {
+            true => CoordinatorLease::Full,
+            false => CoordinatorLease::Confirmation,
         },
     }
 }
--- a/crates/agent/src/gate/table.rs
+++ b/crates/agent/src/gate/table.rs
@@ -106,7 +106,7 @@
                 self.raise_floor(*key_hash, *token);
                 self.excluded.insert(*key_hash, to.clone());
             }
-            GateCommand::ForgetKey { key_hash } => {
+            GateCommand::RemoveKey { key_hash } => {
                 self.keys.remove(key_hash);
                 self.excluded.remove(key_hash);
                 self.returned.insert(*key_hash, now);
--- a/crates/agent/src/tests/gate.rs
+++ b/crates/agent/src/tests/gate.rs
@@ -200,7 +200,7 @@
     check(&agent.call(post("echo", 1)).await, 200, "answered");
     agent.gate.apply(&[GateCommand::AdmitKey { key_hash, token: super::fakes::token(9) }]);
     check(&agent.call(post("echo", 2)).await, 200, "answered");
-    agent.gate.apply(&[GateCommand::ForgetKey { key_hash }]);
+    agent.gate.apply(&[GateCommand::RemoveKey { key_hash }]);
     check(&agent.call(post("echo", 3)).await, 200, "answered");
     // The slot is granted anew without a gap.
     agent.grant_all(12);
--- a/crates/ownership/src/coordinator/answer.rs
+++ b/crates/ownership/src/coordinator/answer.rs
@@ -5,9 +5,9 @@
 use model::{KeyHash, Slot};
 
 use crate::{
-    MemberNumber, Message, Renewed, RouteKey, RouteMember, RouteMemberChange, RouteRun, Routes,
+    MemberNumber, Message, Renewed, RouteKey, RouteMember, RouteMemberChange, RouteRange, Routes,
     ctx::{Ctx, MemberId},
-    member::first_version,
+    member::first_route_version,
     work,
 };
 
@@ -45,12 +45,12 @@
         if !self.may_renew(ctx) {
             return;
         }
-        let first = first_version(self.term);
+        let first = first_route_version(self.term);
         let due = |row: &MemberRow| {
             let follows = row.route_version.max(row.routes_sent) >= first;
             (row.answer_due || row.push_due) && (follows || whom == Whom::All)
         };
-        work::note(self.members.rows.len() / 8);
+        work::add_entries(self.members.rows.len() / 8);
         let due: Vec<MemberId> =
             self.members.rows.iter().filter(|it| due(it.1)).map(|it| it.0.clone()).collect();
         for id in due {
@@ -66,7 +66,7 @@
         let is_news = since < self.route_version;
         let routes = is_news.then(|| self.routes_since(since));
         let Some(row) = self.members.rows.get(id) else { return };
-        let dismissed = row.leaving && !self.table.concerns(id) && row.commands.is_empty();
+        let can_stop = row.leaving && !self.table.concerns(id) && row.commands.is_empty();
         let Some(row) = self.members.rows.get_mut(id) else { return };
         if let Some(routes) = &routes {
             row.routes_sent = routes.version;
@@ -74,18 +74,18 @@
         }
         row.answer_due = false;
         row.push_due = false;
-        row.lease_until = row.lease_until.max(ctx.now + times.elsewhere(times.lease()));
+        row.lease_until = row.lease_until.max(ctx.now + times.with_drift_margin(times.lease()));
         let renewed = Renewed {
             term: self.term,
             session: row.session,
             sequence: row.sequence,
             lease_ms: times.lease_ms,
-            heard: row.heard,
+            last_report: row.last_report,
             first_command: row.first_command,
             commands: row.commands.iter().take(COMMANDS_MAX).cloned().collect(),
             routes,
             config: self.config,
-            dismissed,
+            can_stop,
         };
         ctx.send(&row.instance, Message::Renewed(Box::new(renewed)));
     }
@@ -93,7 +93,7 @@
     /// What has changed since a version, which many members are told at a time.
     fn routes_since(&mut self, since: u64) -> Arc<Routes> {
         // What is known of earlier terms makes no difference.
-        let since = if since < first_version(self.term) { 0 } else { since };
+        let since = if since < first_route_version(self.term) { 0 } else { since };
         let told = self.routes_told.as_ref().filter(|it| it.since == since);
         if let Some(told) = told.filter(|_| self.routes_made_in == self.route_version) {
             return Arc::clone(told);
@@ -105,14 +105,14 @@
     }
 
     fn routes(&self, since: u64) -> Routes {
-        let is_whole = since < first_version(self.term);
+        let is_whole = since < first_route_version(self.term);
         let gone = if is_whole { Some(Vec::new()) } else { self.members.gone_since(since) };
         let Some(gone) = gone else { return self.routes(0) };
         let number = |id: &MemberId| self.members.rows.get(id).map(|it| it.number);
         let names_told = self.tells_successors();
-        work::note(self.members.rows.len() / 8);
+        work::add_entries(self.members.rows.len() / 8);
         let mut changed = self.slots_changed_since(since);
-        let run = |(slot, row): &(Slot, &SlotRow)| RouteRun {
+        let run = |(slot, row): &(Slot, &SlotRow)| RouteRange {
             first: *slot,
             last: *slot,
             owner: row.holder.grant().and_then(|it| number(&it.member)),
@@ -122,7 +122,7 @@
                 false => Vec::new(),
             },
         };
-        work::note(4 * changed.len());
+        work::add_entries(4 * changed.len());
         let mut slots = joined(changed.iter().map(run));
         let mut version = self.route_version;
         if slots.len() > ROUTE_RUNS_MAX {
@@ -141,7 +141,7 @@
         Routes {
             since,
             version,
-            gone,
+            removed: gone,
             joined: joined.map(route_member).collect(),
             changed: changed.map(route_member_change).collect(),
             slots,
@@ -154,7 +154,7 @@
         if since >= self.slots_changed_in {
             return Vec::new();
         }
-        work::note(self.table.slots.len());
+        work::add_entries(self.table.slots.len());
         self.table.iter().filter(|(_, row)| row.changed_in > since).collect()
     }
 
@@ -194,18 +194,18 @@
 }
 
 fn route_member(row: &MemberRow) -> RouteMember {
-    RouteMember { number: row.number, instance: row.instance.clone(), standing: row.standing() }
+    RouteMember { number: row.number, instance: row.instance.clone(), status: row.status() }
 }
 
 fn route_member_change(row: &MemberRow) -> RouteMemberChange {
-    RouteMemberChange { number: row.number, standing: row.standing() }
+    RouteMemberChange { number: row.number, status: row.status() }
 }
 
 /// Neighbours that are alike, as one run each.
-fn joined(slots: impl Iterator<Item = RouteRun>) -> Vec<RouteRun> {
-    let mut runs: Vec<RouteRun> = Vec::new();
+fn joined(slots: impl Iterator<Item = RouteRange>) -> Vec<RouteRange> {
+    let mut runs: Vec<RouteRange> = Vec::new();
     for next in slots {
-        if !runs.last_mut().is_some_and(|it| it.extend(&next)) {
+        if !runs.last_mut().is_some_and(|it| it.try_extend(&next)) {
             runs.push(next);
         }
     }
--- a/crates/ownership/src/coordinator/confirm.rs
+++ b/crates/ownership/src/coordinator/confirm.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     CallId, Confirmation, Message, PlatformRequest, TermTimes,
-    ctx::{Ctx, MemberId, is_same, is_same_seat},
+    ctx::{Ctx, MemberId, is_same_agent, is_same_incarnation},
     rules::{self, Rule},
 };
 
@@ -151,7 +151,7 @@
             self.ask(ctx, term, by);
         }
         if self.read.is_none() && self.next_read <= ctx.now {
-            let call = ctx.call(PlatformRequest::ReadCoordinator);
+            let call = ctx.call_platform(PlatformRequest::ReadCoordinator);
             self.read = Some((call, ctx.now));
             self.next_read = Timestamp { ns: u64::MAX };
         }
@@ -166,7 +166,7 @@
     /// told of shows there.
     pub(crate) fn tick_unkeyed(&mut self, ctx: &mut Ctx<'_>) {
         if self.read.is_none() && self.next_unkeyed_read <= ctx.now {
-            let call = ctx.call(PlatformRequest::ReadCoordinator);
+            let call = ctx.call_platform(PlatformRequest::ReadCoordinator);
             self.read = Some((call, ctx.now));
             self.next_unkeyed_read = ctx.now + READ_EVERY;
         }
@@ -182,12 +182,12 @@
         }
         let mut asked: Vec<&Instance> = Vec::new();
         for witness in by.witness_sets.iter().copied().flatten() {
-            if !asked.iter().any(|it| is_same(it, witness)) {
+            if !asked.iter().any(|it| is_same_incarnation(it, witness)) {
                 asked.push(witness);
             }
         }
         for witness in asked {
-            ctx.send_to_seat(witness, Message::Question { term, number });
+            ctx.send_to_agent(witness, Message::WitnessQuery { term, number });
         }
     }
 
@@ -203,9 +203,9 @@
         by: &ConfirmBy<'_>,
     ) {
         let stands_for = |it: &&Instance| {
-            is_same(it, from)
-                || (is_same_seat(it, from)
-                    && (has_read || !rules::holds(Rule::ReadBeforeWitnessing)))
+            is_same_incarnation(it, from)
+                || (is_same_agent(it, from)
+                    && (has_read || !rules::is_enforced(Rule::ReadObjectBeforeWitnessing)))
         };
         let witnesses = by.witness_sets.iter().copied().flatten().filter(stands_for);
         let ids: Vec<MemberId> = witnesses.map(MemberId::from).collect();
@@ -236,8 +236,8 @@
     pub(crate) fn replaced(&mut self, now: Timestamp, by_agent: &Instance, by: &ConfirmBy<'_>) {
         for witness in by.witness_sets.iter().copied().flatten() {
             let id = MemberId::from(witness);
-            if is_same_seat(witness, by_agent)
-                && !is_same(witness, by_agent)
+            if is_same_agent(witness, by_agent)
+                && !is_same_incarnation(witness, by_agent)
                 && !self.promised.contains(&id)
             {
                 self.promised.push(id);
--- a/crates/ownership/src/coordinator/grants.rs
+++ b/crates/ownership/src/coordinator/grants.rs
@@ -5,7 +5,7 @@
 use model::{Instance, Slot, Timestamp, Token};
 
 use crate::{
-    Command, Event, MoveReason, OwnLease,
+    Command, CoordinatorLease, Event, MoveReason,
     ctx::{Ctx, MemberId},
     rules::{self, Rule},
     work,
@@ -34,10 +34,10 @@
         if self.plan.acked().is_none() {
             return;
         }
-        let waits = ctx.limits().own_lease == OwnLease::Whole
+        let waits = ctx.limits().coordinator_lease == CoordinatorLease::Full
             && !self.succession.is_outlasted()
-            && rules::holds(Rule::WaitForOwnLease);
-        work::note(self.table.slots.len());
+            && rules::is_enforced(Rule::WaitForCoordinatorLease);
+        work::add_entries(self.table.slots.len());
         for (slot, row) in self.table.slot_count.iter().zip(&mut self.table.slots) {
             if row.holder == Holder::Unknown
                 && self.succession.is_clear(ctx.now, &self.confirm, self.plan.slot_names(slot))
@@ -59,7 +59,7 @@
     /// Grants what is free to the first member that the plan names and that can take it.
     pub(super) fn grant_free(&mut self, ctx: &mut Ctx<'_>) {
         let proved_at = self.confirm.proved_at();
-        work::note(self.table.slots.len() / 4);
+        work::add_entries(self.table.slots.len() / 4);
         let free = self.table.iter().filter(|(_, row)| row.holder.is_free(proved_at));
         let free: Vec<Slot> = free.map(|it| it.0).collect();
         self.grant_all(ctx, &free);
@@ -78,7 +78,7 @@
         let mut batch = Batch::default();
         // Heirs are looked for among all members; most of the time nothing is free.
         let heirs = self.heirs();
-        work::note(4 * slots.len());
+        work::add_entries(4 * slots.len());
         for slot in slots {
             self.grant_if_free(ctx, *slot, &heirs, &mut batch);
         }
--- a/crates/ownership/src/coordinator/handover.rs
+++ b/crates/ownership/src/coordinator/handover.rs
@@ -37,7 +37,7 @@
         }
         let mut running = self.table.slots.iter().filter(|it| it.handover.is_some()).count();
         let mut batch = Batch::default();
-        work::note(4 * self.table.slots.len());
+        work::add_entries(4 * self.table.slots.len());
         for slot in self.table.slot_count.iter() {
             match self.next_step(ctx, slot) {
                 // Ordered slots go by runs, and their planner bounds how many of these move.
@@ -136,7 +136,7 @@
         let to = to.and_then(|it| self.members.rows.get(&it)).map(|it| it.instance.clone());
         grant.closing = true;
         let (member, token) = (grant.member.clone(), grant.token);
-        if !rules::holds(Rule::WaitForClose) {
+        if !rules::is_enforced(Rule::WaitForClose) {
             row.holder = Holder::Nobody { lapsed_at: None };
         }
         if let Some(member) = self.members.rows.get_mut(&member) {
--- a/crates/ownership/src/coordinator/keys.rs
+++ b/crates/ownership/src/coordinator/keys.rs
@@ -3,7 +3,7 @@
 use model::{Instance, KeyHash, Timestamp, Token};
 
 use crate::{
-    Command, OwnLease, UpstreamState,
+    Command, CoordinatorLease, UpstreamState,
     ctx::{Ctx, MemberId},
 };
 
@@ -95,7 +95,9 @@
 
     /// Where runs of a key may go on that some earlier term has granted, with its slot or by an entry.
     fn runs_of_earlier_terms(&self, ctx: &Ctx<'_>, key_hash: KeyHash) -> EarlierRuns {
-        if ctx.limits().own_lease != OwnLease::Whole || self.succession.is_outlasted() {
+        if ctx.limits().coordinator_lease != CoordinatorLease::Full
+            || self.succession.is_outlasted()
+        {
             return EarlierRuns::default();
         }
         let by_slot = self.plan.slot_lives(self.table.slot_of(key_hash));
@@ -234,7 +236,7 @@
         let Some(member) = self.members.rows.get_mut(&holder.member) else { return };
         member.command(Command::Admit { slot, token });
         member.excluded.remove(&key_hash);
-        member.command(Command::ForgetKey { key_hash });
+        member.command(Command::RemoveKey { key_hash });
         let row = &mut self.table.slots[usize::from(slot.0)];
         row.holder = Holder::Member(Grant { token, ..holder });
         row.last_token = token;
--- a/crates/ownership/src/coordinator/loads.rs
+++ b/crates/ownership/src/coordinator/loads.rs
@@ -116,7 +116,7 @@
 
     /// Slots too light to be reported share what is left of their owner's load.
     fn share_rest(&mut self, id: &MemberId, reported: &[Slot], rest_us_per_s: f64) {
-        work::note(self.table.slots.len() / 2);
+        work::add_entries(self.table.slots.len() / 2);
         let slots = self.table.slot_count.iter().zip(&mut self.table.slots);
         let mut others: Vec<&mut Option<f64>> = slots
             .filter(|(slot, row)| {
--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Confirmation, Coordinator, Event, TermTimes,
-    ctx::{Ctx, MemberId, is_same},
+    ctx::{Ctx, MemberId, is_same_incarnation},
 };
 
 use super::{Coordination, members::MemberRow};
@@ -48,24 +48,27 @@
                 wanted.witnesses = Vec::new();
             }
             Confirmation::Witnesses if confirmed && reachable => {
-                let lost = |it: &Instance| !candidates.iter().any(|known| is_same(known, it));
+                let lost =
+                    |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
                 let more = wanted.witnesses.len() < WITNESSES_MAX.min(odd(candidates.len()));
                 if candidates.len() < WITNESSES_MIN {
                     wanted.confirmation = Confirmation::Platform;
                     wanted.witnesses = Vec::new();
                 } else if more || wanted.witnesses.iter().any(lost) {
-                    wanted.witnesses = choose_witnesses(ctx.me(), &candidates, &wanted.witnesses);
+                    wanted.witnesses =
+                        choose_witnesses(ctx.own_instance(), &candidates, &wanted.witnesses);
                 }
             }
             // Contact is a matter of course where the platform confirms, but here it is rare.
             Confirmation::Witnesses => {
-                let lost = |it: &Instance| !candidates.iter().any(|known| is_same(known, it));
+                let lost =
+                    |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
                 if wanted.witnesses.iter().any(lost) {
                     self.confirm.read_soon(ctx.now);
                 }
             }
             Confirmation::Platform if confirmed && candidates.len() >= WITNESSES_MIN => {
-                let witnesses = choose_witnesses(ctx.me(), &candidates, &[]);
+                let witnesses = choose_witnesses(ctx.own_instance(), &candidates, &[]);
                 let since = *self.own_capped_since.get_or_insert(ctx.now);
                 // By now this node's own lease ends as early as a successor of the new path
                 // expects it to.
@@ -94,7 +97,7 @@
         let since = *self.times_differ_since.get_or_insert(ctx.now);
         let former = wanted.times;
         let longest = former.confirmation().max(former.platform_confirmation()) + former.lease();
-        if ctx.now.since(since) > former.elsewhere(longest) {
+        if ctx.now.since(since) > former.with_drift_margin(longest) {
             wanted.times = asked;
         }
     }
@@ -133,8 +136,8 @@
     while chosen.len() < count {
         let cost = |it: &&Instance| {
             let crowd = of_zone.get(&it.zone).copied().unwrap_or(0);
-            let new = !former.iter().any(|known| is_same(known, it));
-            (is_same(it, me), crowd, new)
+            let new = !former.iter().any(|known| is_same_incarnation(known, it));
+            (is_same_incarnation(it, me), crowd, new)
         };
         let Some(at) = (0..left.len()).min_by_key(|it| cost(&left[*it])) else { break };
         let it = left.remove(at);
--- a/crates/ownership/src/coordinator/members.rs
+++ b/crates/ownership/src/coordinator/members.rs
@@ -8,7 +8,7 @@
 use model::{ConfigVersion, Instance, KeyHash, Timestamp, Token};
 
 use crate::{
-    Command, LoadReport, MemberNumber, MemberStanding, Renew, Report, SessionId, UpstreamState,
+    Command, LoadReport, MemberNumber, MemberStatus, Renew, Report, SessionId, UpstreamState,
     ctx::MemberId,
 };
 
@@ -61,7 +61,7 @@
     pub(crate) commands: VecDeque<Command>,
     pub(crate) first_command: u64,
     /// The last report taken in.
-    pub(crate) heard: u64,
+    pub(crate) last_report: u64,
     /// The version of routes up to which the member is known to be.
     pub(crate) route_version: u64,
     /// The version of routes up to which it has been sent some.
@@ -94,7 +94,7 @@
             load_reports: 0,
             commands: VecDeque::new(),
             first_command: 1,
-            heard: 0,
+            last_report: 0,
             route_version: 0,
             routes_sent: 0,
             routes_sent_at: now,
@@ -118,8 +118,8 @@
     }
 
     /// What others are told of it.
-    pub(crate) fn standing(&self) -> MemberStanding {
-        MemberStanding {
+    pub(crate) fn status(&self) -> MemberStatus {
+        MemberStatus {
             state: match self.leaving {
                 true => UpstreamState::Draining,
                 false => self.upstream,
@@ -169,8 +169,8 @@
         }
         let mut reports = Vec::new();
         for (number, report) in (renew.first_report..).zip(&renew.reports) {
-            if number == self.heard + 1 {
-                self.heard = number;
+            if number == self.last_report + 1 {
+                self.last_report = number;
                 reports.push(*report);
             }
         }
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -25,10 +25,10 @@
 use model::{ConfigVersion, Instance, ObjectVersion, Slot, Term, Timestamp, Token};
 
 use crate::{
-    CallId, Confirmation, Coordinator, Event, Message, OwnLease, Plan, PlatformReply, Routes,
-    TermTimes,
-    ctx::{Ctx, MemberId, is_same},
-    member::first_version,
+    CallId, Confirmation, Coordinator, CoordinatorLease, Event, Message, Plan, PlatformReply,
+    Routes, TermTimes,
+    ctx::{Ctx, MemberId, is_same_incarnation},
+    member::first_route_version,
     rules::{self, Rule},
 };
 
@@ -160,16 +160,16 @@
         let object = ObjectKeeper::new(object, version);
         let times = object.acked().times.min(ctx.limits().into());
         let confirm = Confirm::new(ctx.now, sent_at, &object.confirm_by(times));
-        let own_lease = ctx.limits().own_lease;
+        let coordinator_lease = ctx.limits().coordinator_lease;
         let nothing_to_wait_for = !ctx.config.keyed;
         let former = former.filter(|_| !nothing_to_wait_for);
-        let mut succession = Succession::new(ctx.now, former.as_ref(), own_lease);
-        succession.follows(ctx.now, ctx.me());
+        let mut succession = Succession::new(ctx.now, former.as_ref(), coordinator_lease);
+        succession.follows(ctx.now, ctx.own_instance());
         let holder = if first_term { Holder::Nobody { lapsed_at: None } } else { Holder::Unknown };
         let witnesses = object.acked().witnesses.iter().map(MemberId::from).collect();
         let confirmed_by = (object.acked().confirmation, witnesses);
         let slots = ctx.config.slot_count;
-        let base = first_version(term);
+        let base = first_route_version(term);
         let delay = if first_term { FIRST_PLAN_DELAY } else { Duration::ZERO };
         ctx.event(Event::BecameCoordinator { term: term.0 });
         Coordination {
@@ -224,14 +224,16 @@
         if !self.may_renew(ctx) {
             return None;
         }
-        let until = match ctx.limits().own_lease {
-            OwnLease::Confirmation if ctx.config.keyed => self.confirmed_until(ctx),
+        let until = match ctx.limits().coordinator_lease {
+            CoordinatorLease::Confirmation if ctx.config.keyed => self.confirmed_until(ctx),
             // Without keys nothing confirms it, and nothing is held by it.
-            OwnLease::Confirmation | OwnLease::Whole => ctx.now + self.times(ctx).lease(),
+            CoordinatorLease::Confirmation | CoordinatorLease::Full => {
+                ctx.now + self.times(ctx).lease()
+            }
         };
         self.own_until = self.own_until.max(until);
         // It is extended between renewals too: its own session lapses no earlier than it.
-        if let Some(row) = self.members.rows.get_mut(&MemberId::from(ctx.me())) {
+        if let Some(row) = self.members.rows.get_mut(&MemberId::from(ctx.own_instance())) {
             row.lease_until = row.lease_until.max(self.own_until);
         }
         Some(until)
@@ -243,7 +245,7 @@
         let until = self.confirm.until();
         let by_witnesses = self.confirm.proved_at() + self.times(ctx).confirmation();
         match self.own_capped_since {
-            Some(_) if rules::holds(Rule::CapOwnLease) => until.min(by_witnesses),
+            Some(_) if rules::is_enforced(Rule::CapCoordinatorLease) => until.min(by_witnesses),
             _ => until,
         }
     }
@@ -265,7 +267,7 @@
             return false;
         }
         let by = self.object.confirm_by(self.times(ctx));
-        self.confirm.holds(ctx.now, &by) || !rules::holds(Rule::RenewConfirmed)
+        self.confirm.holds(ctx.now, &by) || !rules::is_enforced(Rule::RenewOnlyWhileConfirmed)
     }
 
     /// After a pause nothing that was proved before holds.
@@ -282,7 +284,7 @@
                 self.renew(ctx, from, renew);
                 self.grant_given_up(ctx);
             }
-            Message::Answer { term, number, has_read } if *term == self.term => {
+            Message::WitnessReply { term, number, has_read } if *term == self.term => {
                 let by = self.object.confirm_by(self.object.acked().times.min(ctx.limits().into()));
                 let proved_at = self.confirm.proved_at();
                 self.confirm.answered(ctx.now, from, *number, *has_read, &by);
@@ -435,7 +437,7 @@
         let mut told: Vec<&Instance> = Vec::new();
         for it in planned.iter().chain(witnesses).chain(&self.known).chain(&ctx.config.peers) {
             let skip = self.succession.has_answered(&MemberId::from(it));
-            if !skip && !told.iter().any(|known| is_same(known, it)) {
+            if !skip && !told.iter().any(|known| is_same_incarnation(known, it)) {
                 told.push(it);
             }
         }
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -105,7 +105,7 @@
                 PlatformRequest::UpdateCoordinator { expected, object: pending.object.clone() }
             }
         };
-        pending.call = Some(ctx.call(request));
+        pending.call = Some(ctx.call_platform(request));
     }
 
     pub(crate) fn reply(
@@ -134,7 +134,7 @@
                 }
             }
             PlatformReply::Coordinator(_, None) => Decided::Deposed,
-            PlatformReply::Failed if !rules::holds(Rule::DoubtLostAnswers) => {
+            PlatformReply::Failed if !rules::is_enforced(Rule::AssumeUnansweredUpdateApplied) => {
                 self.pending = None;
                 Decided::No
             }
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -208,7 +208,7 @@
                 PlatformRequest::UpdatePlan { expected: self.version, object: plan.clone() }
             }
         };
-        self.call = Some(ctx.call(request));
+        self.call = Some(ctx.call_platform(request));
     }
 
     pub(crate) fn reply(
--- a/crates/ownership/src/coordinator/propose.rs
+++ b/crates/ownership/src/coordinator/propose.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     HotKey, NodeConfig, Plan, PlanSlot, UpstreamState,
-    ctx::{Ctx, MemberId, is_same},
-    planner::{PlannerInput, PlannerKey, PlannerMember, PlannerSlot, Proposal, Unit, propose},
+    ctx::{Ctx, MemberId, is_same_incarnation},
+    planner::{MoveUnit, PlannerInput, PlannerKey, PlannerMember, PlannerSlot, Proposal, propose},
     work,
 };
 
@@ -79,7 +79,7 @@
     pub(super) fn plan_acknowledged(&mut self) {
         self.take_planned_keys();
         let told = self.tells_successors();
-        work::note(8 * self.table.slots.len());
+        work::add_entries(8 * self.table.slots.len());
         for (slot, row) in self.table.slot_count.iter().zip(&mut self.table.slots) {
             if self.plan.slot_names(slot).eq(&row.names) {
                 continue;
@@ -147,7 +147,7 @@
 
     fn any_grant_waits(&self, now: Timestamp) -> bool {
         let heirs = self.heirs();
-        work::note(self.table.slots.len());
+        work::add_entries(self.table.slots.len());
         self.table.iter().any(|(slot, row)| {
             matches!(row.holder, Holder::Nobody { .. })
                 && !self.waits_for_heir(now, slot, &heirs)
@@ -168,7 +168,7 @@
     fn planner_input(&mut self, ctx: &Ctx<'_>, members: &Members) -> PlannerInput {
         self.moved.retain(|it| ctx.now.since(*it) < MINUTE);
         let moved = self.moved.len() as f64 / f64::from(self.table.slot_count.count());
-        work::note(16 * self.table.slots.len());
+        work::add_entries(16 * self.table.slots.len());
         let instances = members.instances.iter().zip(&members.weights);
         let member = |(it, weight): (&Instance, &f64)| PlannerMember {
             zone: it.zone.clone(),
@@ -218,7 +218,7 @@
             owner: owner.and_then(|it| members.index(it)),
             successors: names.skip(1).filter_map(|it| members.index(it)).collect(),
             load_us_per_s: row.load_us_per_s.unwrap_or(0.0),
-            settled_until: row.moved_at.map(|it| it + SETTLED_FOR).unwrap_or_default(),
+            movable_from: row.moved_at.map(|it| it + SETTLED_FOR).unwrap_or_default(),
         }
     }
 
@@ -264,11 +264,11 @@
             token_floor: Token { term: self.term, sequence: self.sequence },
             ..acked.clone()
         };
-        work::note(16 * input.slots.len());
-        let moves: BTreeMap<Unit, Option<u16>> =
+        work::add_entries(16 * input.slots.len());
+        let moves: BTreeMap<MoveUnit, Option<u16>> =
             proposal.moves.iter().rev().map(|it| (it.unit, it.to)).collect();
         for (at, slot) in input.slots.iter().enumerate() {
-            let owner = moves.get(&Unit::Slot(slot.slot)).copied().unwrap_or(slot.owner);
+            let owner = moves.get(&MoveUnit::Slot(slot.slot)).copied().unwrap_or(slot.owner);
             let mut successors = proposal.successors.get(at).cloned().unwrap_or_default();
             let row = &self.table.slots[at];
             let holder = row.holder.grant().and_then(|it| members.index(&it.member));
@@ -279,7 +279,7 @@
             plan.slots.push(PlanSlot { slot: slot.slot, owner, successors });
         }
         for key in &input.keys {
-            let owner = moves.get(&Unit::Key(key.key_hash)).copied().unwrap_or(key.owner);
+            let owner = moves.get(&MoveUnit::Key(key.key_hash)).copied().unwrap_or(key.owner);
             let Some(mut entry) = self.next_key(key.key_hash, owner, members, proposal) else {
                 continue;
             };
@@ -352,7 +352,7 @@
     lives: impl Iterator<Item = &'a Instance>,
 ) {
     for life in lives {
-        let known = members.iter().position(|it| is_same(it, life));
+        let known = members.iter().position(|it| is_same_incarnation(it, life));
         let at = known.unwrap_or_else(|| {
             members.push(life.clone());
             members.len() - 1
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Event, HeldKey, HeldSlot, Holding, Message, Renew, Report, SessionId,
-    ctx::{Ctx, MemberId, is_same},
+    ctx::{Ctx, MemberId, is_same_incarnation},
 };
 
 use super::{
@@ -48,10 +48,10 @@
         }
         let mut row = MemberRow::new(from, renew, ctx.now);
         let times = self.object.acked().times;
-        row.lease_until = ctx.now + times.elsewhere(times.lease());
+        row.lease_until = ctx.now + times.with_drift_margin(times.lease());
         // Of its own former session a coordinator knows that it is over: it ends with its lease. An
         // earlier term may have given that too, but not any more once its leases have run out.
-        let own = is_same(from, ctx.me()) && self.succession.is_outlasted();
+        let own = is_same_incarnation(from, ctx.own_instance()) && self.succession.is_outlasted();
         let ends_at = own.then(|| self.own_until.max(ctx.now));
         let version = self.bump_routes();
         self.members.insert(id.clone(), row, ends_at, version);
@@ -132,7 +132,8 @@
         self.config = self.config.max(renew.config);
         if let Some(load) = &renew.load {
             match ctx.config.ordered {
-                true => self.take_loads(&id, &load.clone().by_slot(ctx.config.slot_count)),
+                true => self
+                    .take_loads(&id, &load.clone().attribute_keys_to_slots(ctx.config.slot_count)),
                 false => self.take_loads(&id, load),
             }
         }
--- a/crates/ownership/src/coordinator/runs.rs
+++ b/crates/ownership/src/coordinator/runs.rs
@@ -7,7 +7,7 @@
 use model::{Instance, Timestamp};
 
 use crate::{
-    ctx::is_same_seat,
+    ctx::is_same_agent,
     rules::{self, Rule},
 };
 
@@ -67,10 +67,11 @@
 
     /// Whether some may go on at another upstream than the one beside this instance.
     pub(crate) fn any_elsewhere(&self, now: Timestamp, than: &Instance) -> bool {
-        self.lives(now).any(|it| !is_same_seat(it, than)) && is_waited_for()
+        self.lives(now).any(|it| !is_same_agent(it, than)) && is_waited_for()
     }
 }
 
 fn is_waited_for() -> bool {
-    rules::holds(Rule::WaitForEarlierRuns) && rules::holds(Rule::ClearEarlierLives)
+    rules::is_enforced(Rule::WaitForEarlierRequests)
+        && rules::is_enforced(Rule::ClearEarlierIncarnations)
 }
--- a/crates/ownership/src/coordinator/seats.rs
+++ b/crates/ownership/src/coordinator/seats.rs
@@ -11,8 +11,8 @@
 use model::{Instance, Slot, Timestamp, Token};
 
 use crate::{
-    Command, OwnLease,
-    ctx::{Ctx, MemberId, is_same, is_same_seat},
+    Command, CoordinatorLease,
+    ctx::{Ctx, MemberId, is_same_agent, is_same_incarnation},
     rules::{self, Rule},
     work,
 };
@@ -35,7 +35,7 @@
 }
 
 fn is_earlier_life(it: &Instance, of: &Instance) -> bool {
-    is_same_seat(it, of) && !is_same(it, of)
+    is_same_agent(it, of) && !is_same_incarnation(it, of)
 }
 
 impl Coordination {
@@ -45,7 +45,7 @@
     /// They are asked no earlier than the first plan of this term is acknowledged: whoever answers was
     /// alive after the plan of the earlier terms was read, so every life that this names came before it.
     pub(super) fn ask_to_clear(&mut self, ctx: &Ctx<'_>) {
-        let enforced = ctx.config.keyed && ctx.limits().own_lease == OwnLease::Whole;
+        let enforced = ctx.config.keyed && ctx.limits().coordinator_lease == CoordinatorLease::Full;
         if !enforced || self.plan.acked().is_none() {
             return;
         }
@@ -58,7 +58,7 @@
                 row.earlier_sessions = EarlierSessions::Clearing { token };
                 row.command(Command::Clear { token });
             }
-            if !rules::holds(Rule::ClearEarlierLives) {
+            if !rules::is_enforced(Rule::ClearEarlierIncarnations) {
                 self.earlier_lives_cleared(ctx.now, &id);
             }
         }
@@ -103,11 +103,11 @@
     /// What an earlier term has granted to a member may also be at work from earlier lives of that member, or
     /// from earlier sessions, where the plan that was found names them.
     pub(super) fn keep_runs_beside_holders(&mut self, ctx: &Ctx<'_>, slots: &[Slot]) {
-        let enforced = ctx.limits().own_lease == OwnLease::Whole;
+        let enforced = ctx.limits().coordinator_lease == CoordinatorLease::Full;
         if !enforced || self.succession.is_outlasted() || self.plan.acked().is_none() {
             return;
         }
-        work::note(slots.len());
+        work::add_entries(slots.len());
         let holder = |it: &Grant| self.members.rows.get(&it.member).map(|it| &it.instance);
         let earlier = |it: &&Grant| it.token.term != self.term;
         let lost = |it: &Instance| !self.succession.has_vouched(&MemberId::from(it));
@@ -118,7 +118,7 @@
                 continue;
             };
             let lives = self.plan.slot_lives(*slot);
-            let beside = lives.filter(|it| is_same_seat(it, holder) && lost(it));
+            let beside = lives.filter(|it| is_same_agent(it, holder) && lost(it));
             row.runs.add_all(&EarlierRuns::of_earlier_terms(beside, end));
         }
         for (key_hash, row) in &mut self.table.keys {
@@ -127,7 +127,7 @@
             };
             let by_slot = self.plan.slot_lives(self.table.slot_count.slot_of(*key_hash));
             let lives = self.plan.key_lives(*key_hash).chain(by_slot);
-            let beside = lives.filter(|it| is_same_seat(it, holder) && lost(it));
+            let beside = lives.filter(|it| is_same_agent(it, holder) && lost(it));
             row.runs.add_all(&EarlierRuns::of_earlier_terms(beside, end));
         }
     }
@@ -136,7 +136,7 @@
     pub(super) fn next_to_runs(&self, now: Timestamp, row: &SlotRow) -> Option<&MemberId> {
         let life = row.runs.lives(now).next()?;
         let mut able = self.members.rows.iter().filter(|(_, it)| it.is_eligible());
-        let (id, member) = able.find(|(_, it)| is_same_seat(&it.instance, life))?;
+        let (id, member) = able.find(|(_, it)| is_same_agent(&it.instance, life))?;
         (!row.runs.any_elsewhere(now, &member.instance)).then_some(id)
     }
 
@@ -149,7 +149,7 @@
     pub(super) fn heirs(&self) -> Heirs {
         let cleared = self.members.rows.iter().filter(|(_, row)| row.is_heir());
         let planned = self.plan.acked().map_or(&[][..], |it| it.members.as_slice());
-        work::note(cleared.clone().count() * planned.len() / 4);
+        work::add_entries(cleared.clone().count() * planned.len() / 4);
         let pairs = cleared.flat_map(|(id, row)| {
             let earlier = planned.iter().filter(|it| is_earlier_life(it, &row.instance));
             earlier.map(|it| (MemberId::from(it), id.clone()))
--- a/crates/ownership/src/coordinator/slots.rs
+++ b/crates/ownership/src/coordinator/slots.rs
@@ -51,7 +51,8 @@
 
     /// Whether it may be granted, on proof asked for at `proved_at`.
     pub(crate) fn is_free(&self, proved_at: Timestamp) -> bool {
-        let proved = |it: Timestamp| it <= proved_at || !rules::holds(Rule::ProofAfterLapse);
+        let proved =
+            |it: Timestamp| it <= proved_at || !rules::is_enforced(Rule::ProveTermAfterLapse);
         matches!(self, Holder::Nobody { lapsed_at } if lapsed_at.is_none_or(proved))
     }
 
@@ -176,7 +177,7 @@
         then: impl Fn(&Grant) -> Holder,
     ) -> usize {
         let of = |it: &Grant| it.member == *member && it.session == session;
-        work::note(self.slots.len());
+        work::add_entries(self.slots.len());
         let mut ended = 0;
         for row in &mut self.slots {
             let Some(grant) = row.holder.grant().filter(|it| of(it)) else { continue };
@@ -201,7 +202,7 @@
     ) {
         let id = MemberId::from(member);
         let of = |it: Option<&Grant>| it.is_some_and(|it| it.member == id && it.session == session);
-        work::note(self.slots.len());
+        work::add_entries(self.slots.len());
         for row in self.slots.iter_mut().filter(|it| of(it.holder.grant())) {
             row.runs.add(now, member, until);
         }
@@ -211,7 +212,7 @@
     }
 
     pub(crate) fn outlast_earlier_terms(&mut self) {
-        work::note(self.slots.len() / 4);
+        work::add_entries(self.slots.len() / 4);
         self.slots.iter_mut().for_each(|it| it.runs.outlast_earlier_terms());
         self.keys.values_mut().for_each(|it| it.runs.outlast_earlier_terms());
     }
@@ -219,7 +220,7 @@
     /// Whether everything is granted, and nothing is on its way.
     pub(crate) fn is_at_rest(&self) -> bool {
         let held = |it: &Holder| it.grant().is_some_and(|it| !it.closing);
-        work::note(self.slots.len() / 4);
+        work::add_entries(self.slots.len() / 4);
         let slots = self.slots.iter().all(|row| row.handover.is_none() && held(&row.holder));
         let at_rest = |it: &KeyHolder| match it {
             KeyHolder::Slot => true,
@@ -232,7 +233,7 @@
     /// Whether a session holds anything or is about to.
     pub(crate) fn concerns(&self, member: &MemberId) -> bool {
         let of = |it: Option<&Grant>| it.is_some_and(|it| it.member == *member);
-        work::note(self.slots.len());
+        work::add_entries(self.slots.len());
         let slots = self.slots.iter().any(|row| {
             of(row.holder.grant()) || row.handover.as_ref().is_some_and(|it| it.to == *member)
         });
--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -8,8 +8,8 @@
 use model::{Instance, Timestamp};
 
 use crate::{
-    Confirmation, Coordinator, OwnLease, TermTimes,
-    ctx::{MemberId, is_same, is_same_seat},
+    Confirmation, Coordinator, CoordinatorLease, TermTimes,
+    ctx::{MemberId, is_same_agent, is_same_incarnation},
     rules::{self, Rule},
 };
 
@@ -31,7 +31,7 @@
     /// The time of all leases that earlier terms gave has passed.
     outlasted: bool,
     /// How long the earlier coordinator may have held its own.
-    own_lease: OwnLease,
+    coordinator_lease: CoordinatorLease,
     /// A later life of the agent that held the earlier term was there at this time.
     replaced_at: Option<Timestamp>,
 }
@@ -61,7 +61,7 @@
     pub(crate) fn new(
         now: Timestamp,
         former: Option<&Coordinator>,
-        own_lease: OwnLease,
+        coordinator_lease: CoordinatorLease,
     ) -> Succession {
         let predecessor = former.map(|it| Predecessor {
             holder: it.holder.clone(),
@@ -79,7 +79,7 @@
             runs_end: BTreeMap::new(),
             settled,
             outlasted: settled,
-            own_lease,
+            coordinator_lease,
             replaced_at: None,
         }
     }
@@ -95,7 +95,9 @@
     /// a member goes on with the other may have granted anew.
     pub(crate) fn may_be_contested(&self, now: Timestamp) -> bool {
         let former = self.predecessor.as_ref().filter(|it| it.history_lost);
-        former.is_some_and(|it| now < self.acquired_at + it.times.elsewhere(it.unknown_ends()))
+        former.is_some_and(|it| {
+            now < self.acquired_at + it.times.with_drift_margin(it.unknown_ends())
+        })
     }
 
     fn history_lost(&self) -> bool {
@@ -107,7 +109,7 @@
     pub(crate) fn follows(&mut self, now: Timestamp, agent: &Instance) {
         let former = self.predecessor.as_ref().filter(|it| it.settled && !it.history_lost);
         let Some(holder) = former.and_then(|it| it.holder.as_ref()) else { return };
-        if is_same_seat(holder, agent) && !is_same(holder, agent) {
+        if is_same_agent(holder, agent) && !is_same_incarnation(holder, agent) {
             self.replaced_at.get_or_insert(now);
         }
     }
@@ -135,7 +137,7 @@
             return false;
         }
         let over = self.leases_end(confirm).is_some_and(|it| now >= it);
-        self.outlasted = over || !rules::holds(Rule::WaitForLeases);
+        self.outlasted = over || !rules::is_enforced(Rule::WaitForLeases);
         if self.settled {
             return false;
         }
@@ -153,7 +155,8 @@
         let knows_times = self.predecessor.as_ref().is_none_or(|it| it.settled && !it.history_lost);
         if knows_times {
             let earlier = self.predecessor.as_ref().map(|it| it.times);
-            let ends = earlier.into_iter().chain([times]).map(|it| it.elsewhere(it.lease()));
+            let ends =
+                earlier.into_iter().chain([times]).map(|it| it.with_drift_margin(it.lease()));
             let end = joined_at + ends.max().unwrap_or_default();
             self.runs_end.insert(member.clone(), end);
         }
@@ -197,7 +200,7 @@
         };
         // A term that had not settled may have left even earlier ones at work: what its holder has may be
         // from those, and lasts longer than its own confirmation tells.
-        let knows_holder = former.settled || !rules::holds(Rule::HeedSettled);
+        let knows_holder = former.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
         named.into_iter().all(|it| {
             let was_holder = knows_holder
                 && former.holder.as_ref().is_some_and(|holder| MemberId::from(holder) == *it);
@@ -209,10 +212,12 @@
     fn holder_ended(&self, now: Timestamp, confirm: &Confirm) -> bool {
         let Some(former) = &self.predecessor else { return true };
         let times = former.times;
-        let lease = match self.own_lease {
-            OwnLease::Confirmation => Duration::ZERO,
-            OwnLease::Whole if rules::holds(Rule::WaitForOwnLease) => times.lease(),
-            OwnLease::Whole => Duration::ZERO,
+        let lease = match self.coordinator_lease {
+            CoordinatorLease::Confirmation => Duration::ZERO,
+            CoordinatorLease::Full if rules::is_enforced(Rule::WaitForCoordinatorLease) => {
+                times.lease()
+            }
+            CoordinatorLease::Full => Duration::ZERO,
         };
         let by_witnesses = times.confirmation() + lease;
         let by_platform = times.platform_confirmation() + lease;
@@ -225,16 +230,16 @@
         let times = former.times;
         let lease = times.lease();
         if former.history_lost {
-            return Some(self.acquired_at + times.elsewhere(former.unknown_ends() + lease));
+            return Some(self.acquired_at + times.with_drift_margin(former.unknown_ends() + lease));
         }
-        let earlier_ended = former.settled || !rules::holds(Rule::HeedSettled);
+        let earlier_ended = former.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
         if former.holder.is_none() && earlier_ended {
-            return Some(self.acquired_at + times.elsewhere(lease));
+            return Some(self.acquired_at + times.with_drift_margin(lease));
         }
         let by_witnesses = times.confirmation() + lease;
         let by_platform = times.platform_confirmation() + lease;
         let silenced = self.silenced(confirm, former, by_witnesses, by_platform);
-        let replaced = self.replaced_at.map(|it| it + times.elsewhere(lease));
+        let replaced = self.replaced_at.map(|it| it + times.with_drift_margin(lease));
         silenced.into_iter().chain(replaced).min()
     }
 
@@ -248,13 +253,15 @@
     ) -> Option<Timestamp> {
         let times = former.times;
         match (former.confirmation, confirm.promised_at()) {
-            (Confirmation::Platform, _) => Some(self.acquired_at + times.elsewhere(by_platform)),
-            (Confirmation::Witnesses, Some(at)) => Some(at + times.elsewhere(by_witnesses)),
+            (Confirmation::Platform, _) => {
+                Some(self.acquired_at + times.with_drift_margin(by_platform))
+            }
+            (Confirmation::Witnesses, Some(at)) => Some(at + times.with_drift_margin(by_witnesses)),
             // No majority: the earlier coordinator ends when it has not reached the platform for
             // the longest time allowed.
             (Confirmation::Witnesses, None) => {
                 let absence = times.platform_absence_max() + by_witnesses;
-                Some(self.acquired_at + times.elsewhere(absence))
+                Some(self.acquired_at + times.with_drift_margin(absence))
             }
         }
     }
--- a/crates/ownership/src/ctx.rs
+++ b/crates/ownership/src/ctx.rs
@@ -22,13 +22,13 @@
 }
 
 /// Whether two values name the same incarnation of an instance, whatever its addresses.
-pub(crate) fn is_same(a: &Instance, b: &Instance) -> bool {
+pub(crate) fn is_same_incarnation(a: &Instance, b: &Instance) -> bool {
     a.incarnation == b.incarnation && a.name == b.name
 }
 
 /// Whether two values name lives of one agent, perhaps different ones: two processes are never bound to
 /// one address at a time, so the earlier life has ended.
-pub(crate) fn is_same_seat(a: &Instance, b: &Instance) -> bool {
+pub(crate) fn is_same_agent(a: &Instance, b: &Instance) -> bool {
     a.name == b.name && a.control == b.control
 }
 
@@ -39,12 +39,12 @@
     pub(crate) rng: &'a mut Pcg64Mcg,
     pub(crate) last_call: &'a mut CallId,
     /// Messages from this node to itself, taken in within the same step.
-    pub(crate) local: &'a mut VecDeque<Message>,
+    pub(crate) self_messages: &'a mut VecDeque<Message>,
     pub(crate) out: &'a mut Vec<Output>,
 }
 
 impl<'a> Ctx<'a> {
-    pub(crate) fn me(&self) -> &'a Instance {
+    pub(crate) fn own_instance(&self) -> &'a Instance {
         &self.config.instance
     }
 
@@ -53,17 +53,17 @@
     }
 
     pub(crate) fn send(&mut self, to: &Instance, message: Message) {
-        if is_same(to, self.me()) {
-            self.local.push_back(message);
+        if is_same_incarnation(to, self.own_instance()) {
+            self.self_messages.push_back(message);
         } else {
             self.out.push(Output::Send { to: to.clone(), message });
         }
     }
 
     /// Sends to whichever life of the peer is there by now.
-    pub(crate) fn send_to_seat(&mut self, to: &Instance, message: Message) {
-        if is_same_seat(to, self.me()) {
-            self.local.push_back(message);
+    pub(crate) fn send_to_agent(&mut self, to: &Instance, message: Message) {
+        if is_same_agent(to, self.own_instance()) {
+            self.self_messages.push_back(message);
         } else {
             self.out.push(Output::SendToAddress { to: to.clone(), message });
         }
@@ -77,7 +77,7 @@
         self.out.push(Output::Gate(command));
     }
 
-    pub(crate) fn call(&mut self, request: PlatformRequest) -> CallId {
+    pub(crate) fn call_platform(&mut self, request: PlatformRequest) -> CallId {
         self.last_call.0 += 1;
         let call = *self.last_call;
         self.out.push(Output::Platform { call, request });
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -26,10 +26,10 @@
 
 pub use coordinator::GROUP_MEMBERS_MAX;
 pub use input::{Input, KeyLoad, LoadReport, PlatformReply, SlotLoad, UpstreamState};
-pub use limits::{FenceCheck, Limits, OwnLease};
+pub use limits::{CoordinatorLease, FenceCheck, Limits};
 pub use message::{
-    Command, HeldKey, HeldSlot, Holding, MemberNumber, MemberStanding, Message, Renew, Renewed,
-    Report, RouteKey, RouteMember, RouteMemberChange, RouteRun, Routes, SessionId,
+    Command, HeldKey, HeldSlot, Holding, MemberNumber, MemberStatus, Message, Renew, Renewed,
+    Report, RouteKey, RouteMember, RouteMemberChange, RouteRange, Routes, SessionId,
 };
 pub use node::{MemberView, Node, NodeConfig, NodeView, OwnerView};
 pub use object::{Confirmation, Coordinator, HotKey, Plan, PlanSlot, TermTimes};
--- a/crates/ownership/src/limits.rs
+++ b/crates/ownership/src/limits.rs
@@ -12,12 +12,12 @@
 
 /// How long a coordinator may hold what it has granted itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnLease {
+pub enum CoordinatorLease {
     /// While it is confirmed: its slots are free again as soon as it can't be any more.
     Confirmation,
     /// A lease from when it is confirmed, like any other member: for upstreams that end what outlasts
     /// the grant under which it began.
-    Whole,
+    Full,
 }
 
 /// What the document allows. The settings check them against each other.
@@ -48,7 +48,7 @@
     /// 0 spares churn above all, 1 spares unavailable time above all.
     pub availability_weight: f64,
     pub fence: FenceCheck,
-    pub own_lease: OwnLease,
+    pub coordinator_lease: CoordinatorLease,
 }
 
 impl Default for Limits {
@@ -67,7 +67,7 @@
             churn_per_minute_max: 0.10,
             availability_weight: 0.5,
             fence: FenceCheck::Unchecked,
-            own_lease: OwnLease::Confirmation,
+            coordinator_lease: CoordinatorLease::Confirmation,
         }
     }
 }
--- a/crates/ownership/src/load.rs
+++ b/crates/ownership/src/load.rs
@@ -32,13 +32,13 @@
             slots: slots.into_values().collect(),
             keys: keys.into_values().collect(),
         }
-        .bounded()
+        .keep_heaviest()
     }
 
     /// The same with the load of its keys counted to their slots. Where keys have an order, none has an
     /// entry of its own, and a stretch of busy neighbours shows in the loads of its slots or nowhere: of
     /// a report over 1 s with 30 requests, the 16 heaviest keys may carry most.
-    pub(crate) fn by_slot(self, slot_count: SlotCount) -> LoadReport {
+    pub(crate) fn attribute_keys_to_slots(self, slot_count: SlotCount) -> LoadReport {
         let mut slots: BTreeMap<_, SlotLoad> = self.slots.iter().map(|it| (it.slot, *it)).collect();
         for it in &self.keys {
             let slot = slot_count.slot_of(it.key_hash);
@@ -49,7 +49,7 @@
     }
 
     /// Keeps the heaviest entries only.
-    pub(crate) fn bounded(mut self) -> LoadReport {
+    pub(crate) fn keep_heaviest(mut self) -> LoadReport {
         self.slots.sort_by_key(|it| std::cmp::Reverse(it.load_us));
         self.slots.truncate(REPORT_SLOTS_MAX);
         self.keys.sort_by_key(|it| std::cmp::Reverse(it.load_us));
--- a/crates/ownership/src/member/holdings.rs
+++ b/crates/ownership/src/member/holdings.rs
@@ -101,10 +101,10 @@
                 ctx.gate(GateCommand::ExcludeKey { key_hash: *key_hash, owner });
                 None
             }
-            Command::ForgetKey { key_hash } => {
+            Command::RemoveKey { key_hash } => {
                 self.excluded.remove(key_hash);
                 self.keys.remove(key_hash);
-                ctx.gate(GateCommand::ForgetKey { key_hash: *key_hash });
+                ctx.gate(GateCommand::RemoveKey { key_hash: *key_hash });
                 None
             }
             Command::CloseKey { key_hash, token, to } => {
@@ -146,7 +146,7 @@
         let slot_count = ctx.config.slot_count;
         let of_slot = |it: &KeyHash| slot_count.slot_of(*it) == slot;
         for key_hash in self.excluded.iter().copied().filter(of_slot) {
-            ctx.gate(GateCommand::ForgetKey { key_hash });
+            ctx.gate(GateCommand::RemoveKey { key_hash });
         }
         self.excluded.retain(|it| !of_slot(it));
         Some(Report::Closed { slot, token })
@@ -167,7 +167,7 @@
         if self.slots.contains_key(&ctx.config.slot_count.slot_of(key_hash)) {
             self.excluded.insert(key_hash);
         } else if !self.excluded.contains(&key_hash) {
-            ctx.gate(GateCommand::ForgetKey { key_hash });
+            ctx.gate(GateCommand::RemoveKey { key_hash });
         }
         Some(Report::KeyClosed { key_hash, token })
     }
--- a/crates/ownership/src/member/mod.rs
+++ b/crates/ownership/src/member/mod.rs
@@ -8,7 +8,7 @@
 use model::{ConfigVersion, Instance, Term, Timestamp};
 
 use crate::{
-    Event, GateCommand, LoadReport, Message, OwnLease, Renew, Renewed, Report, SessionId,
+    CoordinatorLease, Event, GateCommand, LoadReport, Message, Renew, Renewed, Report, SessionId,
     UpstreamState,
     ctx::Ctx,
     rules::{self, Rule},
@@ -16,7 +16,7 @@
 
 use self::holdings::Holdings;
 
-pub(crate) use self::routes::{RouteTable, first_version};
+pub(crate) use self::routes::{RouteTable, first_route_version};
 
 /// Renewals whose answer may still come.
 const SENT_MAX: usize = 64;
@@ -50,7 +50,7 @@
     pub(crate) group_config: ConfigVersion,
     load: Option<LoadReport>,
     pub(crate) leaving: bool,
-    pub(crate) dismissed: bool,
+    pub(crate) can_stop: bool,
     pub(crate) routes: RouteTable,
 }
 
@@ -73,7 +73,7 @@
             group_config: ConfigVersion(0),
             load: None,
             leaving: false,
-            dismissed: false,
+            can_stop: false,
             routes: RouteTable::default(),
         }
     }
@@ -85,9 +85,9 @@
         }
         // Where upstreams enforce leases, a slot is closed at the latest when its grant has run out.
         let limits = ctx.limits();
-        let close_max = match limits.own_lease {
-            OwnLease::Whole => limits.handover_max.max(limits.lease) + CLOSE_GRACE,
-            OwnLease::Confirmation => limits.handover_max + CLOSE_GRACE,
+        let close_max = match limits.coordinator_lease {
+            CoordinatorLease::Full => limits.handover_max.max(limits.lease) + CLOSE_GRACE,
+            CoordinatorLease::Confirmation => limits.handover_max + CLOSE_GRACE,
         };
         if self.holdings.closing_longer_than(close_max, ctx.now) {
             self.end_session(ctx, "handover timed out");
@@ -191,7 +191,7 @@
         }
         self.adopted = true;
         self.group_config = self.group_config.max(answer.config);
-        while self.first_report <= answer.heard && self.reports.pop_front().is_some() {
+        while self.first_report <= answer.last_report && self.reports.pop_front().is_some() {
             self.first_report += 1;
         }
         for (number, command) in (answer.first_command..).zip(&answer.commands) {
@@ -204,8 +204,8 @@
         if let Some(routes) = &answer.routes {
             self.routes.apply(answer.term, routes);
         }
-        if answer.dismissed && self.leaving && self.holdings.is_empty() {
-            self.dismissed = true;
+        if answer.can_stop && self.leaving && self.holdings.is_empty() {
+            self.can_stop = true;
         }
         if !self.reports.is_empty() {
             self.next_renewal = self.next_renewal.min(ctx.now + ctx.limits().renew_every / 4);
@@ -223,7 +223,7 @@
         let sent = self.sent.iter().find(|it| it.sequence == answer.sequence);
         let until = match own_until {
             Some(own) => Some(own),
-            None if !rules::holds(Rule::LeaseFromSending) => Some(ctx.now + lease),
+            None if !rules::is_enforced(Rule::LeaseFromSendTime) => Some(ctx.now + lease),
             None => sent.map(|it| it.at + lease),
         };
         let former = self.lease_until;
--- a/crates/ownership/src/member/routes.rs
+++ b/crates/ownership/src/member/routes.rs
@@ -4,7 +4,7 @@
 
 use model::{Instance, KeyHash, Slot, Term, Token};
 
-use crate::{MemberNumber, MemberStanding, MemberView, OwnerView, Routes, work};
+use crate::{MemberNumber, MemberStatus, MemberView, OwnerView, Routes, work};
 
 #[derive(Debug, Clone)]
 struct Owner {
@@ -23,7 +23,7 @@
 }
 
 /// The first route version of a term, so that versions rise over all terms.
-pub(crate) fn first_version(term: Term) -> u64 {
+pub(crate) fn first_route_version(term: Term) -> u64 {
     term.0 << 32
 }
 
@@ -31,18 +31,18 @@
     /// Takes changes in, unless some before them are missing here. The changes since a version
     /// of an earlier term are the whole table.
     pub(crate) fn apply(&mut self, term: Term, routes: &Routes) {
-        let whole = routes.since < first_version(term);
+        let whole = routes.since < first_route_version(term);
         if routes.version <= self.version || (!whole && routes.since > self.version) {
             return;
         }
-        if self.version < first_version(term) {
+        if self.version < first_route_version(term) {
             self.keys.clear();
         }
         self.apply_members(whole, routes);
         let members = &self.members;
         let instance = |it: MemberNumber| members.get(&it).map(|it| it.instance.clone());
         for it in &routes.slots {
-            work::note(usize::from(it.last.0 - it.first.0) + 1 + it.successors.len());
+            work::add_entries(usize::from(it.last.0 - it.first.0) + 1 + it.successors.len());
             let owner = Owner {
                 owner: it.owner.and_then(instance),
                 token: it.token,
@@ -67,18 +67,18 @@
         if whole {
             self.members.clear();
         }
-        for number in &routes.gone {
+        for number in &routes.removed {
             self.members.remove(number);
         }
         for it in &routes.joined {
-            let MemberStanding { state, load_us_per_s, config } = it.standing;
+            let MemberStatus { state, load_us_per_s, config } = it.status;
             let instance = it.instance.clone();
             let view = MemberView { instance, state, load_us_per_s, config };
             self.members.insert(it.number, view);
         }
         for it in &routes.changed {
             let Some(view) = self.members.get_mut(&it.number) else { continue };
-            let MemberStanding { state, load_us_per_s, config } = it.standing;
+            let MemberStatus { state, load_us_per_s, config } = it.status;
             *view = MemberView { state, load_us_per_s, config, instance: view.instance.clone() };
         }
     }
@@ -96,7 +96,7 @@
             token: it.owner.is_some().then_some(it.token),
             successors: it.successors.clone(),
         };
-        work::note(4 * self.slots.len());
+        work::add_entries(4 * self.slots.len());
         let slots = self.slots.iter().map(|(slot, it)| view(*slot, None, it));
         let keys = self.keys.iter().map(|(key, it)| view(slot_of(*key), Some(*key), it));
         slots.chain(keys).collect()
--- a/crates/ownership/src/message/mod.rs
+++ b/crates/ownership/src/message/mod.rs
@@ -23,14 +23,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
     /// Ask any member of the group who coordinates it.
-    WhoCoordinates {
+    CoordinatorQuery {
         term: Term,
     },
     /// The answer to that, and how long ago the sender last heard from the coordinator.
-    Coordinates {
+    CoordinatorReply {
         term: Term,
         coordinator: Option<Instance>,
-        silent_ms: u32,
+        silence_ms: u32,
     },
     /// The sender holds this term: say what you hold (with [`Message::Renew`]).
     Announce {
@@ -41,12 +41,12 @@
         term: Term,
     },
     /// Ask a witness whether it has heard of a higher term.
-    Question {
+    WitnessQuery {
         term: Term,
         number: u64,
     },
     /// The highest term that the witness has heard of; it will confirm no lower one.
-    Answer {
+    WitnessReply {
         term: Term,
         number: u64,
         /// Whether it has read the platform's object since it started, and so knows of every term that
@@ -74,12 +74,12 @@
 impl Message {
     pub fn term(&self) -> Term {
         match self {
-            Message::WhoCoordinates { term }
-            | Message::Coordinates { term, .. }
+            Message::CoordinatorQuery { term }
+            | Message::CoordinatorReply { term, .. }
             | Message::Announce { term }
             | Message::Released { term }
-            | Message::Question { term, .. }
-            | Message::Answer { term, .. }
+            | Message::WitnessQuery { term, .. }
+            | Message::WitnessReply { term, .. }
             | Message::SessionEnded { term, .. }
             | Message::NotCoordinator { term, .. }
             | Message::JoinRefused { term } => *term,
@@ -171,7 +171,7 @@
     pub sequence: u64,
     pub lease_ms: u32,
     /// The last report that has been heard.
-    pub heard: u64,
+    pub last_report: u64,
     /// The number of the first of `commands`.
     pub first_command: u64,
     pub commands: Vec<Command>,
@@ -180,7 +180,7 @@
     /// The highest version of the document that any member has in force.
     pub config: ConfigVersion,
     /// The member holds nothing and will be given nothing.
-    pub dismissed: bool,
+    pub can_stop: bool,
 }
 
 /// What a member is to do.
@@ -207,7 +207,7 @@
         key_hash: KeyHash,
         owner: Instance,
     },
-    ForgetKey {
+    RemoveKey {
         key_hash: KeyHash,
     },
     CloseKey {
@@ -233,11 +233,11 @@
     /// The receiver's version once these have been taken in.
     pub version: u64,
     /// Numbers that name nobody any more; taken in before all else, for a later member may have one of them.
-    pub gone: Vec<MemberNumber>,
+    pub removed: Vec<MemberNumber>,
     pub joined: Vec<RouteMember>,
     /// Members that have joined before, and have changed.
     pub changed: Vec<RouteMemberChange>,
-    pub slots: Vec<RouteRun>,
+    pub slots: Vec<RouteRange>,
     pub keys: Vec<RouteKey>,
 }
 
@@ -250,19 +250,19 @@
 pub struct RouteMember {
     pub number: MemberNumber,
     pub instance: Instance,
-    pub standing: MemberStanding,
+    pub status: MemberStatus,
 }
 
 /// A member that the receiver knows, as its coordinator last heard of it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteMemberChange {
     pub number: MemberNumber,
-    pub standing: MemberStanding,
+    pub status: MemberStatus,
 }
 
 /// What may change of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MemberStanding {
+pub struct MemberStatus {
     pub state: UpstreamState,
     pub load_us_per_s: u64,
     pub config: ConfigVersion,
@@ -270,7 +270,7 @@
 
 /// Who owns neighbouring slots.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RouteRun {
+pub struct RouteRange {
     pub first: Slot,
     pub last: Slot,
     pub owner: Option<MemberNumber>,
@@ -279,10 +279,10 @@
     pub successors: Vec<MemberNumber>,
 }
 
-impl RouteRun {
+impl RouteRange {
     /// Takes the next run in if it goes on where this one ends and all else is the same; says whether it
     /// did.
-    pub(crate) fn extend(&mut self, next: &RouteRun) -> bool {
+    pub(crate) fn try_extend(&mut self, next: &RouteRange) -> bool {
         let alike = self.last.0.checked_add(1) == Some(next.first.0)
             && self.owner == next.owner
             && self.token == next.token
--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -21,26 +21,26 @@
         self.learn_from(ctx, from, &message);
         self.heard(ctx, from);
         let known = self.known.term;
-        let earlier = message.term() < known && !rules::holds(Rule::RefuseEarlierTerms);
+        let earlier = message.term() < known && !rules::is_enforced(Rule::RefuseEarlierTerms);
         let of_coordinator = earlier || (message.term() == known && self.is_coordinator(from));
         if of_coordinator {
             self.known.in_person = true;
         }
         match message {
-            Message::WhoCoordinates { .. } => self.tell_coordinator(ctx, from),
-            Message::Coordinates { term, silent_ms, coordinator } if term == known => {
-                self.coordinator_heard_by_other(ctx, coordinator.as_ref(), silent_ms);
+            Message::CoordinatorQuery { .. } => self.tell_coordinator(ctx, from),
+            Message::CoordinatorReply { term, silence_ms, coordinator } if term == known => {
+                self.coordinator_heard_by_other(ctx, coordinator.as_ref(), silence_ms);
             }
-            Message::Coordinates { .. } => {}
-            Message::Question { number, .. } => {
+            Message::CoordinatorReply { .. } => {}
+            Message::WitnessQuery { number, .. } => {
                 let has_read = self.takeover.has_read();
-                ctx.send(from, Message::Answer { term: known, number, has_read });
+                ctx.send(from, Message::WitnessReply { term: known, number, has_read });
             }
             Message::Renew(_) if self.coordination.is_none() => {
                 let coordinator = self.known.coordinator.clone();
                 ctx.send(from, Message::NotCoordinator { term: known, coordinator });
             }
-            message @ (Message::Renew(_) | Message::Answer { .. }) => {
+            message @ (Message::Renew(_) | Message::WitnessReply { .. }) => {
                 if let Some(coordination) = &mut self.coordination {
                     coordination.message(ctx, from, &message);
                 }
@@ -66,7 +66,7 @@
             Message::JoinRefused { .. } => {
                 self.known.heard_at = ctx.now;
                 Member::retry_after(&mut self.member, ctx.now + JOIN_AGAIN_AFTER);
-                ctx.event(Event::JoinRefused { member: ctx.me().clone() });
+                ctx.event(Event::JoinRefused { member: ctx.own_instance().clone() });
             }
         }
     }
@@ -75,15 +75,15 @@
     fn learn_from(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
         let coordinator = match message {
             Message::Announce { .. }
-            | Message::Question { .. }
+            | Message::WitnessQuery { .. }
             | Message::Renewed(_)
             | Message::SessionEnded { .. }
             | Message::JoinRefused { .. } => Some(from),
-            Message::Coordinates { coordinator, .. }
+            Message::CoordinatorReply { coordinator, .. }
             | Message::NotCoordinator { coordinator, .. } => coordinator.as_ref(),
-            Message::WhoCoordinates { .. }
+            Message::CoordinatorQuery { .. }
             | Message::Released { .. }
-            | Message::Answer { .. }
+            | Message::WitnessReply { .. }
             | Message::Renew(_) => None,
         };
         self.learn(ctx, message.term(), coordinator);
@@ -91,10 +91,10 @@
 
     fn tell_coordinator(&mut self, ctx: &mut Ctx<'_>, to: &Instance) {
         let silent = ctx.now.since(self.known.heard_at);
-        let message = Message::Coordinates {
+        let message = Message::CoordinatorReply {
             term: self.known.term,
             coordinator: self.known.coordinator.clone(),
-            silent_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
+            silence_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
         };
         ctx.send(to, message);
     }
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -15,7 +15,7 @@
 use crate::{
     CallId, Event, Input, Limits, Output, PlatformReply, Report,
     coordinator::{Acquired, Coordination, NextTerm, TermState},
-    ctx::{Ctx, is_same},
+    ctx::{Ctx, is_same_incarnation},
     member::Member,
 };
 
@@ -133,7 +133,7 @@
         if self.stop.is_done() {
             return;
         }
-        let mut local = VecDeque::new();
+        let mut self_messages = VecDeque::new();
         let paused = now.since(self.last_step) > self.config.limits.pause_max;
         self.last_step = now;
         if let Input::Limits(limits) = input {
@@ -146,7 +146,7 @@
             config: &config,
             rng: &mut self.rng.clone(),
             last_call: &mut self.last_call.clone(),
-            local: &mut local,
+            self_messages: &mut self_messages,
             out,
         };
         if paused {
@@ -155,7 +155,7 @@
         self.member.expire(&mut ctx);
         self.input(&mut ctx, input);
         self.extend_own_lease(&mut ctx);
-        while let Some(message) = ctx.local.pop_front() {
+        while let Some(message) = ctx.self_messages.pop_front() {
             self.message(&mut ctx, &config.instance, message);
             self.extend_own_lease(&mut ctx);
         }
@@ -293,7 +293,7 @@
         let members = self.member.routes.members().map(|it| it.instance.clone());
         let known = members.chain(self.known.coordinator.clone()).collect();
         self.lose_term(ctx);
-        let coordinator = Some(ctx.me().clone());
+        let coordinator = Some(ctx.own_instance().clone());
         self.known = Known::new(term, coordinator, ctx.now);
         self.member.follow_term(ctx.now);
         self.coordination = Some(Coordination::new(ctx, acquired, known));
@@ -312,7 +312,8 @@
 
     /// A higher term has been heard of, or who holds the one that is known.
     fn learn(&mut self, ctx: &mut Ctx<'_>, term: Term, coordinator: Option<&Instance>) {
-        let coordinator = coordinator.filter(|it| !is_same(it, ctx.me())).cloned();
+        let coordinator =
+            coordinator.filter(|it| !is_same_incarnation(it, ctx.own_instance())).cloned();
         if term > self.known.term {
             self.known = Known::new(term, coordinator, ctx.now);
             self.takeover.again = false;
@@ -332,7 +333,7 @@
     }
 
     fn is_coordinator(&self, instance: &Instance) -> bool {
-        self.known.coordinator.as_ref().is_some_and(|it| is_same(it, instance))
+        self.known.coordinator.as_ref().is_some_and(|it| is_same_incarnation(it, instance))
     }
 
     /// Brings a view up to date; owners and members are made anew only if they have changed.
--- a/crates/ownership/src/node/stop.rs
+++ b/crates/ownership/src/node/stop.rs
@@ -51,7 +51,7 @@
         }
         let empty = self.member.holdings.is_empty();
         let alone = self.known.coordinator.is_none() || !self.member.has_lease();
-        if self.member.dismissed || (empty && alone && waited > ALONE_FOR) || gave_up {
+        if self.member.can_stop || (empty && alone && waited > ALONE_FOR) || gave_up {
             self.stopped(ctx);
         }
     }
@@ -60,8 +60,8 @@
     fn stop_coordinating(&mut self, ctx: &mut Ctx<'_>, gave_up: bool) {
         let Some(coordination) = &mut self.coordination else { return };
         let own_part_done =
-            self.member.holdings.is_empty() && (self.member.dismissed || !self.member.has_lease());
-        let others_done = !coordination.others_leave(ctx.me());
+            self.member.holdings.is_empty() && (self.member.can_stop || !self.member.has_lease());
+        let others_done = !coordination.others_leave(ctx.own_instance());
         let ready = own_part_done && others_done;
         if !ready && !gave_up {
             return;
--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -7,7 +7,7 @@
 use crate::{
     CallId, Confirmation, Coordinator, Message, Plan, PlatformReply, PlatformRequest, TermTimes,
     coordinator::{Acquired, Carried, NextTerm},
-    ctx::{Ctx, MemberId, is_same, is_same_seat},
+    ctx::{Ctx, MemberId, is_same_agent, is_same_incarnation},
 };
 
 use super::Node;
@@ -130,7 +130,7 @@
         }
         let idle = matches!(self.takeover.step, Step::Idle);
         if idle && self.takeover.next_try <= ctx.now && self.is_time_to_take_over(ctx) {
-            self.takeover.step = Step::Reading(ctx.call(PlatformRequest::ReadCoordinator));
+            self.takeover.step = Step::Reading(ctx.call_platform(PlatformRequest::ReadCoordinator));
         }
     }
 
@@ -158,13 +158,13 @@
     /// Whether another life of an agent is known to be there in its place.
     fn is_replaced(&self, ctx: &Ctx<'_>, former: &Instance) -> bool {
         let heard = self.takeover.heard.iter().map(|it| &it.0);
-        let mut lives = heard.chain([ctx.me()]);
-        lives.any(|it| is_same_seat(it, former) && !is_same(it, former))
+        let mut lives = heard.chain([ctx.own_instance()]);
+        lives.any(|it| is_same_agent(it, former) && !is_same_incarnation(it, former))
     }
 
     /// The order in which members try.
     fn rank(&self, ctx: &Ctx<'_>) -> u32 {
-        let me = MemberId::from(ctx.me());
+        let me = MemberId::from(ctx.own_instance());
         let others = self.member.routes.members().map(|it| &it.instance);
         let others = others.filter(|it| !self.is_coordinator(it));
         let mut ids: Vec<MemberId> = others.map(MemberId::from).collect();
@@ -182,17 +182,17 @@
             return;
         }
         self.takeover.next_ask = ctx.now + ASK_EVERY;
-        let me = ctx.me();
+        let me = ctx.own_instance();
         let members: Vec<&Instance> = self.member.routes.members().map(|it| &it.instance).collect();
-        let own_place = members.iter().position(|it| is_same(it, me)).unwrap_or(0);
+        let own_place = members.iter().position(|it| is_same_incarnation(it, me)).unwrap_or(0);
         let behind = members.iter().cycle().skip(own_place + 1);
         let members = behind.take(members.len().min(ASKED_MAX)).copied();
         let mut asked: Vec<&Instance> = vec![me];
         let others = members.chain(&ctx.config.peers).chain(&self.takeover.witnesses);
         for it in others.chain(&self.known.coordinator) {
-            if !asked.iter().any(|known| is_same_seat(known, it)) {
+            if !asked.iter().any(|known| is_same_agent(known, it)) {
                 asked.push(it);
-                ctx.send_to_seat(it, Message::WhoCoordinates { term: self.known.term });
+                ctx.send_to_agent(it, Message::CoordinatorQuery { term: self.known.term });
             }
         }
     }
@@ -206,7 +206,7 @@
             self.takeover.doublings = 0;
         }
         let heard = &mut self.takeover.heard;
-        match heard.iter_mut().find(|it| is_same(&it.0, from)) {
+        match heard.iter_mut().find(|it| is_same_incarnation(&it.0, from)) {
             Some(it) => it.1 = ctx.now,
             None => {
                 heard.retain(|it| ctx.now.since(it.1) < HEARD_WITHIN);
@@ -219,10 +219,10 @@
     /// Whether a majority of the witnesses can be reached, or has been replaced.
     fn reaches_majority(&self, ctx: &Ctx<'_>, witnesses: &[Instance]) -> bool {
         let reached = |witness: &&Instance| {
-            let here = |it: &Instance| is_same_seat(it, witness);
+            let here = |it: &Instance| is_same_agent(it, witness);
             let mut heard = self.takeover.heard.iter();
-            is_same(witness, ctx.me())
-                || here(ctx.me())
+            is_same_incarnation(witness, ctx.own_instance())
+                || here(ctx.own_instance())
                 || heard.any(|it| here(&it.0) && ctx.now.since(it.1) < HEARD_WITHIN)
         };
         2 * witnesses.iter().filter(reached).count() > witnesses.len()
@@ -257,10 +257,10 @@
         &mut self,
         ctx: &Ctx<'_>,
         coordinator: Option<&Instance>,
-        silent_ms: u32,
+        silence_ms: u32,
     ) {
         let after = ctx.limits().takeover_after;
-        let silent = Duration::from_millis(silent_ms.into());
+        let silent = Duration::from_millis(silence_ms.into());
         if silent < after && coordinator.is_some_and(|it| self.is_coordinator(it)) {
             let until = ctx.now + (after - silent);
             self.takeover.refrain_until = self.takeover.refrain_until.max(until);
@@ -290,7 +290,7 @@
                 self.coordinator_read(ctx, *version, object);
             }
             (Step::Reading(_), PlatformReply::Coordinator(version, None)) => {
-                let call = ctx.call(PlatformRequest::ReadPlan);
+                let call = ctx.call_platform(PlatformRequest::ReadPlan);
                 self.takeover.step = Step::ReadingPlan(call, *version);
             }
             (Step::ReadingPlan(_, version), PlatformReply::Plan(_, plan)) => {
@@ -354,7 +354,7 @@
         let lost = LOST_TERMS * (version.era() - object.era.min(version.era()));
         let attempt = Coordinator {
             term: Term(object.term.max(self.known.term).0 + 1 + lost),
-            holder: Some(ctx.me().clone()),
+            holder: Some(ctx.own_instance().clone()),
             nonce: ctx.nonce(),
             settled: false,
             era: version.era(),
@@ -384,7 +384,7 @@
             service: ctx.config.service.clone(),
             group: ctx.config.group,
             term: Term(term.0 + 1),
-            holder: Some(ctx.me().clone()),
+            holder: Some(ctx.own_instance().clone()),
             nonce: ctx.nonce(),
             witnesses: Vec::new(),
             confirmation: Confirmation::Platform,
@@ -408,7 +408,7 @@
     ) {
         let request = PlatformRequest::UpdateCoordinator { expected, object: object.clone() };
         let attempt = Attempt { object, former, found, sent_at: ctx.now };
-        self.takeover.step = Step::Updating(ctx.call(request), Box::new(attempt));
+        self.takeover.step = Step::Updating(ctx.call_platform(request), Box::new(attempt));
     }
 
     fn won(&mut self, ctx: &mut Ctx<'_>, attempt: Attempt, version: ObjectVersion) {
--- a/crates/ownership/src/output.rs
+++ b/crates/ownership/src/output.rs
@@ -56,11 +56,11 @@
     /// A hot key of this slot is owned elsewhere: refuse it though the slot is admitted.
     ExcludeKey { key_hash: KeyHash, owner: Instance },
     /// The hot key follows its slot again.
-    ForgetKey { key_hash: KeyHash },
+    RemoveKey { key_hash: KeyHash },
     /// Admit no more requests of this key, whether it has an entry of its own or follows its slot;
     /// finish what is in flight, hand its records to `to`, then give
     /// [`crate::Input::KeyClosed`]. The key stays refused until [`GateCommand::AdmitKey`] or
-    /// [`GateCommand::ForgetKey`].
+    /// [`GateCommand::RemoveKey`].
     CloseKey { key_hash: KeyHash, token: Token, to: Option<Instance> },
     /// Admit no more requests of this slot, finish what is in flight, hand its records to `to`,
     /// then give [`crate::Input::Closed`].
--- a/crates/ownership/src/planner/board.rs
+++ b/crates/ownership/src/planner/board.rs
@@ -2,7 +2,7 @@
 
 use model::Slot;
 
-use super::{Move, PlannerInput, Unit};
+use super::{Move, MoveUnit, PlannerInput};
 use crate::MoveReason;
 
 /// A slot without measured load counts as this share of the mean slot, so that idle slots are
@@ -88,7 +88,7 @@
                 load: seen(it.load_us_per_s) + idle,
                 keys_load: 0.0,
                 key_load_max: 0.0,
-                is_settled: it.settled_until <= input.now,
+                is_settled: it.movable_from <= input.now,
             })
             .collect();
         let key = |it: &super::PlannerKey| KeyPlace {
@@ -160,7 +160,7 @@
         let load = self.slots[slot].whole_load();
         let from = self.slots[slot].owner.replace(to);
         self.shift(from, Some(to), load);
-        Move { unit: Unit::Slot(Slot(slot as u16)), from, to: Some(to), reason }
+        Move { unit: MoveUnit::Slot(Slot(slot as u16)), from, to: Some(to), reason }
     }
 
     /// `to` none: the key follows its slot from now on.
@@ -176,7 +176,7 @@
         }
         self.slots[slot].key_load_max = self.heaviest_following(slot);
         self.shift(from, self.key_owner(key), load);
-        let unit = Unit::Key(self.input.keys[key].key_hash);
+        let unit = MoveUnit::Key(self.input.keys[key].key_hash);
         Move { unit, from, to, reason }
     }
 
--- a/crates/ownership/src/planner/mod.rs
+++ b/crates/ownership/src/planner/mod.rs
@@ -36,7 +36,7 @@
     /// Smoothed load, in microseconds of upstream time a second, without its hot keys.
     pub load_us_per_s: f64,
     /// The slot may not move before this time (hysteresis).
-    pub settled_until: Timestamp,
+    pub movable_from: Timestamp,
 }
 
 /// A key with, or worth, an entry of its own.
@@ -68,7 +68,7 @@
 
 /// What is to move: a whole slot, or one hot key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Unit {
+pub enum MoveUnit {
     Slot(Slot),
     Key(KeyHash),
 }
@@ -76,9 +76,9 @@
 /// One move, most urgent first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
-    pub unit: Unit,
+    pub unit: MoveUnit,
     pub from: Option<u16>,
-    /// None only for [`Unit::Key`]: the key follows its slot again.
+    /// None only for [`MoveUnit::Key`]: the key follows its slot again.
     pub to: Option<u16>,
     pub reason: MoveReason,
 }
--- a/crates/ownership/src/planner/ranges.rs
+++ b/crates/ownership/src/planner/ranges.rs
@@ -6,7 +6,7 @@
 
 use model::Slot;
 
-use super::{Move, PlannerInput, Proposal, SUCCESSOR_COUNT, Unit};
+use super::{Move, MoveUnit, PlannerInput, Proposal, SUCCESSOR_COUNT};
 use crate::{MoveReason, work};
 
 /// A slot counts as this share of the mean slot besides its load, so that idle slots are shared out
@@ -136,7 +136,7 @@
     /// Runs of slots that belong to `owner`.
     fn runs(&self, owner: Option<u16>) -> Vec<Run> {
         let mut runs: Vec<Run> = Vec::new();
-        work::note(self.owners.len() / 8);
+        work::add_entries(self.owners.len() / 8);
         for slot in (0..self.owners.len()).filter(|it| self.owners[*it] == owner) {
             match runs.last_mut() {
                 Some(run) if run.end == slot => run.end += 1,
@@ -309,7 +309,7 @@
     }
 
     fn is_free(&self, slot: usize, overrun: bool) -> bool {
-        let rests = self.input.slots[slot].settled_until > self.input.now;
+        let rests = self.input.slots[slot].movable_from > self.input.now;
         !self.relieved[slot] && (overrun || !rests)
     }
 
@@ -328,7 +328,7 @@
         let moved = slots.filter(|(at, it)| it.owner != self.owners[*at]);
         moved
             .map(|(at, it)| Move {
-                unit: Unit::Slot(Slot(at as u16)),
+                unit: MoveUnit::Slot(Slot(at as u16)),
                 from: it.owner,
                 to: self.owners[at],
                 reason: match it.owner {
@@ -347,7 +347,7 @@
         let mut successors = vec![Vec::new(); self.owners.len()];
         for owner in &self.able {
             let others = self.heirs(*owner);
-            work::note(self.owners.len() / 8);
+            work::add_entries(self.owners.len() / 8);
             let slots: Vec<usize> =
                 (0..self.owners.len()).filter(|it| self.owners[*it] == Some(*owner)).collect();
             for (at, slot) in slots.iter().enumerate() {
--- a/crates/ownership/src/planner/relief.rs
+++ b/crates/ownership/src/planner/relief.rs
@@ -5,7 +5,7 @@
 use model::Slot;
 
 use super::{
-    Move, Unit,
+    Move, MoveUnit,
     board::{Board, MemberLoad, SlotPlace},
 };
 
@@ -48,8 +48,8 @@
 
     pub(super) fn is_moved(self, board: &Board<'_>, moves: &[Move]) -> bool {
         let unit = match self {
-            Item::Slot(it) => Unit::Slot(Slot(it as u16)),
-            Item::Key(it) => Unit::Key(board.input.keys[it].key_hash),
+            Item::Slot(it) => MoveUnit::Slot(Slot(it as u16)),
+            Item::Key(it) => MoveUnit::Key(board.input.keys[it].key_hash),
         };
         moves.iter().any(|it| it.unit == unit)
     }
--- a/crates/ownership/src/planner/tests/mod.rs
+++ b/crates/ownership/src/planner/tests/mod.rs
@@ -9,7 +9,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::{Move, PlannerInput, PlannerKey, PlannerMember, PlannerSlot, Proposal, Unit, propose};
+use super::{
+    Move, MoveUnit, PlannerInput, PlannerKey, PlannerMember, PlannerSlot, Proposal, propose,
+};
 use crate::{Limits, MoveReason};
 
 /// Loads in these tests are in hundredths of a request in flight.
@@ -26,7 +28,7 @@
         owner: owner(index),
         successors: Vec::new(),
         load_us_per_s: *load * LOAD_US_PER_S,
-        settled_until: Timestamp::ZERO,
+        movable_from: Timestamp::ZERO,
     };
     PlannerInput {
         now: Timestamp::from_ms(1000),
@@ -48,12 +50,12 @@
         assert!(units.insert(it.unit), "{:?} moves twice", it.unit);
         assert!(it.to.is_none_or(|to| input.members[usize::from(to)].weight > 0.0));
         match it.unit {
-            Unit::Slot(slot) => {
+            MoveUnit::Slot(slot) => {
                 let slot = &mut next.slots[usize::from(slot.0)];
                 assert_eq!(slot.owner, it.from);
                 slot.owner = Some(it.to.expect("a slot moves to a member"));
             }
-            Unit::Key(hash) => {
+            MoveUnit::Key(hash) => {
                 let key = next.keys.iter_mut().find(|it| it.key_hash == hash).unwrap();
                 key.owner = it.to;
             }
@@ -88,7 +90,7 @@
 }
 
 fn slot_moves(proposal: &Proposal) -> usize {
-    proposal.moves.iter().filter(|it| matches!(it.unit, Unit::Slot(_))).count()
+    proposal.moves.iter().filter(|it| matches!(it.unit, MoveUnit::Slot(_))).count()
 }
 
 /// Checks a property on the same random inputs each time.
@@ -160,7 +162,7 @@
 fn a_slot_that_has_just_moved_stays() {
     let mut it = input(2, &[100.0; 20], |_| Some(0));
     for slot in &mut it.slots {
-        slot.settled_until = it.now + Duration::from_secs(1);
+        slot.movable_from = it.now + Duration::from_secs(1);
     }
     assert_eq!(propose(&it).moves, []);
 }
@@ -172,7 +174,9 @@
     let load_us_per_s = 6000.0 * LOAD_US_PER_S;
     it.keys.push(PlannerKey { key_hash, owner: None, successors: Vec::new(), load_us_per_s });
     let proposal = propose(&it);
-    assert!(proposal.moves.iter().all(|it| it.from == Some(0) && it.unit != Unit::Key(key_hash)));
+    assert!(
+        proposal.moves.iter().all(|it| it.from == Some(0) && it.unit != MoveUnit::Key(key_hash))
+    );
     let next = apply(&it, &proposal);
     assert_eq!(next.slots[0].owner, Some(0));
     let loads = loads(&next);
@@ -214,7 +218,7 @@
     it.keys[5].load_us_per_s = 20.0 * LOAD_US_PER_S;
     it.keys.push(entry(70, 2, 20.0));
     let proposal = propose(&it);
-    let dropped = [70, 1, 0].map(|slot| Unit::Key(key_in(96, slot)));
+    let dropped = [70, 1, 0].map(|slot| MoveUnit::Key(key_in(96, slot)));
     assert_eq!(proposal.moves.iter().map(|it| it.unit).collect::<Vec<_>>(), dropped);
     assert!(proposal.moves.iter().all(|it| it.to.is_none()));
     assert_eq!(proposal.key_successors.len(), 65);
@@ -228,8 +232,8 @@
     let mut it = input(4, &loads, |it| Some(owner(it)));
     it.limits.availability_weight = availability_weight;
     let load = |it: &Move| match it.unit {
-        Unit::Slot(slot) => loads[usize::from(slot.0)],
-        Unit::Key(_) => unreachable!("there are no hot keys"),
+        MoveUnit::Slot(slot) => loads[usize::from(slot.0)],
+        MoveUnit::Key(_) => unreachable!("there are no hot keys"),
     };
     propose(&it).moves.iter().map(load).collect()
 }
@@ -344,10 +348,9 @@
         }
         let with_entry = next.keys.iter().filter(|it| it.owner.is_some());
         assert_eq!(with_entry.count(), proposal.key_successors.len());
-        let rebalanced = proposal
-            .moves
-            .iter()
-            .filter(|it| it.reason == MoveReason::Rebalance && matches!(it.unit, Unit::Slot(_)));
+        let rebalanced = proposal.moves.iter().filter(|it| {
+            it.reason == MoveReason::Rebalance && matches!(it.unit, MoveUnit::Slot(_))
+        });
         rebalanced.count() as f64 / it.slots.len() as f64 <= it.churn_left
     }
     seeded(property as fn(u64) -> bool);
--- a/crates/ownership/src/planner/tests/ranges.rs
+++ b/crates/ownership/src/planner/tests/ranges.rs
@@ -137,7 +137,7 @@
 fn a_hot_stretch_that_was_moved_as_a_whole_is_cut_all_the_same() {
     let mut fleet = large_with_a_hot_stretch();
     for slot in &mut fleet.slots[1204..1217] {
-        slot.settled_until = fleet.now + std::time::Duration::from_secs(10);
+        slot.movable_from = fleet.now + std::time::Duration::from_secs(10);
     }
     let (next, _) = step(&fleet);
     assert!(owners_of_the_stretch(&next) >= 12, "{} owners", owners_of_the_stretch(&next));
--- a/crates/ownership/src/rules.rs
+++ b/crates/ownership/src/rules.rs
@@ -8,32 +8,32 @@
     /// A new coordinator waits until the leases of earlier terms have ended.
     WaitForLeases,
     /// A term that had not settled may have left earlier ones at work.
-    HeedSettled,
+    AccountForUnsettledTerms,
     /// An update without an answer may have taken effect.
-    DoubtLostAnswers,
+    AssumeUnansweredUpdateApplied,
     /// What lapsed is granted anew only on proof, asked for later, that there is no later term.
-    ProofAfterLapse,
+    ProveTermAfterLapse,
     /// A member counts its lease from when it sent the renewal.
-    LeaseFromSending,
+    LeaseFromSendTime,
     /// A member follows no earlier term than the highest it has heard of.
     RefuseEarlierTerms,
     /// A coordinator's own lease is shortened before witnesses confirm it.
-    CapOwnLease,
+    CapCoordinatorLease,
     /// A successor waits for a lost coordinator's own lease where that outlasts its confirmation.
-    WaitForOwnLease,
+    WaitForCoordinatorLease,
     /// A later life of a witness counts only once it has read the platform.
-    ReadBeforeWitnessing,
+    ReadObjectBeforeWitnessing,
     /// A coordinator renews only while it is confirmed.
-    RenewConfirmed,
+    RenewOnlyWhileConfirmed,
     /// Earlier lives of an agent count as ended only once the upstream beside it has been cleared.
-    ClearEarlierLives,
+    ClearEarlierIncarnations,
     /// What an upstream was cleared of goes to others only when the earlier leases have run out.
-    WaitForEarlierRuns,
+    WaitForEarlierRequests,
     /// The new owner is granted a slot when the old one has closed it.
     WaitForClose,
     /// An upstream has given a slot up only when its runs have ended.
     #[cfg(any(test, feature = "sim"))]
-    WaitForWork,
+    WaitForRequestsInFlight,
 }
 
 #[cfg(test)]
@@ -43,16 +43,16 @@
 
 /// Breaks one rule, or none, in this thread.
 #[cfg(test)]
-pub(crate) fn break_rule(rule: Option<Rule>) {
+pub(crate) fn disable_rule(rule: Option<Rule>) {
     BROKEN.set(rule);
 }
 
 #[cfg(test)]
-pub(crate) fn holds(rule: Rule) -> bool {
+pub(crate) fn is_enforced(rule: Rule) -> bool {
     BROKEN.get() != Some(rule)
 }
 
 #[cfg(not(test))]
-pub(crate) const fn holds(_rule: Rule) -> bool {
+pub(crate) const fn is_enforced(_rule: Rule) -> bool {
     true
 }
--- a/crates/ownership/src/sim/costs.rs
+++ b/crates/ownership/src/sim/costs.rs
@@ -107,7 +107,7 @@
 
 fn routes_bytes(routes: &Routes) -> u64 {
     let members = routes.joined.len() as u64 * INSTANCE_BYTES
-        + (routes.changed.len() + routes.gone.len()) as u64 * COMMAND_BYTES;
+        + (routes.changed.len() + routes.removed.len()) as u64 * COMMAND_BYTES;
     let names: u64 = routes.slots.iter().map(|it| it.successors.len() as u64).sum();
     members + routes.slots.len() as u64 * RUN_BYTES + names * NAME_BYTES
 }
--- a/crates/ownership/src/sim/drive.rs
+++ b/crates/ownership/src/sim/drive.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     GateCommand, Input, KeyLoad, LoadReport, Message, Output, PlatformReply, PlatformRequest,
-    SlotLoad, UpstreamState, ctx::is_same, work,
+    SlotLoad, UpstreamState, ctx::is_same_incarnation, work,
 };
 
 use super::{Happening, PLATFORM_TIMEOUT, Sim, TICK_EVERY, costs};
@@ -20,7 +20,9 @@
             Happening::Tick { host, life } => self.tick(host, life),
             Happening::Deliver { to, life, from, message } => {
                 let here = self.hosts[to].instance.clone();
-                if self.hosts[to].life == life && is_same(&here, &self.hosts[to].instance) {
+                if self.hosts[to].life == life
+                    && is_same_incarnation(&here, &self.hosts[to].instance)
+                {
                     self.input(to, Input::Message { from, message: *message });
                 }
             }
@@ -81,7 +83,7 @@
             keys.map(|it| KeyLoad { key_hash: *it.0, load_us: share(*it.1) }).collect();
         let total = slots.iter().map(|it| it.load_us).sum::<u64>()
             + keys.iter().map(|it| it.load_us).sum::<u64>();
-        LoadReport { period_ms, total_us: total, slots, keys }.bounded()
+        LoadReport { period_ms, total_us: total, slots, keys }.keep_heaviest()
     }
 
     /// What the gate and the upstream do in their own time also goes on in a pause of the agent's
@@ -110,10 +112,10 @@
         let Some(node) = &mut self.hosts[host].node else { return };
         let mut out = Vec::new();
         let bytes = costs::input_bytes(&input);
-        work::take();
+        work::take_entries();
         node.step(clock, input, &mut out);
         if let Some(machine) = self.config.machine {
-            let took = machine.step(bytes, work::take(), &out);
+            let took = machine.step(bytes, work::take_entries(), &out);
             return self.keep_busy(host, took, out);
         }
         match self.hosts[host].pause_next_step_ms.take_if(|_| !out.is_empty()) {
@@ -176,7 +178,8 @@
             self.note_output(host, &output);
             match output {
                 Output::Send { to, message } => {
-                    let at = self.hosts.iter().position(|it| is_same(&it.instance, &to));
+                    let at =
+                        self.hosts.iter().position(|it| is_same_incarnation(&it.instance, &to));
                     self.send(host, at, message);
                 }
                 Output::SendToAddress { to, message } => {
--- a/crates/ownership/src/sim/gate.rs
+++ b/crates/ownership/src/sim/gate.rs
@@ -36,7 +36,7 @@
             GateCommand::ExcludeKey { key_hash, .. } => {
                 self.excluded.insert(*key_hash);
             }
-            GateCommand::ForgetKey { key_hash } => {
+            GateCommand::RemoveKey { key_hash } => {
                 self.excluded.remove(key_hash);
                 self.keys.remove(key_hash);
             }
--- a/crates/ownership/src/sim/random.rs
+++ b/crates/ownership/src/sim/random.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::{Limits, OwnLease, UpstreamState};
+use crate::{CoordinatorLease, Limits, UpstreamState};
 
 use super::{Fault, Sim, SimConfig, Violation};
 
@@ -93,7 +93,7 @@
         platform_confirmation: Duration::from_millis(1000),
         takeover_after: Duration::from_millis(700),
         pause_max: Duration::from_millis(400),
-        own_lease: OwnLease::Whole,
+        coordinator_lease: CoordinatorLease::Full,
         ..Limits::default()
     }
 }
--- a/crates/ownership/src/sim/truth.rs
+++ b/crates/ownership/src/sim/truth.rs
@@ -4,7 +4,7 @@
 
 use model::{KeyHash, Slot, SlotCount, Timestamp, Token};
 
-use crate::{GateCommand, OwnLease};
+use crate::{CoordinatorLease, GateCommand};
 
 use super::{Sim, host::Host};
 
@@ -125,7 +125,7 @@
             let it = &self.hosts[host];
             it.clock(now) < it.gate.lease_until
         };
-        let enforced = self.config.limits.own_lease == OwnLease::Whole;
+        let enforced = self.config.limits.coordinator_lease == CoordinatorLease::Full;
         if enforced && *command == GateCommand::DropAll {
             self.hosts[host].leave_over();
             self.cut_work(host);
@@ -148,7 +148,7 @@
                 self.truth.key_grants += 1;
                 self.check_key(host, *key_hash);
             }
-            GateCommand::ForgetKey { key_hash } => {
+            GateCommand::RemoveKey { key_hash } => {
                 self.check_key(host, *key_hash);
             }
             GateCommand::Lease { .. } if !had_lease => {
--- a/crates/ownership/src/sim/upstream.rs
+++ b/crates/ownership/src/sim/upstream.rs
@@ -91,7 +91,9 @@
 
     /// Whether an answer of a gate waits for work of the upstream; it is given later.
     pub(super) fn is_delayed(&mut self, host: usize, answer: &Input) -> bool {
-        if !self.hosts[host].delays(self.now, answer) || !rules::holds(Rule::WaitForWork) {
+        if !self.hosts[host].delays(self.now, answer)
+            || !rules::is_enforced(Rule::WaitForRequestsInFlight)
+        {
             return false;
         }
         let (life, input) = (self.hosts[host].life, Box::new(answer.clone()));
--- a/crates/ownership/src/tests/clear.rs
+++ b/crates/ownership/src/tests/clear.rs
@@ -8,8 +8,9 @@
 };
 
 use crate::{
-    Command, Coordinator, GateCommand, Holding, Input, Limits, Message, Node, NodeConfig, Output,
-    OwnLease, PlatformReply, PlatformRequest, Renew, Renewed, Report, SessionId, UpstreamState,
+    Command, Coordinator, CoordinatorLease, GateCommand, Holding, Input, Limits, Message, Node,
+    NodeConfig, Output, PlatformReply, PlatformRequest, Renew, Renewed, Report, SessionId,
+    UpstreamState,
 };
 
 const TICK: Duration = Duration::from_millis(20);
@@ -51,7 +52,8 @@
 
 impl Harness {
     fn new(instance: Instance) -> Harness {
-        let limits = Limits { lease: LEASE, own_lease: OwnLease::Whole, ..Limits::default() };
+        let limits =
+            Limits { lease: LEASE, coordinator_lease: CoordinatorLease::Full, ..Limits::default() };
         let config = NodeConfig {
             instance,
             service: ServiceName::new("service").unwrap(),
@@ -207,12 +209,12 @@
         session: renewal.session,
         sequence: renewal.sequence,
         lease_ms: LEASE.as_millis() as u32,
-        heard: 0,
+        last_report: 0,
         first_command: 1,
         commands,
         routes: None,
         config: ConfigVersion(1),
-        dismissed: false,
+        can_stop: false,
     };
     member.hear(leader(), Message::Renewed(Box::new(answer)));
     member
--- a/crates/ownership/src/tests/loads.rs
+++ b/crates/ownership/src/tests/loads.rs
@@ -27,7 +27,7 @@
         ],
         keys: keys.collect(),
     };
-    let by_slot = report.by_slot(slot_count);
+    let by_slot = report.attribute_keys_to_slots(slot_count);
     let load = |slot: u16| {
         let found = by_slot.slots.iter().find(|it| it.slot == Slot(slot));
         found.map_or(0, |it| it.load_us)
--- a/crates/ownership/src/tests/order.rs
+++ b/crates/ownership/src/tests/order.rs
@@ -5,7 +5,7 @@
 use model::{Slot, SlotCount};
 
 use crate::{
-    GROUP_MEMBERS_MAX, Limits, OwnLease,
+    CoordinatorLease, GROUP_MEMBERS_MAX, Limits,
     sim::{Fault, Sim, SimConfig},
 };
 
@@ -212,7 +212,7 @@
         platform_confirmation: Duration::from_secs(1),
         takeover_after: Duration::from_millis(700),
         pause_max: Duration::from_millis(400),
-        own_lease: OwnLease::Whole,
+        coordinator_lease: CoordinatorLease::Full,
         ..Limits::default()
     };
     let mut sim = Sim::new(SimConfig { ordered: true, limits, ..config });
--- a/crates/ownership/src/tests/routes.rs
+++ b/crates/ownership/src/tests/routes.rs
@@ -5,8 +5,8 @@
 };
 
 use crate::{
-    MemberNumber, MemberStanding, RouteMember, RouteMemberChange, RouteRun, Routes, UpstreamState,
-    member::{RouteTable, first_version},
+    MemberNumber, MemberStatus, RouteMember, RouteMemberChange, RouteRange, Routes, UpstreamState,
+    member::{RouteTable, first_route_version},
 };
 
 const TERM: Term = Term(3);
@@ -23,16 +23,16 @@
     }
 }
 
-fn standing(state: UpstreamState) -> MemberStanding {
-    MemberStanding { state, load_us_per_s: 0, config: ConfigVersion(1) }
+fn status(state: UpstreamState) -> MemberStatus {
+    MemberStatus { state, load_us_per_s: 0, config: ConfigVersion(1) }
 }
 
 fn joined(number: MemberNumber, name: &str) -> RouteMember {
-    RouteMember { number, instance: instance(name), standing: standing(UpstreamState::Ready) }
+    RouteMember { number, instance: instance(name), status: status(UpstreamState::Ready) }
 }
 
-fn run(first: u16, last: u16, owner: MemberNumber) -> RouteRun {
-    RouteRun {
+fn run(first: u16, last: u16, owner: MemberNumber) -> RouteRange {
+    RouteRange {
         first: Slot(first),
         last: Slot(last),
         owner: Some(owner),
@@ -45,7 +45,7 @@
 fn table() -> RouteTable {
     let mut table = RouteTable::default();
     let whole = Routes {
-        version: first_version(TERM) + 1,
+        version: first_route_version(TERM) + 1,
         joined: vec![joined(FIRST, "a"), joined(SECOND, "b")],
         slots: vec![run(0, 0, FIRST), run(1, 1, SECOND)],
         ..Routes::default()
@@ -71,7 +71,7 @@
     let changes = Routes {
         since: version,
         version: version + 2,
-        gone: vec![SECOND],
+        removed: vec![SECOND],
         joined: vec![joined(SECOND, "c")],
         slots: vec![run(1, 1, SECOND)],
         ..Routes::default()
@@ -85,7 +85,7 @@
 fn a_change_keeps_who_a_member_is() {
     let mut table = table();
     let version = table.version;
-    let change = RouteMemberChange { number: FIRST, standing: standing(UpstreamState::Draining) };
+    let change = RouteMemberChange { number: FIRST, status: status(UpstreamState::Draining) };
     let changes =
         Routes { since: version, version: version + 1, changed: vec![change], ..Routes::default() };
     table.apply(TERM, &changes);
@@ -98,8 +98,12 @@
 fn changes_with_some_missing_before_them_are_not_taken_in() {
     let mut table = table();
     let version = table.version;
-    let changes =
-        Routes { since: version + 1, version: version + 2, gone: vec![FIRST], ..Routes::default() };
+    let changes = Routes {
+        since: version + 1,
+        version: version + 2,
+        removed: vec![FIRST],
+        ..Routes::default()
+    };
     table.apply(TERM, &changes);
     assert_eq!((names(&table).len(), table.version), (2, version));
 }
@@ -108,7 +112,7 @@
 fn the_whole_table_of_a_later_term_forgets_the_members_of_the_one_before() {
     let mut table = table();
     let whole = Routes {
-        version: first_version(Term(4)) + 1,
+        version: first_route_version(Term(4)) + 1,
         joined: vec![joined(FIRST, "d")],
         slots: vec![run(0, 1, FIRST)],
         ..Routes::default()
--- a/crates/ownership/src/tests/sabotage.rs
+++ b/crates/ownership/src/tests/sabotage.rs
@@ -3,7 +3,7 @@
 use std::{ops::RangeInclusive, panic, time::Duration};
 
 use crate::{
-    rules::{Rule, break_rule},
+    rules::{Rule, disable_rule},
     sim::{RunReport, Shape, Violation, random_run},
 };
 
@@ -26,9 +26,9 @@
 
 /// Whether the truth, or an assertion inside of the program, sees something wrong.
 fn is_seen(rule: Rule, shape: &Shape) -> bool {
-    break_rule(Some(rule));
+    disable_rule(Some(rule));
     let report = panic::catch_unwind(|| random_run(shape));
-    break_rule(None);
+    disable_rule(None);
     report.map_or(true, |it| it.violation.is_some())
 }
 
@@ -45,14 +45,14 @@
 #[test]
 fn no_wait_for_a_coordinators_own_lease_is_seen() {
     let ordered = |seed| Shape { ordered: true, ..shape(seed) };
-    let seen = (1..=200).any(|it| is_seen(Rule::WaitForOwnLease, &ordered(it)));
+    let seen = (1..=200).any(|it| is_seen(Rule::WaitForCoordinatorLease, &ordered(it)));
     assert!(seen, "the rule was broken in 200 runs, and nothing was seen");
 }
 
 #[test]
 fn an_earlier_life_taken_as_ended_before_its_upstream_is_cleared_is_seen() {
     let restarting = |seed| Shape { ordered: true, agents_restart: true, ..shape(seed) };
-    let seen = (1..=2000).any(|it| is_seen(Rule::ClearEarlierLives, &restarting(it)));
+    let seen = (1..=2000).any(|it| is_seen(Rule::ClearEarlierIncarnations, &restarting(it)));
     assert!(seen, "the rule was broken in 2000 runs, and nothing was seen");
 }
 
@@ -64,31 +64,31 @@
 /// Breaks a rule in runs with upstreams at work: one has to be granted what another works on.
 fn check_at_work(rule: Rule, agents_restart: bool, runs: u64) {
     let working = |seed| Shape { ordered: true, agents_restart, works: true, ..shape(seed) };
-    break_rule(Some(rule));
+    disable_rule(Some(rule));
     let worked_on = |it: &RunReport| matches!(it.violation, Some(Violation::SlotWorkedOn { .. }));
     let is_seen = (1..=runs).any(|it| worked_on(&random_run(&working(it))));
-    break_rule(None);
+    disable_rule(None);
     assert!(is_seen, "{rule:?} was broken in {runs} runs, and nothing was seen");
 }
 
 #[test]
 fn no_wait_for_running_work_is_seen() {
-    check_at_work(Rule::WaitForWork, false, 10);
+    check_at_work(Rule::WaitForRequestsInFlight, false, 10);
 }
 
 #[test]
 fn no_wait_for_runs_of_earlier_lives_is_seen() {
-    check_at_work(Rule::WaitForEarlierRuns, true, 400);
+    check_at_work(Rule::WaitForEarlierRequests, true, 400);
 }
 
 #[test]
 fn no_proof_after_a_lapse_is_seen() {
-    check(Rule::ProofAfterLapse, 1000);
+    check(Rule::ProveTermAfterLapse, 1000);
 }
 
 #[test]
 fn a_lease_counted_from_the_answer_is_seen() {
-    check(Rule::LeaseFromSending, 1000);
+    check(Rule::LeaseFromSendTime, 1000);
 }
 
 #[test]
@@ -98,16 +98,16 @@
 
 #[test]
 fn renewal_without_confirmation_is_seen() {
-    check(Rule::RenewConfirmed, 100);
+    check(Rule::RenewOnlyWhileConfirmed, 100);
 }
 
 /// Whether a trace, replayed with one of the seeds, shows that the rule is broken. The traces'
 /// own tests show that nothing is seen while it holds.
 fn check_trace(rule: Rule, trace: &str, mut seeds: RangeInclusive<u64>) {
     let is_seen = |seed: &u64| {
-        break_rule(Some(rule));
+        disable_rule(Some(rule));
         let violation = panic::catch_unwind(|| replay(trace, Some(*seed)).sim.violation().cloned());
-        break_rule(None);
+        disable_rule(None);
         violation.map_or(true, |it| it.is_some())
     };
     for seed in seeds.clone() {
@@ -120,23 +120,23 @@
 #[test]
 fn a_lost_answer_of_a_mode_taken_as_not_done_is_seen() {
     let trace = include_str!("../../traces/lost-answer-of-a-mode.trace");
-    check_trace(Rule::DoubtLostAnswers, trace, 1..=5);
+    check_trace(Rule::AssumeUnansweredUpdateApplied, trace, 1..=5);
 }
 
 #[test]
 fn settled_ignored_is_seen() {
     let trace = include_str!("../../traces/release-of-an-unsettled-term.trace");
-    check_trace(Rule::HeedSettled, trace, 1..=5);
+    check_trace(Rule::AccountForUnsettledTerms, trace, 1..=5);
 }
 
 #[test]
 fn a_long_own_lease_is_seen() {
     let trace = include_str!("../../traces/witnesses-at-the-moment-of-a-loss.trace");
-    check_trace(Rule::CapOwnLease, trace, 50..=100);
+    check_trace(Rule::CapCoordinatorLease, trace, 50..=100);
 }
 
 #[test]
 fn a_witness_that_has_forgotten_its_word_is_seen() {
     let trace = include_str!("../../traces/witness-that-has-forgotten.trace");
-    check_trace(Rule::ReadBeforeWitnessing, trace, 1..=20);
+    check_trace(Rule::ReadObjectBeforeWitnessing, trace, 1..=20);
 }
--- a/crates/ownership/src/tests/size.rs
+++ b/crates/ownership/src/tests/size.rs
@@ -5,7 +5,7 @@
 use model::SlotCount;
 
 use crate::{
-    Limits, OwnLease,
+    CoordinatorLease, Limits,
     sim::{Fault, Machine, Sim, SimConfig},
 };
 
@@ -28,7 +28,7 @@
         imbalance_target: 1.3,
         churn_per_minute_max: 0.5,
         platform_absence_max: Duration::from_secs(14),
-        own_lease: OwnLease::Whole,
+        coordinator_lease: CoordinatorLease::Full,
         ..Limits::default()
     };
     SimConfig {
--- a/crates/ownership/src/times.rs
+++ b/crates/ownership/src/times.rs
@@ -60,7 +60,7 @@
 
     /// How long to wait here until `duration` has passed on any other node's clock: the margin
     /// for each started lease length.
-    pub(crate) fn elsewhere(self, duration: Duration) -> Duration {
+    pub(crate) fn with_drift_margin(self, duration: Duration) -> Duration {
         let lease_ms = u128::from(self.lease_ms.max(1));
         let periods = duration.as_millis().div_ceil(lease_ms).max(1);
         let margin_ms = u128::from(self.drift_margin_ms) * periods;
--- a/crates/ownership/src/work.rs
+++ b/crates/ownership/src/work.rs
@@ -10,15 +10,15 @@
 
 /// Notes that so many entries have been gone through.
 #[cfg(any(test, feature = "sim"))]
-pub(crate) fn note(entries: usize) {
+pub(crate) fn add_entries(entries: usize) {
     ENTRIES.set(ENTRIES.get() + entries as u64);
 }
 
 #[cfg(not(any(test, feature = "sim")))]
-pub(crate) const fn note(_entries: usize) {}
+pub(crate) const fn add_entries(_entries: usize) {}
 
 /// How many entries this thread has gone through since it was last asked.
 #[cfg(any(test, feature = "sim"))]
-pub(crate) fn take() -> u64 {
+pub(crate) fn take_entries() -> u64 {
     ENTRIES.take()
 }
--- a/crates/wire/src/control/convert.rs
+++ b/crates/wire/src/control/convert.rs
@@ -7,8 +7,8 @@
 };
 use ownership::{
     Command, GROUP_MEMBERS_MAX, HeldKey, HeldSlot, Holding, KeyLoad, LoadReport, MemberNumber,
-    MemberStanding, Message, Renew, Renewed, Report, RouteKey, RouteMember, RouteMemberChange,
-    RouteRun, Routes, SessionId, SlotLoad, UpstreamState,
+    MemberStatus, Message, Renew, Renewed, Report, RouteKey, RouteMember, RouteMemberChange,
+    RouteRange, Routes, SessionId, SlotLoad, UpstreamState,
 };
 
 use super::{
@@ -118,14 +118,14 @@
     fn from(message: &Message) -> WireMessage {
         let instance = |it: &Option<Instance>| it.as_ref().map(WireInstance::from);
         match message {
-            Message::WhoCoordinates { term } => WireMessage::WhoCoordinates(term.0),
-            Message::Coordinates { term, coordinator, silent_ms } => {
-                WireMessage::Coordinates(term.0, instance(coordinator), *silent_ms)
+            Message::CoordinatorQuery { term } => WireMessage::WhoCoordinates(term.0),
+            Message::CoordinatorReply { term, coordinator, silence_ms } => {
+                WireMessage::Coordinates(term.0, instance(coordinator), *silence_ms)
             }
             Message::Announce { term } => WireMessage::Announce(term.0),
             Message::Released { term } => WireMessage::Released(term.0),
-            Message::Question { term, number } => WireMessage::Question(term.0, *number),
-            Message::Answer { term, number, has_read } => {
+            Message::WitnessQuery { term, number } => WireMessage::Question(term.0, *number),
+            Message::WitnessReply { term, number, has_read } => {
                 WireMessage::Answer(term.0, *number, *has_read)
             }
             Message::Renew(it) => WireMessage::Renew(Box::new(it.as_ref().into())),
@@ -144,17 +144,19 @@
 
     fn try_from(message: WireMessage) -> Result<Message, WireError> {
         Ok(match message {
-            WireMessage::WhoCoordinates(term) => Message::WhoCoordinates { term: Term(term) },
-            WireMessage::Coordinates(term, coordinator, silent_ms) => Message::Coordinates {
+            WireMessage::WhoCoordinates(term) => Message::CoordinatorQuery { term: Term(term) },
+            WireMessage::Coordinates(term, coordinator, silence_ms) => Message::CoordinatorReply {
                 term: Term(term),
                 coordinator: instance(coordinator)?,
-                silent_ms,
+                silence_ms,
             },
             WireMessage::Announce(term) => Message::Announce { term: Term(term) },
             WireMessage::Released(term) => Message::Released { term: Term(term) },
-            WireMessage::Question(term, number) => Message::Question { term: Term(term), number },
+            WireMessage::Question(term, number) => {
+                Message::WitnessQuery { term: Term(term), number }
+            }
             WireMessage::Answer(term, number, has_read) => {
-                Message::Answer { term: Term(term), number, has_read }
+                Message::WitnessReply { term: Term(term), number, has_read }
             }
             WireMessage::Renew(it) => Message::Renew(Box::new((*it).try_into()?)),
             WireMessage::Renewed(it) => Message::Renewed(Box::new((*it).try_into()?)),
@@ -325,12 +327,12 @@
             session: it.session.0,
             sequence: it.sequence,
             lease_ms: it.lease_ms,
-            heard: it.heard,
+            last_report: it.last_report,
             first_command: it.first_command,
             commands: it.commands.iter().map(WireCommand::from).collect(),
             routes: it.routes.as_ref().map(|it| Box::new(it.as_ref().into())),
             config: it.config.0,
-            dismissed: it.dismissed,
+            can_stop: it.can_stop,
         }
     }
 }
@@ -345,12 +347,12 @@
             session: SessionId(it.session),
             sequence: it.sequence,
             lease_ms: it.lease_ms,
-            heard: it.heard,
+            last_report: it.last_report,
             first_command: it.first_command,
             commands: list("commands", STREAM_MAX, it.commands)?,
             routes: routes.map(Arc::new),
             config: ConfigVersion(it.config),
-            dismissed: it.dismissed,
+            can_stop: it.can_stop,
         })
     }
 }
@@ -370,7 +372,7 @@
             Command::ExcludeKey { key_hash, owner } => {
                 WireCommand::ExcludeKey(key_hash.0, owner.into())
             }
-            Command::ForgetKey { key_hash } => WireCommand::ForgetKey(key_hash.0),
+            Command::RemoveKey { key_hash } => WireCommand::ForgetKey(key_hash.0),
             Command::Clear { token } => WireCommand::Clear((*token).into()),
             Command::CloseKey { key_hash, token, to } => {
                 WireCommand::CloseKey(key_hash.0, (*token).into(), instance(to))
@@ -399,7 +401,7 @@
             WireCommand::ExcludeKey(key_hash, owner) => {
                 Command::ExcludeKey { key_hash: KeyHash(key_hash), owner: owner.try_into()? }
             }
-            WireCommand::ForgetKey(key_hash) => Command::ForgetKey { key_hash: KeyHash(key_hash) },
+            WireCommand::ForgetKey(key_hash) => Command::RemoveKey { key_hash: KeyHash(key_hash) },
             WireCommand::Clear(token) => Command::Clear { token: token.into() },
             WireCommand::CloseKey(key_hash, token, to) => Command::CloseKey {
                 key_hash: KeyHash(key_hash),
@@ -413,11 +415,10 @@
 impl From<&Routes> for WireRoutes {
     fn from(it: &Routes) -> WireRoutes {
         let member = |it: &RouteMember| {
-            WireRouteMember(it.number.0, (&it.instance).into(), it.standing.into())
+            WireRouteMember(it.number.0, (&it.instance).into(), it.status.into())
         };
-        let change =
-            |it: &RouteMemberChange| WireRouteMemberChange(it.number.0, it.standing.into());
-        let run = |it: &RouteRun| {
+        let change = |it: &RouteMemberChange| WireRouteMemberChange(it.number.0, it.status.into());
+        let run = |it: &RouteRange| {
             let successors = it.successors.iter().map(|it| it.0).collect();
             let owner = it.owner.map(|it| it.0);
             WireRouteRun(it.first.0, it.last.0, owner, it.token.into(), successors)
@@ -427,7 +428,7 @@
         WireRoutes(
             it.since,
             it.version,
-            it.gone.iter().map(|it| it.0).collect(),
+            it.removed.iter().map(|it| it.0).collect(),
             it.joined.iter().map(member).collect(),
             it.changed.iter().map(change).collect(),
             it.slots.iter().map(run).collect(),
@@ -440,40 +441,38 @@
     type Error = WireError;
 
     fn try_from(it: WireRouteMember) -> Result<RouteMember, WireError> {
-        let WireRouteMember(number, instance, standing) = it;
+        let WireRouteMember(number, instance, status) = it;
         Ok(RouteMember {
             number: MemberNumber(number),
             instance: instance.try_into()?,
-            standing: standing.into(),
+            status: status.into(),
         })
     }
 }
 
 impl From<WireRouteMemberChange> for RouteMemberChange {
-    fn from(WireRouteMemberChange(number, standing): WireRouteMemberChange) -> RouteMemberChange {
-        RouteMemberChange { number: MemberNumber(number), standing: standing.into() }
+    fn from(WireRouteMemberChange(number, status): WireRouteMemberChange) -> RouteMemberChange {
+        RouteMemberChange { number: MemberNumber(number), status: status.into() }
     }
 }
 
-impl From<MemberStanding> for WireMemberStanding {
-    fn from(it: MemberStanding) -> WireMemberStanding {
+impl From<MemberStatus> for WireMemberStanding {
+    fn from(it: MemberStatus) -> WireMemberStanding {
         WireMemberStanding(it.state.into(), it.load_us_per_s, it.config.0)
     }
 }
 
-impl From<WireMemberStanding> for MemberStanding {
-    fn from(
-        WireMemberStanding(state, load_us_per_s, config): WireMemberStanding,
-    ) -> MemberStanding {
+impl From<WireMemberStanding> for MemberStatus {
+    fn from(WireMemberStanding(state, load_us_per_s, config): WireMemberStanding) -> MemberStatus {
         let config = ConfigVersion(config);
-        MemberStanding { state: state.into(), load_us_per_s, config }
+        MemberStatus { state: state.into(), load_us_per_s, config }
     }
 }
 
-impl TryFrom<WireRouteRun> for RouteRun {
+impl TryFrom<WireRouteRun> for RouteRange {
     type Error = WireError;
 
-    fn try_from(it: WireRouteRun) -> Result<RouteRun, WireError> {
+    fn try_from(it: WireRouteRun) -> Result<RouteRange, WireError> {
         let WireRouteRun(first, last, owner, token, successors) = it;
         if last < first || last >= SlotCount::MAX {
             let reason = format!("slots {first} to {last}");
@@ -483,7 +482,7 @@
         let successors = successors.into_iter().map(MemberNumber).collect();
         let owner = owner.map(MemberNumber);
         let (first, last) = (Slot(first), Slot(last));
-        Ok(RouteRun { first, last, owner, token: token.into(), successors })
+        Ok(RouteRange { first, last, owner, token: token.into(), successors })
     }
 }
 
@@ -498,12 +497,12 @@
     type Error = WireError;
 
     fn try_from(it: WireRoutes) -> Result<Routes, WireError> {
-        let WireRoutes(since, version, gone, joined, changed, slots, keys) = it;
-        let gone: Vec<u16> = list("members that are gone", GONE_MAX, gone)?;
+        let WireRoutes(since, version, removed, joined, changed, slots, keys) = it;
+        let removed: Vec<u16> = list("members that are gone", GONE_MAX, removed)?;
         Ok(Routes {
             since,
             version,
-            gone: gone.into_iter().map(MemberNumber).collect(),
+            removed: removed.into_iter().map(MemberNumber).collect(),
             joined: list("members", GROUP_MEMBERS_MAX, joined)?,
             changed: list("changed members", GROUP_MEMBERS_MAX, changed)?,
             slots: list("routes of slots", SLOTS_MAX, slots)?,
--- a/crates/wire/src/control/tests.rs
+++ b/crates/wire/src/control/tests.rs
@@ -4,8 +4,8 @@
 
 use model::{ConfigVersion, Incarnation, Instance, KeyHash, Slot, Term, Token};
 use ownership::{
-    Command, HeldKey, HeldSlot, Holding, KeyLoad, LoadReport, MemberNumber, MemberStanding,
-    Message, Renew, Renewed, Report, RouteKey, RouteMember, RouteMemberChange, RouteRun, Routes,
+    Command, HeldKey, HeldSlot, Holding, KeyLoad, LoadReport, MemberNumber, MemberStatus, Message,
+    Renew, Renewed, Report, RouteKey, RouteMember, RouteMemberChange, RouteRange, Routes,
     SessionId, SlotLoad, UpstreamState,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -49,7 +49,7 @@
         2 => Command::Close { slot, token, to: Some(instance(rng)) },
         3 => Command::AdmitKey { key_hash, token },
         4 => Command::ExcludeKey { key_hash, owner: instance(rng) },
-        5 => Command::ForgetKey { key_hash },
+        5 => Command::RemoveKey { key_hash },
         6 => Command::Clear { token },
         _ => Command::CloseKey { key_hash, token, to: None },
     }
@@ -117,7 +117,7 @@
 
 fn routes(rng: &mut Pcg64Mcg) -> Routes {
     let index = |rng: &mut Pcg64Mcg| MemberNumber(rng.random_range(0..32));
-    let standing = |rng: &mut Pcg64Mcg| MemberStanding {
+    let status = |rng: &mut Pcg64Mcg| MemberStatus {
         state: state(rng),
         load_us_per_s: rng.random(),
         config: ConfigVersion(rng.random()),
@@ -125,19 +125,16 @@
     Routes {
         since: rng.random(),
         version: rng.random(),
-        gone: some(rng, 4, index),
+        removed: some(rng, 4, index),
         joined: some(rng, 32, |rng| RouteMember {
             number: index(rng),
             instance: instance(rng),
-            standing: standing(rng),
-        }),
-        changed: some(rng, 8, |rng| RouteMemberChange {
-            number: index(rng),
-            standing: standing(rng),
+            status: status(rng),
         }),
+        changed: some(rng, 8, |rng| RouteMemberChange { number: index(rng), status: status(rng) }),
         slots: some(rng, 20, |rng| {
             let first = rng.random_range(0..4096);
-            RouteRun {
+            RouteRange {
                 first: Slot(first),
                 last: Slot(rng.random_range(first..4096)),
                 owner: rng.random_bool(0.8).then(|| index(rng)),
@@ -159,24 +156,24 @@
         session: SessionId(rng.random()),
         sequence: rng.random(),
         lease_ms: rng.random(),
-        heard: rng.random(),
+        last_report: rng.random(),
         first_command: rng.random(),
         commands: some(rng, 6, command),
         routes: rng.random_bool(0.5).then(|| Arc::new(routes(rng))),
         config: ConfigVersion(rng.random()),
-        dismissed: rng.random(),
+        can_stop: rng.random(),
     }
 }
 
 fn message(rng: &mut Pcg64Mcg) -> Message {
     let (term, number) = (Term(rng.random()), rng.random());
     match rng.random_range(0..11) {
-        0 => Message::WhoCoordinates { term },
-        1 => Message::Coordinates { term, coordinator: Some(instance(rng)), silent_ms: 7 },
+        0 => Message::CoordinatorQuery { term },
+        1 => Message::CoordinatorReply { term, coordinator: Some(instance(rng)), silence_ms: 7 },
         2 => Message::Announce { term },
         3 => Message::Released { term },
-        4 => Message::Question { term, number },
-        5 => Message::Answer { term, number, has_read: number.is_multiple_of(2) },
+        4 => Message::WitnessQuery { term, number },
+        5 => Message::WitnessReply { term, number, has_read: number.is_multiple_of(2) },
         6 => Message::Renew(Box::new(renew(rng))),
         7 => Message::Renewed(Box::new(renewed(rng))),
         8 => Message::SessionEnded { term, session: SessionId(rng.random()) },
@@ -260,12 +257,12 @@
         session: SessionId(2),
         sequence: 100_000,
         lease_ms: 750,
-        heard: 40,
+        last_report: 40,
         first_command: 41,
         commands: Vec::new(),
         routes: None,
         config: ConfigVersion(12),
-        dismissed: false,
+        can_stop: false,
     };
     let renew = encode(&Message::Renew(Box::new(renew))).len();
     let renewed = encode(&Message::Renewed(Box::new(renewed))).len();
@@ -275,7 +272,7 @@
 #[test]
 fn a_run_of_slots_that_ends_before_it_begins_is_refused() {
     for (first, last) in [(5, 4), (0, 4096)] {
-        let run = RouteRun {
+        let run = RouteRange {
             first: Slot(first),
             last: Slot(last),
             owner: None,
--- a/crates/wire/src/control/types.rs
+++ b/crates/wire/src/control/types.rs
@@ -159,7 +159,7 @@
     #[serde(rename = "l")]
     pub(super) lease_ms: u32,
     #[serde(rename = "h", default, skip_serializing_if = "is_default")]
-    pub(super) heard: u64,
+    pub(super) last_report: u64,
     #[serde(rename = "f", default, skip_serializing_if = "is_default")]
     pub(super) first_command: u64,
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
@@ -169,7 +169,7 @@
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
     pub(super) config: u64,
     #[serde(rename = "d", default, skip_serializing_if = "is_default")]
-    pub(super) dismissed: bool,
+    pub(super) can_stop: bool,
 }
 
 #[derive(Debug)]
--- a/xtask/src/bench/ownership/policy/planned.rs
+++ b/xtask/src/bench/ownership/policy/planned.rs
@@ -8,7 +8,7 @@
 use model::{KeyHash, Slot, SlotCount, Timestamp};
 use ownership::{
     Limits, MoveReason,
-    planner::{Move, PlannerInput, PlannerKey, PlannerMember, PlannerSlot, Unit, propose},
+    planner::{Move, MoveUnit, PlannerInput, PlannerKey, PlannerMember, PlannerSlot, propose},
 };
 
 use super::{Policy, UnitId, View, Workload};
@@ -44,7 +44,7 @@
             owner: None,
             successors: Vec::new(),
             load_us_per_s: 0.0,
-            settled_until: Timestamp::ZERO,
+            movable_from: Timestamp::ZERO,
         };
         let slot_of = |it: &KeyHash| usize::from(workload.slot_count.slot_of(*it).0);
         Planned {
@@ -118,13 +118,13 @@
     fn take(&mut self, view: &View<'_>, keys: &mut [PlannerKey], it: &Move) {
         let slots = self.slots.len() as f64;
         let cost = match it.unit {
-            Unit::Slot(slot) => {
+            MoveUnit::Slot(slot) => {
                 let slot = &mut self.slots[usize::from(slot.0)];
                 slot.owner = it.to;
-                slot.settled_until = now(view) + Duration::from_secs(SETTLED_S);
+                slot.movable_from = now(view) + Duration::from_secs(SETTLED_S);
                 1.0
             }
-            Unit::Key(hash) => {
+            MoveUnit::Key(hash) => {
                 let key = keys.iter_mut().find(|it| it.key_hash == hash);
                 key.expect("only known keys move").owner = it.to;
                 KEY_COST
--- a/xtask/src/bench/slopes/group.rs
+++ b/xtask/src/bench/slopes/group.rs
@@ -257,7 +257,7 @@
                 gate.keys.insert(key_hash);
                 None
             }
-            GateCommand::ForgetKey { key_hash } => {
+            GateCommand::RemoveKey { key_hash } => {
                 gate.keys.remove(&key_hash);
                 None
             }
