--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -133,7 +133,7 @@
     ) -> anyhow::Result<Bound> {
         let announcement = &local.announcement;
         let document = &service.document;
-        self.handle.warmup.with(|it| it.limit(document.upstream.cold_requests_per_s));
+        self.handle.warmup.with(|it| it.set_limit(document.upstream.cold_requests_per_s));
         let same_upstream = former.filter(|it| it.is_of(announcement));
         // A version may change limits of the client: connections are cheap to make anew.
         let upstream = match same_upstream.filter(|it| it.has_same_client(document)) {
@@ -203,7 +203,7 @@
     };
     let config = RecordsConfig {
         bytes_max: (document.limits.records_bytes_max / units).max(UNIT_RECORDS_BYTES_MIN),
-        keep: document.limits.records_for,
+        retention: document.limits.records_for,
         age_margin: AGE_MARGIN,
     };
     Book::new(config, document.ownership.lease / 2)
--- a/crates/traffic/src/admission/tests/cold.rs
+++ b/crates/traffic/src/admission/tests/cold.rs
@@ -8,7 +8,7 @@
 
 use super::{config, ms};
 use crate::{
-    Admission, Arrival, ClassIndex, Completion, Decision, SharedWarmup, Ticket, Use, Verdict,
+    Admission, Arrival, ClassIndex, Completion, Decision, SharedWarmup, Ticket, Timeliness, Verdict,
 };
 
 const SLOTS: usize = 9;
@@ -60,8 +60,8 @@
     while let Some(Reverse((now, event))) = events.pop() {
         match event {
             Event::Comes => {
-                let (deadline, useful) = (now + OBJECTIVE, Use::Full);
-                let arrival = Arrival { class: ClassIndex(0), route: None, deadline, useful };
+                let (deadline, timeliness) = (now + OBJECTIVE, Timeliness::InTime);
+                let arrival = Arrival { class: ClassIndex(0), route: None, deadline, timeliness };
                 let ticket = admission.offer(now, arrival, &mut rng, &mut out);
                 came.insert(ticket, now);
             }
@@ -97,8 +97,8 @@
 fn cold() -> SharedWarmup {
     let warmup = SharedWarmup::new(Timestamp::ZERO);
     warmup.with(|it| {
-        it.limit(Some(COLD_PER_S));
-        it.heard(Timestamp::ZERO, Duration::from_secs(3_600));
+        it.set_limit(Some(COLD_PER_S));
+        it.set_cold_period(Timestamp::ZERO, Duration::from_secs(3_600));
     });
     warmup
 }
@@ -121,8 +121,8 @@
 fn once_it_is_warm_only_its_slots_limit_it() {
     let warmup = SharedWarmup::new(Timestamp::ZERO);
     warmup.with(|it| {
-        it.limit(Some(COLD_PER_S));
-        it.heard(Timestamp::ZERO, Duration::ZERO);
+        it.set_limit(Some(COLD_PER_S));
+        it.set_cold_period(Timestamp::ZERO, Duration::ZERO);
     });
     let seen = play(warmup);
     let slots_take = SLOTS as f64 / SERVICE.as_secs_f64() * PLAYED_S as f64;
