--- a/crates/agent/src/gate/leases/announced.rs
+++ b/crates/agent/src/gate/leases/announced.rs
@@ -181,13 +181,13 @@
         self.exchange.gives_up || self.slots.values().any(is_news)
     }
 
-    /// The answer to an announcement that was heard at `heard_at`, with no more than `runs_max` runs.
+    /// The answer to an announcement that was heard at `heard_at`, with no more than `ranges_max` runs.
     pub(super) fn to_hold(
         &mut self,
         now: Timestamp,
         heard_at: Timestamp,
         lease_until: Timestamp,
-        runs_max: usize,
+        ranges_max: usize,
     ) -> ToHold {
         self.exchange.gives_up = false;
         let hold = lease_until.since(heard_at).saturating_sub(CALL_MARGIN).div_f64(SLOW_CLOCK);
@@ -195,7 +195,7 @@
             clearing.is_sent = true;
         }
         let (grants, put_off) = match self.clearing.is_none() && hold >= HOLD_MIN {
-            true => self.runs(runs_max),
+            true => self.runs(ranges_max),
             false => Default::default(),
         };
         self.exchange.granted_nothing = grants.is_empty();
@@ -222,9 +222,9 @@
     /// The runs of an answer. Where they are too many, some of those that were never granted wait for a later
     /// answer, and slots that are to be given up are granted on: the upstream would give up whatever is
     /// left out.
-    fn runs(&self, runs_max: usize) -> (Vec<KeyRun>, usize) {
+    fn runs(&self, ranges_max: usize) -> (Vec<KeyRun>, usize) {
         let mut runs = self.runs_of(|it| it.closing.is_none());
-        let new_max = runs_max - runs_max / ROOM_FOR_CUTS;
+        let new_max = ranges_max - ranges_max / ROOM_FOR_CUTS;
         let mut put_off = 0;
         while runs.len() > new_max
             && let Some(at) = runs.iter().rposition(|it| self.is_new(it.0))
@@ -232,8 +232,8 @@
             runs.remove(at);
             put_off += 1;
         }
-        if runs.len() > runs_max {
-            put_off += runs.len() - runs_max;
+        if runs.len() > ranges_max {
+            put_off += runs.len() - ranges_max;
             runs = self.runs_of(|it| it.told.is_granted && !it.told.is_left_out);
         }
         (runs, put_off)
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -42,7 +42,7 @@
         self: &Arc<Gate>,
         announcement: &Announcement,
         held: &HeldKeys,
-        runs_max: usize,
+        ranges_max: usize,
     ) -> Option<KeysToHold> {
         let heard_at = self.clock.now();
         let bound = timeout(NEW_LIFE_WAIT, self.bound_to(announcement)).await.ok()?;
@@ -86,10 +86,10 @@
         let to_hold = {
             let lease_until = self.handle.table.lease_until();
             let mut book = self.leases.book();
-            book.to_hold(self.clock.now(), heard_at, lease_until, runs_max)
+            book.to_hold(self.clock.now(), heard_at, lease_until, ranges_max)
         };
         if to_hold.put_off > 0 {
-            log::warn!(target: "gate", "{} runs of slots wait for a later answer: no more than {runs_max} fit.", to_hold.put_off);
+            log::warn!(target: "gate", "{} runs of slots wait for a later answer: no more than {ranges_max} fit.", to_hold.put_off);
         }
         self.leases.wake_when_taken();
         Some(keys_of(to_hold, keys, slot_count))
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -246,9 +246,9 @@
         &self,
         announcement: Announcement,
         held: HeldKeys,
-        runs_max: usize,
+        ranges_max: usize,
     ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>> {
-        Box::pin(async move { Gate::keys_to_hold(self, &announcement, &held, runs_max).await })
+        Box::pin(async move { Gate::keys_to_hold(self, &announcement, &held, ranges_max).await })
     }
 }
 
--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -49,7 +49,7 @@
         &self,
         announcement: Announcement,
         held: HeldKeys,
-        runs_max: usize,
+        ranges_max: usize,
     ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>>;
 }
 
@@ -63,7 +63,7 @@
     /// to say about that.
     fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response;
     /// The most runs of keys that fit into a response.
-    fn runs_max(&self) -> usize;
+    fn ranges_max(&self) -> usize;
 }
 
 /// Takes announcements to control.
@@ -108,8 +108,8 @@
             Heard::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.heard(clock_ms, self.clock.now());
                 self.reporter.hint(Report::Announcement(announcement.clone()));
-                let runs_max = self.form.runs_max();
-                self.granter.keys_to_hold(announcement, keys?, runs_max).await
+                let ranges_max = self.form.ranges_max();
+                self.granter.keys_to_hold(announcement, keys?, ranges_max).await
             }
             Heard::Leaves { upstream_id, born_ms } => {
                 self.reporter.hint(Report::UpstreamLeaves { upstream_id, born_ms });
@@ -179,7 +179,7 @@
     }
 
     /// Its upstreams are told of grants by calls.
-    fn runs_max(&self) -> usize {
+    fn ranges_max(&self) -> usize {
         0
     }
 }
--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -75,7 +75,7 @@
         Response::new(Body::from(serde_json::to_string(&rows).unwrap()))
     }
 
-    fn runs_max(&self) -> usize {
+    fn ranges_max(&self) -> usize {
         20
     }
 }
