--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -383,8 +383,8 @@
         let clock = &self.gate.upstream_clock;
         let start_before = clearance.map_or(until, |it| it.lease_until.min(until));
         Some(ClockBounds {
-            start_before_ms: clock.point_ms(start_before)?,
-            end_before_ms: clock.point_ms(until)?,
+            start_before_ms: clock.to_upstream_ms(start_before)?,
+            end_before_ms: clock.to_upstream_ms(until)?,
         })
     }
 
--- a/crates/agent/src/gate/upstream_clock.rs
+++ b/crates/agent/src/gate/upstream_clock.rs
@@ -26,14 +26,14 @@
 impl UpstreamClock {
     /// Takes the reading of an announcement that had arrived by `at`. The upstream's clock has gone
     /// on since it was read, so the offset errs to the safe side: bounds come out too early.
-    pub(crate) fn heard(&self, reading_ms: Option<u64>, at: Timestamp) {
+    pub(crate) fn update(&self, reading_ms: Option<u64>, at: Timestamp) {
         let offset =
             reading_ms.and_then(|it| i64::try_from(it).ok()).map_or(NONE, |it| it - to_ms_up(at));
         self.offset_ms.store(offset, Ordering::Relaxed);
     }
 
     /// A point in time on the upstream's clock, in milliseconds, rounded down; none: unknown.
-    pub(crate) fn point_ms(&self, at: Timestamp) -> Option<u64> {
+    pub(crate) fn to_upstream_ms(&self, at: Timestamp) -> Option<u64> {
         let offset = self.offset_ms.load(Ordering::Relaxed);
         let at_ms = i64::try_from(at.ns / 1_000_000).ok()?;
         match offset {
--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -106,7 +106,7 @@
     async fn pass_on(&self, heard: Heard) -> Option<KeysToHold> {
         match heard {
             Heard::Announced { announcement, clock_ms, keys } => {
-                self.upstream_clock.heard(clock_ms, self.clock.now());
+                self.upstream_clock.update(clock_ms, self.clock.now());
                 self.reporter.hint(Report::Announcement(announcement.clone()));
                 let ranges_max = self.form.ranges_max();
                 self.granter.keys_to_hold(announcement, keys?, ranges_max).await
--- a/crates/agent/src/tests/upstream_clock.rs
+++ b/crates/agent/src/tests/upstream_clock.rs
@@ -12,8 +12,8 @@
 fn check(origin: Timestamp, read_at: Timestamp, late: Duration, bound: Timestamp) {
     let upstream_ms = |at: Timestamp| at.since(origin).as_millis() as u64;
     let clock = UpstreamClock::default();
-    clock.heard(Some(upstream_ms(read_at)), read_at + late);
-    let point = clock.point_ms(bound).unwrap();
+    clock.update(Some(upstream_ms(read_at)), read_at + late);
+    let point = clock.to_upstream_ms(bound).unwrap();
     assert!(point <= upstream_ms(bound), "{point} is after {bound:?}");
     let slack = late + Duration::from_millis(3);
     assert!(point + slack.as_millis() as u64 >= upstream_ms(bound), "{point} is far too early");
@@ -34,8 +34,8 @@
 #[test]
 fn an_upstream_without_a_clock_gets_no_bounds() {
     let clock = UpstreamClock::default();
-    assert_eq!(clock.point_ms(Timestamp::from_ms(5)), None);
-    clock.heard(Some(5), Timestamp::from_ms(5));
-    clock.heard(None, Timestamp::from_ms(6));
-    assert_eq!(clock.point_ms(Timestamp::from_ms(7)), None);
+    assert_eq!(clock.to_upstream_ms(Timestamp::from_ms(5)), None);
+    clock.update(Some(5), Timestamp::from_ms(5));
+    clock.update(None, Timestamp::from_ms(6));
+    assert_eq!(clock.to_upstream_ms(Timestamp::from_ms(7)), None);
 }
