--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -144,7 +144,7 @@
             Place::Same => {}
         }
         let announcement = self.local.as_it_leaves(announcement);
-        self.parts.gate.announced_cold_for(announcement.cold_for);
+        self.parts.gate.update_cold_for(announcement.cold_for);
         self.local.heard_at = now;
         // It lives, whatever became of a connection.
         self.local.seen_by_gate.take_if(|_| announcement.upstream_id.is_some());
@@ -185,7 +185,7 @@
             true => log::info!(target: "control", "Zone {zone} is closed: giving up all keys."),
             false => {
                 log::info!(target: "control", "Zone {zone} is open again.");
-                self.parts.gate.doubt_warmth();
+                self.parts.gate.mark_possibly_cold();
             }
         }
         self.dirty = true;
--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -150,7 +150,7 @@
                 others_left: others_left(&routes, &trail),
             };
             if ended.outcome == Outcome::Answered {
-                self.parts.quarantine.answered(content);
+                self.parts.quarantine.record_answer(content);
                 return FinalReply { reply, retry_after: None };
             }
             if let Outcome::Unknown(reason) = ended.outcome {
--- a/crates/agent/src/gate/handle.rs
+++ b/crates/agent/src/gate/handle.rs
@@ -89,12 +89,12 @@
     }
 
     /// The upstream has said for how much longer it is cold.
-    pub fn announced_cold_for(&self, cold_for: Duration) {
+    pub fn update_cold_for(&self, cold_for: Duration) {
         self.warmup.with(|it| it.heard(self.clock.now(), cold_for));
     }
 
     /// The upstream may have turned cold since it was last heard.
-    pub fn doubt_warmth(&self) {
+    pub fn mark_possibly_cold(&self) {
         self.warmup.with(|it| it.doubt());
     }
 
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -454,7 +454,7 @@
             }
             Ended::Answered(answer) => {
                 gate.sign(ended);
-                gate.quarantine.answered(self.request.content);
+                gate.quarantine.record_answer(self.request.content);
                 // An upstream that fails fast must not look like one that works fast.
                 permit.completion = match answer.status.is_server_error() {
                     true => Completion::Cut,
--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// An upstream has answered the request.
-    pub(crate) fn answered(&self, request: Fingerprint) {
+    pub(crate) fn record_answer(&self, request: Fingerprint) {
         self.table().answered(request);
     }
 
