--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -203,7 +203,7 @@
     };
     let config = RecordsConfig {
         bytes_max: (document.limits.records_bytes_max / units).max(UNIT_RECORDS_BYTES_MIN),
-        keep: document.limits.records_for,
+        retention: document.limits.records_for,
         age_margin: AGE_MARGIN,
     };
     Book::new(config, document.ownership.lease / 2)
--- a/crates/agent/src/gate/records.rs
+++ b/crates/agent/src/gate/records.rs
@@ -9,7 +9,9 @@
 use bytes::Bytes;
 use model::{KeyHash, Outcome, RequestId, Slot, Timestamp, Token, UnknownReason};
 use tokio::sync::oneshot;
-use traffic::{Begin, EndedRecord, Record, RecordUnit, Records, RecordsConfig, SlotRecords};
+use traffic::{
+    BeginResult, Record, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
+};
 use upstream::Answer;
 use wire::{CodecError, traffic::KeptAnswer};
 
@@ -106,17 +108,17 @@
         let epoch = tables.ready(now, table, admittance, &key, self.import_max);
         let unit = admittance.unit;
         match tables.records.begin(now, unit, key.key_hash, key.id, key.age) {
-            Begin::Run => Begun::Run(Running { unit, epoch, id: key.id }),
-            Begin::Attach => {
+            BeginResult::Run => Begun::Run(Running { unit, epoch, id: key.id }),
+            BeginResult::Attach => {
                 let (sender, receiver) = oneshot::channel();
                 let running = Running { unit, epoch, id: key.id };
                 tables.attached.entry(running).or_default().push(sender);
                 Begun::Attach(receiver)
             }
-            Begin::Replay(Kept(answer)) => Begun::Replay(Answer::clone(&answer)),
-            Begin::Unknown(reason) => Begun::Unknown(reason),
-            Begin::NoRecord => Begun::Unknown(UnknownReason::NoRecord),
-            Begin::Full => Begun::Full,
+            BeginResult::Replay(Kept(answer)) => Begun::Replay(Answer::clone(&answer)),
+            BeginResult::Unknown(reason) => Begun::Unknown(reason),
+            BeginResult::NoRecord => Begun::Unknown(UnknownReason::NoRecord),
+            BeginResult::Full => Begun::Full,
         }
     }
 
@@ -136,7 +138,7 @@
             (_, Outcome::Unknown(reason)) => {
                 tables.records.finish_unknown(now, unit, id, reason);
             }
-            (_, Outcome::NotRun(_) | Outcome::Answered) => tables.records.forget(unit, id),
+            (_, Outcome::NotRun(_) | Outcome::Answered) => tables.records.discard(unit, id),
         }
         for sender in tables.attached.remove(&running).into_iter().flatten() {
             // Whoever resent it may have hung up.
@@ -178,7 +180,7 @@
         unit: RecordUnit,
         records: &[u8],
     ) -> Result<(), CodecError> {
-        let records: SlotRecords<KeptAnswer> = wire::decode(records)?;
+        let records: UnitRecords<KeptAnswer> = wire::decode(records)?;
         let records = map_answers(records, |it| {
             let answer = answer_from_parts(it.status, &it.headers, it.body)?;
             Ok(Kept(Arc::new(answer)))
@@ -280,19 +282,19 @@
             None => false,
         };
         let records = self.records.export(now, unit).filter(|_| usable);
-        let none = || SlotRecords { complete_age: now.since(returned), records: Vec::new() };
+        let none = || UnitRecords { complete_age: now.since(returned), records: Vec::new() };
         self.records.import(now, slot, records.unwrap_or_else(none));
     }
 }
 
 fn map_answers<A, B>(
-    records: SlotRecords<A>,
+    records: UnitRecords<A>,
     map: impl Fn(A) -> Result<B, CodecError>,
-) -> Result<SlotRecords<B>, CodecError> {
+) -> Result<UnitRecords<B>, CodecError> {
     let record = |it: Record<A>| {
         let end = match it.end {
-            EndedRecord::Answered(answer) => EndedRecord::Answered(map(answer)?),
-            EndedRecord::Unknown(reason) => EndedRecord::Unknown(reason),
+            RecordedOutcome::Answered(answer) => RecordedOutcome::Answered(map(answer)?),
+            RecordedOutcome::Unknown(reason) => RecordedOutcome::Unknown(reason),
         };
         Ok(Record {
             id: it.id,
@@ -303,5 +305,5 @@
         })
     };
     let mapped = records.records.into_iter().map(record).collect::<Result<Vec<_>, CodecError>>()?;
-    Ok(SlotRecords { complete_age: records.complete_age, records: mapped })
+    Ok(UnitRecords { complete_age: records.complete_age, records: mapped })
 }
--- a/crates/traffic/src/records/handover.rs
+++ b/crates/traffic/src/records/handover.rs
@@ -8,7 +8,7 @@
 /// The end of a recorded request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum EndedRecord<A> {
+pub enum RecordedOutcome<A> {
     Answered(A),
     Unknown(UnknownReason),
 }
@@ -23,13 +23,13 @@
     pub first_sent_age: Duration,
     /// Time since its end.
     pub ended_age: Duration,
-    pub end: EndedRecord<A>,
+    pub end: RecordedOutcome<A>,
 }
 
 /// The records of a slot or hot key, for its next owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct SlotRecords<A> {
+pub struct UnitRecords<A> {
     /// Every request first sent within this age is in `records` if it was begun.
     pub complete_age: Duration,
     pub records: Vec<Record<A>>,
--- a/crates/traffic/src/records/mod.rs
+++ b/crates/traffic/src/records/mod.rs
@@ -17,7 +17,7 @@
 
 use table::{Instant, Table};
 
-pub use handover::{EndedRecord, Record, SlotRecords};
+pub use handover::{Record, RecordedOutcome, UnitRecords};
 
 /// An answer as it is kept for resends. Cheap to clone.
 pub trait Answer: Clone {
@@ -31,7 +31,7 @@
     /// Memory for one unit's records, in bytes.
     pub bytes_max: usize,
     /// How long a finished record is kept, if the memory allows.
-    pub keep: Duration,
+    pub retention: Duration,
     /// How far the age that a resend carries may fall short of the truth: clock drift and the
     /// time that the message took.
     pub age_margin: Duration,
@@ -46,9 +46,9 @@
 
 /// What to do with a request that arrives.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Begin<A> {
+pub enum BeginResult<A> {
     /// New: run it, then call [`Records::finish`], [`Records::finish_unknown`] or
-    /// [`Records::forget`].
+    /// [`Records::discard`].
     Run,
     /// Its first sending still runs: wait for the end of that.
     Attach,
@@ -93,15 +93,15 @@
         key_hash: KeyHash,
         id: RequestId,
         age: Duration,
-    ) -> Begin<A> {
-        let Some(table) = self.units.get_mut(&unit) else { return Begin::NoRecord };
+    ) -> BeginResult<A> {
+        let Some(table) = self.units.get_mut(&unit) else { return BeginResult::NoRecord };
         table.begin(&self.config, Instant::of(now), key_hash, id, age)
     }
 
     /// Keeps the answer of a request that ran.
     pub fn finish(&mut self, now: Timestamp, unit: RecordUnit, id: RequestId, answer: A) {
         let Some(table) = self.units.get_mut(&unit) else { return };
-        table.end(&self.config, Instant::of(now), id, EndedRecord::Answered(answer));
+        table.end(&self.config, Instant::of(now), id, RecordedOutcome::Answered(answer));
     }
 
     /// Notes that nobody knows how a request ended: no resend may run it.
@@ -113,13 +113,13 @@
         reason: UnknownReason,
     ) {
         let Some(table) = self.units.get_mut(&unit) else { return };
-        table.end(&self.config, Instant::of(now), id, EndedRecord::Unknown(reason));
+        table.end(&self.config, Instant::of(now), id, RecordedOutcome::Unknown(reason));
     }
 
     /// Takes a record back: the request was provably not run, so a resend may run it.
-    pub fn forget(&mut self, unit: RecordUnit, id: RequestId) {
+    pub fn discard(&mut self, unit: RecordUnit, id: RequestId) {
         let Some(table) = self.units.get_mut(&unit) else { return };
-        table.forget(id);
+        table.discard(id);
     }
 
     /// Drops what has been kept long enough. To be called about once a second.
@@ -131,7 +131,7 @@
 
     /// Closes a unit and returns its records for the next owner. What still runs is handed over
     /// as unknown. None: there is no such unit.
-    pub fn export(&mut self, now: Timestamp, unit: RecordUnit) -> Option<SlotRecords<A>> {
+    pub fn export(&mut self, now: Timestamp, unit: RecordUnit) -> Option<UnitRecords<A>> {
         let table = self.units.remove(&unit)?;
         Some(table.export(Instant::of(now), |_| true))
     }
@@ -143,14 +143,14 @@
         now: Timestamp,
         unit: RecordUnit,
         key_hash: KeyHash,
-    ) -> Option<SlotRecords<A>> {
+    ) -> Option<UnitRecords<A>> {
         let table = self.units.get(&unit)?;
         Some(table.clone().export(Instant::of(now), |it| it == key_hash))
     }
 
     /// Takes over the records of a former owner. If the unit is open here already (a hot key that
     /// follows its slot again), both are complete only since the later of the two points.
-    pub fn import(&mut self, now: Timestamp, unit: RecordUnit, records: SlotRecords<A>) {
+    pub fn import(&mut self, now: Timestamp, unit: RecordUnit, records: UnitRecords<A>) {
         let now = Instant::of(now);
         let table = self.units.remove(&unit);
         let table = Table::import(&self.config, now, records, table);
--- a/crates/traffic/src/records/table.rs
+++ b/crates/traffic/src/records/table.rs
@@ -7,7 +7,7 @@
 
 use model::{KeyHash, RequestId, Timestamp, UnknownReason};
 
-use super::{Answer, Begin, EndedRecord, Record, RecordsConfig, SlotRecords};
+use super::{Answer, BeginResult, Record, RecordedOutcome, RecordsConfig, UnitRecords};
 
 /// What a record takes beside its answer: the maps' entries, rounded up.
 const RECORD_BYTES: usize = 160;
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 enum State<A> {
     Running,
-    Ended { at: Instant, end: EndedRecord<A> },
+    Ended { at: Instant, end: RecordedOutcome<A> },
 }
 
 #[derive(Debug, Clone)]
@@ -57,7 +57,9 @@
 impl<A: Answer> Entry<A> {
     fn bytes(&self) -> usize {
         match &self.state {
-            State::Ended { end: EndedRecord::Answered(it), .. } => RECORD_BYTES + it.size_bytes(),
+            State::Ended { end: RecordedOutcome::Answered(it), .. } => {
+                RECORD_BYTES + it.size_bytes()
+            }
             _ => RECORD_BYTES,
         }
     }
@@ -93,28 +95,30 @@
         key_hash: KeyHash,
         id: RequestId,
         age: Duration,
-    ) -> Begin<A> {
+    ) -> BeginResult<A> {
         if let Some(entry) = self.entries.get(&id) {
             return match &entry.state {
-                State::Running => Begin::Attach,
-                State::Ended { end: EndedRecord::Answered(it), .. } => Begin::Replay(it.clone()),
-                State::Ended { end: EndedRecord::Unknown(it), .. } => Begin::Unknown(*it),
+                State::Running => BeginResult::Attach,
+                State::Ended { end: RecordedOutcome::Answered(it), .. } => {
+                    BeginResult::Replay(it.clone())
+                }
+                State::Ended { end: RecordedOutcome::Unknown(it), .. } => BeginResult::Unknown(*it),
             };
         }
         self.expire(config, now);
         // Room is made before the check: making it may move the point that is checked against.
         if !self.make_room(config, RECORD_BYTES) {
-            return Begin::Full;
+            return BeginResult::Full;
         }
         // A resend's age may fall short by the margin, so it counts as that much older here. What
         // is recorded is the latest point that it can have been sent at: see `evict`.
         let first_sent = now.before(age);
         let margin = if age.is_zero() { Duration::ZERO } else { config.age_margin };
         if first_sent.before(margin) < self.complete_since {
-            return Begin::NoRecord;
+            return BeginResult::NoRecord;
         }
         self.insert(id, Entry { key_hash, first_sent, state: State::Running });
-        Begin::Run
+        BeginResult::Run
     }
 
     pub(super) fn end(
@@ -122,7 +126,7 @@
         config: &RecordsConfig,
         now: Instant,
         id: RequestId,
-        end: EndedRecord<A>,
+        end: RecordedOutcome<A>,
     ) {
         let Some(entry) = self.take(id) else {
             panic!("request {id} ended but was never begun");
@@ -131,20 +135,20 @@
         let mut entry = Entry { state: State::Ended { at: now, end }, ..entry };
         if !self.make_room(config, entry.bytes()) {
             // The answer is larger than all the memory there is; that it ran must be kept.
-            let end = EndedRecord::Unknown(UnknownReason::NoRecord);
+            let end = RecordedOutcome::Unknown(UnknownReason::NoRecord);
             entry.state = State::Ended { at: now, end };
         }
         self.insert(id, entry);
     }
 
-    pub(super) fn forget(&mut self, id: RequestId) {
+    pub(super) fn discard(&mut self, id: RequestId) {
         let Some(entry) = self.take(id) else { return };
         assert!(matches!(entry.state, State::Running), "request {id} ended and can't be forgotten");
     }
 
     /// Drops the records that were kept long enough.
     pub(super) fn expire(&mut self, config: &RecordsConfig, now: Instant) {
-        let horizon = now.before(config.keep);
+        let horizon = now.before(config.retention);
         while let Some(&(at, id)) = self.ended.first()
             && at < horizon
         {
@@ -152,7 +156,7 @@
         }
     }
 
-    pub(super) fn export(self, now: Instant, belongs: impl Fn(KeyHash) -> bool) -> SlotRecords<A> {
+    pub(super) fn export(self, now: Instant, belongs: impl Fn(KeyHash) -> bool) -> UnitRecords<A> {
         let entries = self.entries.into_iter().filter(|(_, it)| belongs(it.key_hash));
         let record = |(id, it): (RequestId, Entry<A>)| Record {
             id,
@@ -163,19 +167,19 @@
                 State::Ended { at, .. } => now.since(*at),
             },
             end: match it.state {
-                State::Running => EndedRecord::Unknown(UnknownReason::ConnectionLost),
+                State::Running => RecordedOutcome::Unknown(UnknownReason::ConnectionLost),
                 State::Ended { end, .. } => end,
             },
         };
         let mut records: Vec<_> = entries.map(record).collect();
         records.sort_by_key(|it| it.id);
-        SlotRecords { complete_age: now.since(self.complete_since), records }
+        UnitRecords { complete_age: now.since(self.complete_since), records }
     }
 
     pub(super) fn import(
         config: &RecordsConfig,
         now: Instant,
-        handed: SlotRecords<A>,
+        handed: UnitRecords<A>,
         present: Option<Table<A>>,
     ) -> Table<A> {
         let complete_since = now.before(handed.complete_age);
--- a/crates/traffic/src/records/tests.rs
+++ b/crates/traffic/src/records/tests.rs
@@ -7,7 +7,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    Answer, Begin, EndedRecord, RecordUnit, Records, RecordsConfig, SlotRecords, tests::seeded,
+    Answer, BeginResult, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
+    tests::seeded,
 };
 
 const UNIT: RecordUnit = RecordUnit::Slot(Slot(3));
@@ -35,89 +36,96 @@
 }
 
 fn records(bytes_max: usize) -> Records<Text> {
-    let config = RecordsConfig { bytes_max, keep: ms(60_000), age_margin: ms(1000) };
+    let config = RecordsConfig { bytes_max, retention: ms(60_000), age_margin: ms(1000) };
     let mut records = Records::new(config);
     records.open(at(10_000), UNIT);
     records
 }
 
-fn begin(it: &mut Records<Text>, now: Timestamp, id: u128, age: Duration) -> Begin<Text> {
+fn begin(it: &mut Records<Text>, now: Timestamp, id: u128, age: Duration) -> BeginResult<Text> {
     it.begin(now, UNIT, KEY, RequestId(id), age)
 }
 
 #[test]
 fn a_resend_attaches_and_then_gets_the_first_answer() {
     let mut it = records(10_000);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
-    assert_eq!(begin(&mut it, at(10_020), 1, ms(10)), Begin::Attach);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
+    assert_eq!(begin(&mut it, at(10_020), 1, ms(10)), BeginResult::Attach);
     it.finish(at(10_030), UNIT, RequestId(1), text("first"));
-    assert_eq!(begin(&mut it, at(10_040), 1, ms(30)), Begin::Replay(text("first")));
+    assert_eq!(begin(&mut it, at(10_040), 1, ms(30)), BeginResult::Replay(text("first")));
 }
 
 #[test]
 fn what_did_not_run_may_run_again() {
     let mut it = records(10_000);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
-    it.forget(UNIT, RequestId(1));
-    assert_eq!(begin(&mut it, at(12_010), 1, ms(2000)), Begin::NoRecord, "within the margin");
-    assert_eq!(begin(&mut it, at(12_010), 1, ms(500)), Begin::Run);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
+    it.discard(UNIT, RequestId(1));
+    assert_eq!(begin(&mut it, at(12_010), 1, ms(2000)), BeginResult::NoRecord, "within the margin");
+    assert_eq!(begin(&mut it, at(12_010), 1, ms(500)), BeginResult::Run);
 }
 
 #[test]
 fn an_unknown_end_stays_unknown() {
     let mut it = records(10_000);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     it.finish_unknown(at(10_020), UNIT, RequestId(1), UnknownReason::ConnectionLost);
     let seen = begin(&mut it, at(10_030), 1, ms(20));
-    assert_eq!(seen, Begin::Unknown(UnknownReason::ConnectionLost));
+    assert_eq!(seen, BeginResult::Unknown(UnknownReason::ConnectionLost));
 }
 
 #[test]
 fn a_new_owner_after_a_loss_does_not_reach_back() {
     let mut it = records(10_000);
-    assert_eq!(begin(&mut it, at(10_500), 1, ms(600)), Begin::NoRecord);
-    assert_eq!(begin(&mut it, at(10_500), 2, Duration::ZERO), Begin::Run);
-    assert_eq!(begin(&mut it, at(12_000), 3, ms(400)), Begin::Run);
+    assert_eq!(begin(&mut it, at(10_500), 1, ms(600)), BeginResult::NoRecord);
+    assert_eq!(begin(&mut it, at(10_500), 2, Duration::ZERO), BeginResult::Run);
+    assert_eq!(begin(&mut it, at(12_000), 3, ms(400)), BeginResult::Run);
 }
 
 #[test]
 fn an_answer_too_large_to_keep_is_not_run_again() {
     let mut it = records(1000);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     it.finish(at(10_020), UNIT, RequestId(1), text(&"x".repeat(2000)));
     assert!(it.bytes(UNIT) <= 1000);
-    assert_eq!(begin(&mut it, at(10_030), 1, ms(20)), Begin::Unknown(UnknownReason::NoRecord));
+    assert_eq!(
+        begin(&mut it, at(10_030), 1, ms(20)),
+        BeginResult::Unknown(UnknownReason::NoRecord)
+    );
 }
 
 #[test]
 fn running_records_are_never_evicted() {
     let mut it = records(400);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
-    assert_eq!(begin(&mut it, at(10_010), 2, Duration::ZERO), Begin::Run);
-    assert_eq!(begin(&mut it, at(10_010), 3, Duration::ZERO), Begin::Full);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
+    assert_eq!(begin(&mut it, at(10_010), 2, Duration::ZERO), BeginResult::Run);
+    assert_eq!(begin(&mut it, at(10_010), 3, Duration::ZERO), BeginResult::Full);
     it.tick(at(900_000));
-    assert_eq!(begin(&mut it, at(900_000), 1, Duration::ZERO), Begin::Attach);
+    assert_eq!(begin(&mut it, at(900_000), 1, Duration::ZERO), BeginResult::Attach);
 }
 
 #[test]
 fn an_expired_record_leaves_no_gap() {
     let mut it = records(10_000);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     it.finish(at(10_020), UNIT, RequestId(1), text("first"));
     it.tick(at(80_000));
     assert_eq!(it.len(UNIT), 0);
-    assert_eq!(begin(&mut it, at(80_000), 1, ms(69_990)), Begin::NoRecord);
-    assert_eq!(begin(&mut it, at(80_000), 2, ms(60_000)), Begin::Run, "sent after the one dropped");
+    assert_eq!(begin(&mut it, at(80_000), 1, ms(69_990)), BeginResult::NoRecord);
+    assert_eq!(
+        begin(&mut it, at(80_000), 2, ms(60_000)),
+        BeginResult::Run,
+        "sent after the one dropped"
+    );
 }
 
 #[test]
 fn a_clock_that_has_just_started_does_not_make_old_ids_new() {
     let mut it = records(10_000);
-    let handed = SlotRecords { complete_age: ms(3_600_000), records: Vec::new() };
+    let handed = UnitRecords { complete_age: ms(3_600_000), records: Vec::new() };
     it.import(at(50), RecordUnit::Slot(Slot(4)), handed);
     let mut begin = |age| it.begin(at(60), RecordUnit::Slot(Slot(4)), KEY, RequestId(1), age);
-    assert_eq!(begin(ms(7_200_000)), Begin::NoRecord);
-    assert_eq!(begin(ms(1_800_000)), Begin::Run);
+    assert_eq!(begin(ms(7_200_000)), BeginResult::NoRecord);
+    assert_eq!(begin(ms(1_800_000)), BeginResult::Run);
 }
 
 #[test]
@@ -125,14 +133,20 @@
     let mut it = records(10_000);
     let (hot, cold) = (KeyHash(8), KeyHash(9));
     for (id, key) in [(1, hot), (2, cold)] {
-        assert_eq!(it.begin(at(10_010), UNIT, key, RequestId(id), Duration::ZERO), Begin::Run);
+        assert_eq!(
+            it.begin(at(10_010), UNIT, key, RequestId(id), Duration::ZERO),
+            BeginResult::Run
+        );
         it.finish(at(10_020), UNIT, RequestId(id), text("done"));
     }
     let handed = it.export_key(at(10_030), UNIT, hot).unwrap();
     assert_eq!(handed.records.len(), 1);
     let unit = RecordUnit::Key(hot);
     it.import(at(10_040), unit, handed);
-    assert_eq!(it.begin(at(10_050), unit, hot, RequestId(1), ms(40)), Begin::Replay(text("done")));
+    assert_eq!(
+        it.begin(at(10_050), unit, hot, RequestId(1), ms(40)),
+        BeginResult::Replay(text("done"))
+    );
     let back = it.export(at(10_060), unit).unwrap();
     it.import(at(10_070), UNIT, back);
     assert_eq!(it.len(UNIT), 2);
@@ -165,24 +179,24 @@
             false => Duration::ZERO,
         };
         match begin(&mut it, now, id, age) {
-            Begin::Run => {
+            BeginResult::Run => {
                 assert!(!truth.has_run, "request {id} was run twice, seed {seed}");
                 assert!(!running.contains(&id), "request {id} runs already, seed {seed}");
                 running.push(id);
             }
-            Begin::Attach => assert!(running.contains(&id)),
-            Begin::Replay(it) => {
+            BeginResult::Attach => assert!(running.contains(&id)),
+            BeginResult::Replay(it) => {
                 assert!(truth.has_run);
                 assert_eq!(it, text(&format!("answer {id}")), "seed {seed}");
                 replayed += 1;
             }
-            Begin::Unknown(_) | Begin::NoRecord => refused += 1,
-            Begin::Full => (),
+            BeginResult::Unknown(_) | BeginResult::NoRecord => refused += 1,
+            BeginResult::Full => (),
         }
         while running.len() > rng.random_range(0..4) {
             let id = running.swap_remove(rng.random_range(0..running.len()));
             if rng.random_bool(0.2) {
-                it.forget(UNIT, RequestId(id));
+                it.discard(UNIT, RequestId(id));
                 continue;
             }
             truths.get_mut(&id).unwrap().has_run = true;
@@ -228,7 +242,7 @@
 #[test]
 fn handed_over_records_say_that_running_requests_are_unknown() {
     let mut it = records(10_000);
-    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), Begin::Run);
+    assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     let handed = it.export(at(10_020), UNIT).unwrap();
-    assert_eq!(handed.records[0].end, EndedRecord::Unknown(UnknownReason::ConnectionLost));
+    assert_eq!(handed.records[0].end, RecordedOutcome::Unknown(UnknownReason::ConnectionLost));
 }
--- a/xtask/src/bench/slopes/records.rs
+++ b/xtask/src/bench/slopes/records.rs
@@ -50,7 +50,7 @@
 fn fill(count: usize) -> Records<KeptAnswer> {
     let config = RecordsConfig {
         bytes_max: usize::MAX,
-        keep: Duration::from_secs(3_600),
+        retention: Duration::from_secs(3_600),
         age_margin: Duration::from_millis(100),
     };
     let now = Timestamp::from_ms(1);
