--- a/crates/agent/src/gate/lane.rs
+++ b/crates/agent/src/gate/lane.rs
@@ -17,7 +17,7 @@
 };
 use traffic::{
     Admission, AdmissionConfig, Arrival, ClassConfig, ClassIndex, Completion, Decision, RouteIndex,
-    SharedWarmup, Ticket, Use, Verdict,
+    SharedWarmup, Ticket, Timeliness, Verdict,
 };
 
 use wire::traffic::GateLoad;
@@ -87,14 +87,14 @@
         let class = |it: &settings::Class| ClassConfig {
             name: it.name.clone(),
             weight: f64::from(it.weight),
-            service_guess: SERVICE_GUESS,
+            initial_service_time: SERVICE_GUESS,
         };
         let config = AdmissionConfig {
             slots: usize::from(slots).clamp(1, document.upstream.slots as usize),
             queue_len_max: document.limits.queue_length_max as usize,
             queue_time_max: document.limits.queue_wait_max,
             slow_start: document.upstream.warmup,
-            certainty: CERTAINTY,
+            service_time_deviations: CERTAINTY,
             retry_after_min: RETRY_AFTER_MIN,
             classes: document.classes.iter().map(class).collect(),
         };
@@ -126,7 +126,7 @@
         class: &ClassName,
         route: Option<RouteIndex>,
         deadline: Timestamp,
-        useful: Use,
+        timeliness: Timeliness,
     ) -> Offer {
         let class = self.class(class);
         let now = self.clock.now();
@@ -134,7 +134,7 @@
         let state = &mut *lock;
         let ticket = state.admission.offer(
             now,
-            Arrival { class, route, deadline, useful },
+            Arrival { class, route, deadline, timeliness },
             &mut state.rng,
             &mut state.decisions,
         );
@@ -155,7 +155,7 @@
 
     /// What a request is expected to take.
     pub(crate) fn expected(&self, class: &ClassName, route: Option<RouteIndex>) -> Duration {
-        self.state().admission.expected(self.class(class), route)
+        self.state().admission.expected_service_time(self.class(class), route)
     }
 
     /// An ingress with another version of the document may know other classes.
@@ -168,7 +168,7 @@
             Verdict::Start => Offer::Go(Permit {
                 lane: Arc::clone(self),
                 ticket,
-                completion: Completion::NotGiven,
+                completion: Completion::NotSent,
             }),
             Verdict::Shed { reason, retry_after } => {
                 Offer::Refused { reason, retry_after: Some(retry_after) }
@@ -187,7 +187,7 @@
                 state.admission.finish(
                     now,
                     ticket,
-                    Completion::NotGiven,
+                    Completion::NotSent,
                     &mut state.rng,
                     &mut state.decisions,
                 );
@@ -215,12 +215,12 @@
         let now = self.clock.now();
         let admission = &self.state().admission;
         let route = kind.map(|it| RouteIndex(it.into()));
-        let of_kind = admission.measured(self.class(class), route);
+        let of_kind = admission.measured_service_time(self.class(class), route);
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
         // One that is cold works off its queue as a single slot would that takes the time between two starts.
-        let (slots, service) = match admission.cold_step(now) {
+        let (slots, service) = match admission.cold_start_interval(now) {
             Some(step) => (1, step),
-            None => (admission.slots_at(now), admission.service_mean()),
+            None => (admission.slots_at(now), admission.mean_service_time()),
         };
         GateLoad {
             running: count(admission.running()),
@@ -288,7 +288,7 @@
         drop(state);
         // The verdict came at the same moment.
         if let Ok(Verdict::Start) = self.verdict.try_recv() {
-            self.lane.finish(self.ticket, Completion::NotGiven);
+            self.lane.finish(self.ticket, Completion::NotSent);
         }
     }
 }
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -11,7 +11,7 @@
     sync::{SemaphorePermit, oneshot},
     time::{sleep_until, timeout, timeout_at},
 };
-use traffic::{Completion, RecordUnit, RouteIndex, Standing, Use};
+use traffic::{Completion, RecordUnit, RouteIndex, Standing, Timeliness};
 use upstream::{CallError, ClockBounds, Upstream};
 
 use crate::{
@@ -293,28 +293,28 @@
     /// Until when it is worth its while to wait for a slot, and of what use the answer will be then. One
     /// whose answer can't be of full use any more, as after a first try elsewhere or a refusal, gets what
     /// those that can leave over.
-    fn queue_until(&self) -> (Timestamp, Use) {
+    fn queue_until(&self) -> (Timestamp, Timeliness) {
         let class = self.bound.document.classes.iter().find(|it| it.name == self.request.class);
         let bounded = class.is_some_and(|it| !it.queues_past_objective);
         let Some(objective) = self.request.objective.filter(|_| bounded) else {
-            return (self.deadline, Use::Full);
+            return (self.deadline, Timeliness::InTime);
         };
         let now = self.gate.clock.now();
         let left = self.deadline.since(now);
         let expected = || self.bound.lane.expected(&self.request.class, self.route());
-        let (patience, useful) = match self.request.has_come_back {
-            _ if objective.is_zero() => (left.mul_f64(LATE_PATIENCE_SHARE), Use::Late),
-            true if objective < expected() => (left.mul_f64(LATE_PATIENCE_SHARE), Use::Late),
-            true => (objective, Use::Full),
-            false => (objective.max(left.mul_f64(PATIENCE_SHARE)), Use::Full),
+        let (patience, timeliness) = match self.request.has_come_back {
+            _ if objective.is_zero() => (left.mul_f64(LATE_PATIENCE_SHARE), Timeliness::Late),
+            true if objective < expected() => (left.mul_f64(LATE_PATIENCE_SHARE), Timeliness::Late),
+            true => (objective, Timeliness::InTime),
+            false => (objective.max(left.mul_f64(PATIENCE_SHARE)), Timeliness::InTime),
         };
-        (self.deadline.min(now + patience), useful)
+        (self.deadline.min(now + patience), timeliness)
     }
 
     /// Waits for a slot of the upstream.
     async fn queue(&self, caller: &mut Caller) -> Result<Permit, Box<GateReply>> {
-        let (until, useful) = self.queue_until();
-        let offer = self.bound.lane.offer(&self.request.class, self.route(), until, useful);
+        let (until, timeliness) = self.queue_until();
+        let offer = self.bound.lane.offer(&self.request.class, self.route(), until, timeliness);
         let place = match offer {
             Offer::Wait(place) => place,
             verdict => return into_permit(verdict),
@@ -419,7 +419,7 @@
             };
             return GateReply::not_run(reason);
         }
-        permit.completion = Completion::Cut;
+        permit.completion = Completion::Aborted;
         let remaining = until.since(started);
         let run =
             gate.upstream_runs.begin(started, self.entry.as_ref().map(Entry::slot), remaining);
@@ -457,7 +457,7 @@
                 gate.quarantine.answered(self.request.content);
                 // An upstream that fails fast must not look like one that works fast.
                 permit.completion = match answer.status.is_server_error() {
-                    true => Completion::Cut,
+                    true => Completion::Aborted,
                     false => Completion::Answered,
                 };
                 GateReply::Answered(answer)
@@ -600,11 +600,11 @@
 fn failed(permit: &mut Permit, error: &CallError) -> GateReply {
     match error {
         CallError::NotSent { .. } => {
-            permit.completion = Completion::NotGiven;
+            permit.completion = Completion::NotSent;
             GateReply::not_run(NotRunReason::Unreachable)
         }
         CallError::Refused { retry_after, .. } => {
-            permit.completion = Completion::NotGiven;
+            permit.completion = Completion::NotSent;
             refused(NotRunReason::Refused, *retry_after)
         }
         CallError::Lost { .. } => GateReply::unknown(UnknownReason::ConnectionLost),
--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -5,12 +5,12 @@
 
 use model::Timestamp;
 
-use super::{ClassConfig, Completion, RouteIndex, Ticket, Use, costs::Costs};
+use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, costs::Costs};
 
 /// Where a request stands in the queue; lower ones go first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Place {
-    pub(super) useful: Use,
+    pub(super) timeliness: Timeliness,
     pub(super) deadline: Timestamp,
     pub(super) ticket: Ticket,
 }
@@ -37,7 +37,7 @@
     pub(super) fn new(config: &ClassConfig) -> Class {
         Class {
             weight: config.weight,
-            costs: Costs::new(config.service_guess),
+            costs: Costs::new(config.initial_service_time),
             virtual_s: 0.0,
             queue: BTreeMap::new(),
         }
@@ -69,7 +69,7 @@
 
     /// Charges one start to the class; the cost in virtual seconds.
     pub(super) fn charge(&mut self, virtual_s: f64, route: Option<RouteIndex>) -> f64 {
-        let cost_s = self.costs.expected(route).mean().as_secs_f64() / self.weight;
+        let cost_s = self.costs.expected_for(route).mean().as_secs_f64() / self.weight;
         self.virtual_s = self.virtual_s.max(virtual_s) + cost_s;
         cost_s
     }
@@ -84,11 +84,11 @@
     ) {
         match completion {
             Completion::Answered => self.costs.add(route, taken),
-            Completion::Cut if taken > self.costs.expected(route).mean() => {
+            Completion::Aborted if taken > self.costs.expected_for(route).mean() => {
                 self.costs.add(route, taken);
             }
-            Completion::Cut => (),
-            Completion::NotGiven => {
+            Completion::Aborted => (),
+            Completion::NotSent => {
                 self.virtual_s -= cost_s;
                 return;
             }
@@ -97,15 +97,21 @@
     }
 
     /// Whether a request, started now, is expected to end before its deadline.
-    pub(super) fn can_finish(&self, now: Timestamp, it: Queued, certainty: f64) -> bool {
-        now + self.need(it, certainty) <= it.place.deadline
+    pub(super) fn can_finish(
+        &self,
+        now: Timestamp,
+        it: Queued,
+        service_time_deviations: f64,
+    ) -> bool {
+        now + self.need(it, service_time_deviations) <= it.place.deadline
     }
 
     /// When the first request of the queue has to be refused.
-    pub(super) fn drop_at(&self, certainty: f64) -> Option<Timestamp> {
-        let first_late = Place { useful: Use::Late, deadline: Timestamp::ZERO, ticket: Ticket(0) };
+    pub(super) fn drop_at(&self, service_time_deviations: f64) -> Option<Timestamp> {
+        let first_late =
+            Place { timeliness: Timeliness::Late, deadline: Timestamp::ZERO, ticket: Ticket(0) };
         let late = self.queue.range(first_late..).next().map(queued);
-        let drop_at = |it: Queued| it.place.deadline - self.need(it, certainty);
+        let drop_at = |it: Queued| it.place.deadline - self.need(it, service_time_deviations);
         let earliest = self.first().into_iter().chain(late).map(drop_at).min()?;
         Some(earliest + Duration::from_nanos(1))
     }
@@ -116,13 +122,13 @@
         now: Timestamp,
         step: Duration,
         queue_time_max: Duration,
-        certainty: f64,
+        service_time_deviations: f64,
     ) -> Vec<Queued> {
         let mut doomed = Vec::new();
         let start_max = now + queue_time_max;
         let mut start = now;
         for it in self.queue.iter().map(queued) {
-            let late = start + self.need(it, certainty) > it.place.deadline;
+            let late = start + self.need(it, service_time_deviations) > it.place.deadline;
             match late || start > start_max {
                 true => doomed.push(it),
                 false => start = start + step,
@@ -133,9 +139,9 @@
 
     /// The time that a request is given to run: what few of its kind exceed, but no more than
     /// half of its budget unless even the mean is longer.
-    fn need(&self, it: Queued, certainty: f64) -> Duration {
-        let expected = self.costs.expected(it.route);
-        expected.bound(certainty).min(expected.bound(0.7).max(it.budget / 2))
+    fn need(&self, it: Queued, service_time_deviations: f64) -> Duration {
+        let expected = self.costs.expected_for(it.route);
+        expected.bound(service_time_deviations).min(expected.bound(0.7).max(it.budget / 2))
     }
 }
 
--- a/crates/traffic/src/admission/costs.rs
+++ b/crates/traffic/src/admission/costs.rs
@@ -26,11 +26,11 @@
         &self.class
     }
 
-    pub(super) fn expected(&self, route: Option<RouteIndex>) -> &Smoothed {
-        route.and_then(|it| self.measured(it)).unwrap_or(&self.class)
+    pub(super) fn expected_for(&self, route: Option<RouteIndex>) -> &Smoothed {
+        route.and_then(|it| self.measured_for(it)).unwrap_or(&self.class)
     }
 
-    pub(super) fn measured(&self, route: RouteIndex) -> Option<&Smoothed> {
+    pub(super) fn measured_for(&self, route: RouteIndex) -> Option<&Smoothed> {
         self.routes.get(route.0)?.as_ref()
     }
 
--- a/crates/traffic/src/admission/mod.rs
+++ b/crates/traffic/src/admission/mod.rs
@@ -25,7 +25,7 @@
     /// Relative to the other classes; above 0.
     pub weight: f64,
     /// What a request is expected to take until some have been measured.
-    pub service_guess: Duration,
+    pub initial_service_time: Duration,
 }
 
 /// What a document sets for the admission to one upstream.
@@ -40,7 +40,7 @@
     /// How long a new upstream takes to get all its slots.
     pub slow_start: Duration,
     /// How many mean deviations above the mean a request is given room to run.
-    pub certainty: f64,
+    pub service_time_deviations: f64,
     /// The shortest time after which a refused caller is asked to come back, before jitter.
     pub retry_after_min: Duration,
     /// At least one.
@@ -67,14 +67,14 @@
     pub route: Option<RouteIndex>,
     pub deadline: Timestamp,
     /// Of what use its answer will be.
-    pub useful: Use,
+    pub timeliness: Timeliness,
 }
 
 /// Of what use an answer will be to its caller. Where slots are short, those of full use go first: each slot
 /// serves one caller in time in place of another late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Use {
-    Full,
+pub enum Timeliness {
+    InTime,
     /// It will come late whatever is done.
     Late,
 }
@@ -103,9 +103,9 @@
     /// The upstream answered: its time counts.
     Answered,
     /// The upstream gave it up, or its link broke: its time counts only if longer than expected.
-    Cut,
+    Aborted,
     /// It was never given to the upstream after all: its time does not count.
-    NotGiven,
+    NotSent,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -148,7 +148,7 @@
         assert!(!config.classes.is_empty(), "there is at least one class");
         assert!(config.classes.iter().all(|it| it.weight > 0.0), "weights are above 0");
         let classes = config.classes.iter().map(Class::new).collect();
-        let service = Smoothed::new(config.classes[0].service_guess);
+        let service = Smoothed::new(config.classes[0].initial_service_time);
         Admission {
             config,
             classes,
@@ -251,7 +251,8 @@
         if self.queued == 0 {
             return None;
         }
-        let drops = self.classes.iter().filter_map(|it| it.drop_at(self.config.certainty));
+        let drops =
+            self.classes.iter().filter_map(|it| it.drop_at(self.config.service_time_deviations));
         drops.chain(self.next_ramp_step(now)).chain(self.next_cold_start(now)).min()
     }
 
@@ -276,18 +277,22 @@
     }
 
     /// What a request takes, on average over all classes as they come.
-    pub fn service_mean(&self) -> Duration {
+    pub fn mean_service_time(&self) -> Duration {
         self.service.mean()
     }
 
     /// What a request is expected to take.
-    pub fn expected(&self, class: ClassIndex, route: Option<RouteIndex>) -> Duration {
-        self.classes[class.0].costs.expected(route).mean()
+    pub fn expected_service_time(&self, class: ClassIndex, route: Option<RouteIndex>) -> Duration {
+        self.classes[class.0].costs.expected_for(route).mean()
     }
 
     /// What requests of a route were measured to take, on average; none: there were none.
-    pub fn measured(&self, class: ClassIndex, route: Option<RouteIndex>) -> Option<Duration> {
-        self.classes[class.0].costs.measured(route?).map(Smoothed::mean)
+    pub fn measured_service_time(
+        &self,
+        class: ClassIndex,
+        route: Option<RouteIndex>,
+    ) -> Option<Duration> {
+        self.classes[class.0].costs.measured_for(route?).map(Smoothed::mean)
     }
 
     /// Requests that run.
@@ -322,7 +327,7 @@
     }
 
     /// The time between two starts at a cold upstream.
-    pub fn cold_step(&self, now: Timestamp) -> Option<Duration> {
+    pub fn cold_start_interval(&self, now: Timestamp) -> Option<Duration> {
         self.warmup.as_ref()?.with(|it| it.step(now))
     }
 
@@ -356,9 +361,9 @@
     }
 
     fn enqueue(&mut self, now: Timestamp, ticket: Ticket, arrival: Arrival) {
-        let Arrival { class, route, deadline, useful } = arrival;
+        let Arrival { class, route, deadline, timeliness } = arrival;
         let budget = deadline.since(now);
-        let place = Place { useful, deadline, ticket };
+        let place = Place { timeliness, deadline, ticket };
         self.classes[class.0].push(Queued { place, route, budget }, self.virtual_s);
         self.entries.insert(ticket, Entry::Queued { class, place });
         self.queued += 1;
@@ -385,8 +390,12 @@
     ) {
         let step = self.wait_step(now, class);
         let config = &self.config;
-        let doomed =
-            self.classes[class.0].doomed(now, step, config.queue_time_max, config.certainty);
+        let doomed = self.classes[class.0].doomed(
+            now,
+            step,
+            config.queue_time_max,
+            config.service_time_deviations,
+        );
         for it in doomed {
             self.drop_queued(class, it);
             self.refuse(now, class, it, rng, out);
@@ -415,7 +424,7 @@
             let class = ClassIndex(class.expect("a request is waiting"));
             let it = self.classes[class.0].first().expect("the class has a request waiting");
             self.drop_queued(class, it);
-            match self.classes[class.0].can_finish(now, it, self.config.certainty) {
+            match self.classes[class.0].can_finish(now, it, self.config.service_time_deviations) {
                 // An idle upstream is tried all the same: see `offer`.
                 _ if self.running == 0 && it.place.deadline > now => {
                     self.start(now, it.place.ticket, class, it.route, out);
@@ -463,7 +472,7 @@
         let weights: f64 = it.weight + others.map(|(_, other)| other.weight).sum::<f64>();
         let share = it.weight / weights;
         let slot_step = it.costs.class().mean().div_f64(self.slots_at(now) as f64 * share);
-        match self.cold_step(now) {
+        match self.cold_start_interval(now) {
             Some(step) => slot_step.max(step.div_f64(share)),
             None => slot_step,
         }
--- a/crates/traffic/src/admission/tests/cold.rs
+++ b/crates/traffic/src/admission/tests/cold.rs
@@ -8,7 +8,7 @@
 
 use super::{config, ms};
 use crate::{
-    Admission, Arrival, ClassIndex, Completion, Decision, SharedWarmup, Ticket, Use, Verdict,
+    Admission, Arrival, ClassIndex, Completion, Decision, SharedWarmup, Ticket, Timeliness, Verdict,
 };
 
 const SLOTS: usize = 9;
@@ -60,8 +60,8 @@
     while let Some(Reverse((now, event))) = events.pop() {
         match event {
             Event::Comes => {
-                let (deadline, useful) = (now + OBJECTIVE, Use::Full);
-                let arrival = Arrival { class: ClassIndex(0), route: None, deadline, useful };
+                let (deadline, timeliness) = (now + OBJECTIVE, Timeliness::InTime);
+                let arrival = Arrival { class: ClassIndex(0), route: None, deadline, timeliness };
                 let ticket = admission.offer(now, arrival, &mut rng, &mut out);
                 came.insert(ticket, now);
             }
--- a/crates/traffic/src/admission/tests/coming_back.rs
+++ b/crates/traffic/src/admission/tests/coming_back.rs
@@ -8,13 +8,14 @@
 
 use super::{Fixture, config, ms};
 use crate::{
-    Admission, Arrival, ClassIndex, Completion, Decision, RouteIndex, Ticket, Use, Verdict,
+    Admission, Arrival, ClassIndex, Completion, Decision, RouteIndex, Ticket, Timeliness, Verdict,
 };
 
 impl Fixture {
     fn offer_late(&mut self, left: Duration) -> Ticket {
         let deadline = self.now + left;
-        let arrival = Arrival { class: ClassIndex(0), route: None, deadline, useful: Use::Late };
+        let arrival =
+            Arrival { class: ClassIndex(0), route: None, deadline, timeliness: Timeliness::Late };
         self.admission.offer(self.now, arrival, &mut self.rng, &mut self.out)
     }
 }
@@ -99,13 +100,13 @@
             Event::Comes(first, has_been_refused) => {
                 let left = OBJECTIVE.saturating_sub(now.since(first));
                 let is_late = late_goes_last && left.as_millis() < MEAN_MS as u128;
-                let (patience, useful) = match (late_goes_last, is_late) {
-                    (_, true) => (TIMEOUT / 4, Use::Late),
-                    (true, false) => (left, Use::Full),
-                    (false, false) => (OBJECTIVE, Use::Full),
+                let (patience, timeliness) = match (late_goes_last, is_late) {
+                    (_, true) => (TIMEOUT / 4, Timeliness::Late),
+                    (true, false) => (left, Timeliness::InTime),
+                    (false, false) => (OBJECTIVE, Timeliness::InTime),
                 };
                 let (class, route) = (ClassIndex(0), Some(RouteIndex(0)));
-                let arrival = Arrival { class, route, deadline: now + patience, useful };
+                let arrival = Arrival { class, route, deadline: now + patience, timeliness };
                 let ticket = admission.offer(now, arrival, &mut rng, &mut out);
                 callers.insert(ticket, (first, has_been_refused));
             }
--- a/crates/traffic/src/admission/tests/mod.rs
+++ b/crates/traffic/src/admission/tests/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     Admission, AdmissionConfig, Arrival, ClassConfig, ClassIndex, Completion, Decision, Ticket,
-    Use, Verdict, tests::seeded,
+    Timeliness, Verdict, tests::seeded,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -23,14 +23,14 @@
     let class = |(index, weight): (usize, &f64)| ClassConfig {
         name: ClassName::new(&format!("class-{index}")).unwrap(),
         weight: *weight,
-        service_guess: ms(10),
+        initial_service_time: ms(10),
     };
     AdmissionConfig {
         slots,
         queue_len_max: 200,
         queue_time_max: ms(1000),
         slow_start: Duration::ZERO,
-        certainty: 4.0,
+        service_time_deviations: 4.0,
         retry_after_min: ms(50),
         classes: weights.iter().enumerate().map(class).collect(),
     }
@@ -56,7 +56,7 @@
             class: ClassIndex(class),
             route: None,
             deadline: self.now + left,
-            useful: Use::Full,
+            timeliness: Timeliness::InTime,
         };
         self.admission.offer(self.now, arrival, &mut self.rng, &mut self.out)
     }
--- a/crates/traffic/src/admission/tests/overload.rs
+++ b/crates/traffic/src/admission/tests/overload.rs
@@ -10,7 +10,8 @@
 
 use super::{config, ms};
 use crate::{
-    Admission, AdmissionConfig, Arrival, ClassIndex, Completion, RouteIndex, Ticket, Use, Verdict,
+    Admission, AdmissionConfig, Arrival, ClassIndex, Completion, RouteIndex, Ticket, Timeliness,
+    Verdict,
 };
 
 const SLOTS: usize = 12;
@@ -107,7 +108,7 @@
             class: ClassIndex(class),
             route: self.load.is_told.then_some(RouteIndex(route)),
             deadline: now + self.load.deadline,
-            useful: Use::Full,
+            timeliness: Timeliness::InTime,
         };
         self.step(now, |it, out| {
             it.admission.offer(now, arrival, &mut it.rng, out);
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -19,11 +19,11 @@
 
 pub use admission::{
     Admission, AdmissionConfig, Arrival, ClassConfig, ClassIndex, Completion, Decision, RouteIndex,
-    Ticket, Use, Verdict,
+    Ticket, Timeliness, Verdict,
 };
 pub use quarantine::{EndId, Quarantine, Standing};
 pub use records::{
-    Answer, Begin, EndedRecord, Record, RecordUnit, Records, RecordsConfig, SlotRecords,
+    Answer, BeginResult, Record, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
 };
 pub use retry::{Attempt, Attempts, Charge, Retries, RetryConfig, RetryVerdict};
 pub use selection::{
--- a/crates/traffic/src/selection/tests/many.rs
+++ b/crates/traffic/src/selection/tests/many.rs
@@ -128,14 +128,14 @@
     let class = |name: &str| ClassConfig {
         name: ClassName::new(name).unwrap(),
         weight: 1.0,
-        service_guess: ms(10),
+        initial_service_time: ms(10),
     };
     let config = AdmissionConfig {
         slots: SLOTS,
         queue_len_max: 256,
         queue_time_max: ms(3_000),
         slow_start: Duration::ZERO,
-        certainty: 4.0,
+        service_time_deviations: 4.0,
         retry_after_min: ms(50),
         classes: vec![class("reads"), class("calls")],
     };
@@ -254,8 +254,8 @@
         let report = GateReport {
             backlog: (gate.running() + gate.queued()) as u32,
             slots: gate.slots_at(now) as u32,
-            service: gate.service_mean(),
-            kind: gate.measured(ClassIndex(kind), route).map(|it| (kind as u8, it)),
+            service: gate.mean_service_time(),
+            kind: gate.measured_service_time(ClassIndex(kind), route).map(|it| (kind as u8, it)),
         };
         self.reports.push(report);
         let report = Some(self.reports.len() - 1);
@@ -280,7 +280,7 @@
                     class: ClassIndex(kind),
                     route: Some(RouteIndex(kind)),
                     deadline,
-                    useful: Use::Full,
+                    timeliness: Use::Full,
                 };
                 let ticket = self.gates[target].offer(now, arrival, &mut self.rng, &mut out);
                 self.tickets[target].insert(ticket, request);
