--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use settings::TrafficLimits;
 use tokio::time::sleep;
-use traffic::{Attempt, Attempts, Charge, Retries, RetryConfig, RetryVerdict};
+use traffic::{Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict};
 
 use crate::{
     clock::Clock,
@@ -127,7 +127,7 @@
             };
             let state = self.state(&routes);
             if std::mem::take(&mut fresh) {
-                state.retries().fresh();
+                state.retries().add_request();
             }
             let now = clock.now();
             request.remaining = deadline.since(now);
@@ -143,11 +143,11 @@
                 GateReply::Failed { retry_after, .. } => *retry_after,
                 _ => None,
             };
-            let ended = Attempt {
+            let ended = EndedAttempt {
                 outcome: reply.outcome(),
                 retry_after,
-                other_owner: trail.hint.is_some(),
-                others_left: others_left(&routes, &trail),
+                is_redirect: trail.hint.is_some(),
+                has_untried_target: has_untried_target(&routes, &trail),
             };
             if ended.outcome == Outcome::Answered {
                 self.parts.quarantine.answered(content);
@@ -159,7 +159,7 @@
             let idempotent = request.idempotent;
             let verdict = state.decide(clock.now(), deadline, idempotent, &mut attempts, &ended);
             match verdict {
-                RetryVerdict::Follow => self.parts.metrics.again(team, "redirect"),
+                RetryVerdict::FollowRedirect => self.parts.metrics.again(team, "redirect"),
                 RetryVerdict::Retry { after } => {
                     self.parts.metrics.again(team, "retry");
                     sleep(after).await;
@@ -233,7 +233,7 @@
 }
 
 /// Whether a member may take the request that has not been asked yet.
-fn others_left(routes: &ServiceRoutes, trail: &Trail) -> bool {
+fn has_untried_target(routes: &ServiceRoutes, trail: &Trail) -> bool {
     let Routes::Any(members) = &routes.routes else { return false };
     let fresh = |it: &&MemberRoute| !trail.tried.contains(&it.instance);
     members.iter().filter(|it| it.state == UpstreamState::Ready).any(|it| fresh(&it))
@@ -244,8 +244,8 @@
         budget_share: limits.retry_share,
         budget_max: f64::from(limits.retry_burst),
         charge: match limits.retries_count_after_upstream {
-            true => Charge::AfterUpstream,
-            false => Charge::EveryRetry,
+            true => ChargePolicy::AfterUpstream,
+            false => ChargePolicy::EveryRetry,
         },
         unowned_wait: limits.unowned_wait,
         ..RetryConfig::default()
@@ -290,7 +290,7 @@
         deadline: Timestamp,
         idempotent: bool,
         attempts: &mut Attempts,
-        ended: &Attempt,
+        ended: &EndedAttempt,
     ) -> RetryVerdict {
         self.retries().decide(now, deadline, idempotent, attempts, ended, &mut rand::rng())
     }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -25,7 +25,7 @@
 pub use records::{
     Answer, BeginResult, Record, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
 };
-pub use retry::{Attempt, Attempts, Charge, Retries, RetryConfig, RetryVerdict};
+pub use retry::{Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict};
 pub use selection::{
     GateReport, HealthHint, Picked, Selection, SelectionConfig, Sending, TargetResult, TargetSpec,
     TargetState, TargetView, Weighed,
--- a/crates/traffic/src/retry/mod.rs
+++ b/crates/traffic/src/retry/mod.rs
@@ -29,7 +29,7 @@
 
 /// Which retries the budget pays for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Charge {
+pub enum ChargePolicy {
     /// Each one, whoever refused the sending before it.
     EveryRetry,
     /// Only those after a sending that may have reached an upstream: what a gate refuses by itself
@@ -50,8 +50,8 @@
     /// Retries of one request, stale routes not counted.
     pub retries_max: u8,
     /// Stale routes that one request follows.
-    pub hops_max: u8,
-    pub charge: Charge,
+    pub redirects_max: u8,
+    pub charge: ChargePolicy,
     /// How long a request waits in all for a key that nobody owns; without charge.
     pub unowned_wait: Duration,
 }
@@ -64,8 +64,8 @@
             backoff_base: Duration::from_millis(10),
             backoff_max: Duration::from_millis(500),
             retries_max: 3,
-            hops_max: 3,
-            charge: Charge::EveryRetry,
+            redirects_max: 3,
+            charge: ChargePolicy::EveryRetry,
             unowned_wait: Duration::ZERO,
         }
     }
@@ -75,20 +75,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempts {
     pub retries: u8,
-    pub hops: u8,
+    pub redirects: u8,
     /// Targets that were asked after others had refused the request without giving it to an upstream.
-    pub elsewhere: u8,
+    pub immediate_retries: u8,
     /// Sendings that may have reached an upstream, and the most of them.
-    pub given: u8,
-    pub given_max: u8,
+    pub upstream_attempts: u8,
+    pub upstream_attempts_max: u8,
     /// Time spent waiting for an owner of the key.
     pub waited: Duration,
 }
 
 impl Attempts {
     /// A request that may be given to so many upstreams.
-    pub fn new(given_max: u8) -> Attempts {
-        Attempts { retries: 0, hops: 0, elsewhere: 0, given: 0, given_max, waited: Duration::ZERO }
+    pub fn new(upstream_attempts_max: u8) -> Attempts {
+        Attempts {
+            retries: 0,
+            redirects: 0,
+            immediate_retries: 0,
+            upstream_attempts: 0,
+            upstream_attempts_max,
+            waited: Duration::ZERO,
+        }
     }
 }
 
@@ -100,21 +107,21 @@
 
 /// How one sending ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Attempt {
+pub struct EndedAttempt {
     pub outcome: Outcome,
     /// When the peer asked to come back.
     pub retry_after: Option<Duration>,
     /// The peer named another owner for the key than the one that was asked.
-    pub other_owner: bool,
+    pub is_redirect: bool,
     /// There is a target that has not been asked yet and may take it.
-    pub others_left: bool,
+    pub has_untried_target: bool,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryVerdict {
     /// Send it to the owner that the peer named, now.
-    Follow,
+    FollowRedirect,
     /// Send it again after this time.
     Retry { after: Duration },
     /// Tell the caller the outcome now, and when to come back if that makes sense.
@@ -136,7 +143,7 @@
     }
 
     /// A fresh request of a caller: pays a share of a retry into the budget.
-    pub fn fresh(&mut self) {
+    pub fn add_request(&mut self) {
         self.budget = (self.budget + self.config.budget_share).min(self.config.budget_max);
     }
 
@@ -147,20 +154,23 @@
         deadline: Timestamp,
         idempotent: bool,
         attempts: &mut Attempts,
-        ended: &Attempt,
+        ended: &EndedAttempt,
         rng: &mut impl Rng,
     ) -> RetryVerdict {
         let left = deadline.since(now);
         let reached = may_have_reached_upstream(ended.outcome);
-        attempts.given = attempts.given.saturating_add(u8::from(reached));
-        if ended.other_owner && attempts.hops < self.config.hops_max && left > Duration::ZERO {
-            attempts.hops += 1;
-            return RetryVerdict::Follow;
+        attempts.upstream_attempts = attempts.upstream_attempts.saturating_add(u8::from(reached));
+        if ended.is_redirect
+            && attempts.redirects < self.config.redirects_max
+            && left > Duration::ZERO
+        {
+            attempts.redirects += 1;
+            return RetryVerdict::FollowRedirect;
         }
         if let Some(after) = self.wait_for_owner(ended.outcome, attempts, left, rng) {
             return RetryVerdict::Retry { after };
         }
-        if let Some(verdict) = self.elsewhere(ended, reached, attempts, left) {
+        if let Some(verdict) = self.retry_immediately(ended, reached, attempts, left) {
             return verdict;
         }
         let backoff = self.backoff(attempts.retries, rng);
@@ -172,11 +182,11 @@
         let give_up = RetryVerdict::GiveUp { retry_after: self.come_back(ended, after) };
         let allowed = may_retry(ended.outcome, idempotent)
             && attempts.retries < self.config.retries_max
-            && attempts.given < attempts.given_max
+            && attempts.upstream_attempts < attempts.upstream_attempts_max
             && after + USEFUL_MIN < left;
         let charge = match self.config.charge {
-            Charge::AfterUpstream if !reached => 0.0,
-            Charge::AfterUpstream | Charge::EveryRetry => 1.0,
+            ChargePolicy::AfterUpstream if !reached => 0.0,
+            ChargePolicy::AfterUpstream | ChargePolicy::EveryRetry => 1.0,
         };
         if !allowed || self.budget < charge {
             return give_up;
@@ -189,19 +199,22 @@
     /// Where only upstreams count, a gate's refusal costs nobody else anything: the next target is asked
     /// at once, and when all have refused for want of room the caller is told so, and when to come back,
     /// in place of being held.
-    fn elsewhere(
+    fn retry_immediately(
         &self,
-        ended: &Attempt,
+        ended: &EndedAttempt,
         reached: bool,
         attempts: &mut Attempts,
         left: Duration,
     ) -> Option<RetryVerdict> {
         let Outcome::NotRun(reason) = ended.outcome else { return None };
-        if self.config.charge != Charge::AfterUpstream || reached || !is_transient(reason) {
+        if self.config.charge != ChargePolicy::AfterUpstream || reached || !is_transient(reason) {
             return None;
         }
-        if ended.others_left && attempts.elsewhere < ELSEWHERE_MAX && left > Duration::ZERO {
-            attempts.elsewhere += 1;
+        if ended.has_untried_target
+            && attempts.immediate_retries < ELSEWHERE_MAX
+            && left > Duration::ZERO
+        {
+            attempts.immediate_retries += 1;
             return Some(RetryVerdict::Retry { after: Duration::ZERO });
         }
         let full = reason == NotRunReason::Overloaded;
@@ -237,7 +250,7 @@
         bound.mul_f64(rng.random_range(0.0..1.0))
     }
 
-    fn come_back(&self, ended: &Attempt, after: Duration) -> Option<Duration> {
+    fn come_back(&self, ended: &EndedAttempt, after: Duration) -> Option<Duration> {
         match ended.outcome {
             Outcome::NotRun(reason) if is_transient(reason) => Some(after),
             _ => None,
--- a/crates/traffic/src/retry/tests.rs
+++ b/crates/traffic/src/retry/tests.rs
@@ -7,13 +7,15 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::LOST_PAUSE;
-use crate::{Attempt, Attempts, Charge, Retries, RetryConfig, RetryVerdict, tests::seeded};
+use crate::{
+    Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict, tests::seeded,
+};
 
 const SHED: Outcome = Outcome::NotRun(NotRunReason::Overloaded);
 const LOST: Outcome = Outcome::Unknown(UnknownReason::ConnectionLost);
 
-fn attempt(outcome: Outcome) -> Attempt {
-    Attempt { outcome, retry_after: None, other_owner: false, others_left: false }
+fn attempt(outcome: Outcome) -> EndedAttempt {
+    EndedAttempt { outcome, retry_after: None, is_redirect: false, has_untried_target: false }
 }
 
 fn decide(outcome: Outcome, idempotent: bool, left_ms: u64) -> RetryVerdict {
@@ -69,7 +71,7 @@
     let mut retries = Retries::new(RetryConfig::default());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let asked = Duration::from_millis(300);
-    let ended = Attempt { retry_after: Some(asked), ..attempt(SHED) };
+    let ended = EndedAttempt { retry_after: Some(asked), ..attempt(SHED) };
     let mut decide = |left_ms| {
         let deadline = Timestamp::from_ms(left_ms);
         let mut attempts = Attempts::default();
@@ -87,14 +89,15 @@
     let config = RetryConfig { budget_max: 0.0, ..RetryConfig::default() };
     let mut retries = Retries::new(config);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let ended = Attempt { other_owner: true, ..attempt(Outcome::NotRun(NotRunReason::NotOwner)) };
+    let ended =
+        EndedAttempt { is_redirect: true, ..attempt(Outcome::NotRun(NotRunReason::NotOwner)) };
     let mut attempts = Attempts::default();
     let mut decide = || {
         let deadline = Timestamp::from_ms(1000);
         retries.decide(Timestamp::ZERO, deadline, false, &mut attempts, &ended, &mut rng)
     };
     for _ in 0..3 {
-        assert_eq!(decide(), RetryVerdict::Follow);
+        assert_eq!(decide(), RetryVerdict::FollowRedirect);
     }
     assert!(matches!(decide(), RetryVerdict::GiveUp { .. }));
 }
@@ -109,7 +112,7 @@
         let fresh = 1000;
         let mut sent_again = 0;
         for ms in 0..fresh {
-            retries.fresh();
+            retries.add_request();
             let now = Timestamp::from_ms(ms);
             let deadline = now + Duration::from_millis(rng.random_range(0..2000));
             let mut attempts = Attempts::default();
@@ -139,7 +142,7 @@
         let ended = attempt(outcome);
         match retries.decide(now, deadline, true, &mut attempts, &ended, &mut rng) {
             RetryVerdict::Retry { after } => now = now + after,
-            RetryVerdict::Follow | RetryVerdict::GiveUp { .. } => return count,
+            RetryVerdict::FollowRedirect | RetryVerdict::GiveUp { .. } => return count,
         }
         count += 1;
     }
@@ -156,8 +159,11 @@
 
 #[test]
 fn refusals_of_gates_are_free_where_only_upstreams_count() {
-    let config =
-        RetryConfig { budget_max: 0.0, charge: Charge::AfterUpstream, ..RetryConfig::default() };
+    let config = RetryConfig {
+        budget_max: 0.0,
+        charge: ChargePolicy::AfterUpstream,
+        ..RetryConfig::default()
+    };
     let unreachable = Outcome::NotRun(NotRunReason::Unreachable);
     assert_eq!(retries_of(&config, unreachable, Attempts::default()), 3);
     assert_eq!(retries_of(&config, REFUSED, Attempts::default()), 0);
@@ -169,7 +175,7 @@
     let wait = Duration::from_millis(1500);
     let config = RetryConfig {
         budget_max: 0.0,
-        charge: Charge::AfterUpstream,
+        charge: ChargePolicy::AfterUpstream,
         retries_max: 0,
         unowned_wait: wait,
         ..RetryConfig::default()
@@ -182,13 +188,13 @@
 /// when to come back.
 #[test]
 fn a_full_target_is_followed_by_others_at_once() {
-    let config = RetryConfig { charge: Charge::AfterUpstream, ..RetryConfig::default() };
+    let config = RetryConfig { charge: ChargePolicy::AfterUpstream, ..RetryConfig::default() };
     let mut retries = Retries::new(config);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut attempts = Attempts::default();
     let back = Some(Duration::from_millis(300));
-    let mut decide = |others_left| {
-        let ended = Attempt { retry_after: back, others_left, ..attempt(SHED) };
+    let mut decide = |has_untried_target| {
+        let ended = EndedAttempt { retry_after: back, has_untried_target, ..attempt(SHED) };
         let deadline = Timestamp::from_ms(1000);
         retries.decide(Timestamp::ZERO, deadline, true, &mut attempts, &ended, &mut rng)
     };
