--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -193,7 +193,7 @@
         let target = picked.instance;
         placing.tries += 1;
         placing.sent_to = Some(target.clone());
-        placing.weighed = picked.weighed;
+        placing.weighed = picked.comparison;
         let asking = state.selector.start(now, self.parts.clock, &target, routes, request);
         let Replied { reply, load } = self.ask(&target, request).await;
         if let Some(load) = load {
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -9,8 +9,8 @@
 use model::{Instance, InstanceName, KeyHash, NotRunReason, Outcome, RequestId, Timestamp};
 use ownership::UpstreamState;
 use traffic::{
-    GateReport, HealthHint, Picked, Selection, SelectionConfig, Sending, TargetResult, TargetSpec,
-    TargetState,
+    GateReport, HealthHint, PickedTarget, RequestProfile, Selection, SelectionConfig, TargetResult,
+    TargetSpec, TargetState,
 };
 use wire::traffic::GateLoad;
 
@@ -61,8 +61,8 @@
         request: &GateRequest,
         hint: Option<Instance>,
         tried: &[Instance],
-    ) -> Option<Picked> {
-        let only = |instance| Picked { instance, weighed: None };
+    ) -> Option<PickedTarget> {
+        let only = |instance| PickedTarget { instance, comparison: None };
         match (&routes.routes, request.key_hash) {
             _ if hint.is_some() => hint.map(only),
             (Routes::ByKey(routes), Some(key_hash)) => by_key(routes, key_hash, tried).map(only),
@@ -108,7 +108,7 @@
         request: &GateRequest,
         members: &[MemberRoute],
         tried: &[Instance],
-    ) -> Option<Picked> {
+    ) -> Option<PickedTarget> {
         let mut lock = lock(&self.selection);
         let selecting = lock.get_or_insert_with(|| {
             let slow_start = routes.document.upstream.warmup;
@@ -124,8 +124,8 @@
         }
         let mut tried: Vec<InstanceName> = tried.iter().map(|it| it.name.clone()).collect();
         tried.extend(self.avoided(now));
-        let sending = Sending { kind: request.kind, objective: request.objective };
-        selecting.selection.pick(now, sending, &tried, &mut rand::rng())
+        let profile = RequestProfile { kind: request.kind, objective: request.objective };
+        selecting.selection.pick(now, profile, &tried, &mut rand::rng())
     }
 
     /// Takes in what a gate says of its load.
@@ -139,8 +139,8 @@
         let report = GateReport {
             backlog: load.running.saturating_add(load.queued),
             slots: load.slots,
-            service: Duration::from_micros(load.service_us),
-            kind: kind.zip(load.kind_us.map(Duration::from_micros)),
+            service_time: Duration::from_micros(load.service_us),
+            kind_service_time: kind.zip(load.kind_us.map(Duration::from_micros)),
         };
         if let Some(selecting) = &mut *lock(&self.selection) {
             selecting.selection.report(now, target, report);
--- a/crates/agent/src/request_log/mod.rs
+++ b/crates/agent/src/request_log/mod.rs
@@ -9,7 +9,7 @@
 use log::Level;
 use logging::LineRate;
 use model::{ConfigVersion, Instance, RequestId, Timestamp};
-use traffic::Weighed;
+use traffic::TargetComparison;
 
 use crate::{
     clock::Clock,
@@ -54,7 +54,7 @@
     /// The last of them.
     pub(crate) sent_to: Option<Instance>,
     /// What that one was weighed by; none: there was no choice, or gates do not tell their loads.
-    pub(crate) weighed: Option<Weighed>,
+    pub(crate) weighed: Option<TargetComparison>,
     /// Of the service's document that it was placed by.
     pub(crate) config: Option<ConfigVersion>,
     /// Of the routes that it was placed by; zero where any member may take it.
@@ -123,7 +123,7 @@
             sent_to:% = Named(placing.sent_to.as_ref()),
             tries = placing.tries,
             weighed = placing.weighed.as_ref().map_or(0, |it| it.targets),
-            expected_ms = whole_ms(placing.weighed.as_ref().map_or(Duration::ZERO, |it| it.expected)),
+            expected_ms = whole_ms(placing.weighed.as_ref().map_or(Duration::ZERO, |it| it.expected_latency)),
             load_age_ms:% = LoadAge(placing.weighed.as_ref()),
             next_best:% = NextBest(placing.weighed.as_ref()),
             spent_ms = whole_ms(now.since(underway.started)),
@@ -251,7 +251,7 @@
 }
 
 /// How old the word of the chosen gate was, in milliseconds.
-struct LoadAge<'a>(Option<&'a Weighed>);
+struct LoadAge<'a>(Option<&'a TargetComparison>);
 
 impl fmt::Display for LoadAge<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -263,7 +263,7 @@
 }
 
 /// The second best target, and what it was expected to take.
-struct NextBest<'a>(Option<&'a Weighed>);
+struct NextBest<'a>(Option<&'a TargetComparison>);
 
 impl fmt::Display for NextBest<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/traffic/src/selection/mod.rs
+++ b/crates/traffic/src/selection/mod.rs
@@ -39,15 +39,15 @@
     /// How long a new target takes to get its full share.
     pub slow_start: Duration,
     /// A target with requests in flight and no answer for this long gets no new work.
-    pub frozen_after: Duration,
+    pub unresponsive_after: Duration,
     /// Failures in a row that eject a target.
     pub eject_failures: u32,
     /// How long the first ejection lasts; each one in a row lasts as much longer.
-    pub eject_for: Duration,
+    pub ejection_duration: Duration,
     /// The largest share of all targets that is ejected at a time.
     pub eject_share_max: f64,
     /// What a request is expected to take until some have been measured.
-    pub latency_guess: Duration,
+    pub initial_latency: Duration,
 }
 
 impl Default for SelectionConfig {
@@ -56,18 +56,18 @@
             spill_in_flight: 10.0,
             zone_penalty: Duration::from_millis(2),
             slow_start: Duration::from_secs(10),
-            frozen_after: Duration::from_secs(1),
+            unresponsive_after: Duration::from_secs(1),
             eject_failures: 5,
-            eject_for: Duration::from_secs(5),
+            ejection_duration: Duration::from_secs(5),
             eject_share_max: 0.34,
-            latency_guess: Duration::from_millis(20),
+            initial_latency: Duration::from_millis(20),
         }
     }
 }
 
 /// What is to be sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sending {
+pub struct RequestProfile {
     /// Requests of one kind are expected to take alike; none: as all do.
     pub kind: Option<u8>,
     /// The time left in which an answer is of full use; none: not known.
@@ -76,18 +76,18 @@
 
 /// A target that was picked, and what it was weighed by.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Picked {
+pub struct PickedTarget {
     pub instance: Instance,
     /// None: gates do not report their loads, and chance and requests in flight decided.
-    pub weighed: Option<Weighed>,
+    pub comparison: Option<TargetComparison>,
 }
 
 /// What targets were expected to take, way included, by what their gates had last said.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Weighed {
+pub struct TargetComparison {
     /// How many were compared.
     pub targets: usize,
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// How old the word of the picked target's gate was; none: it had said nothing lately.
     pub load_age: Option<Duration>,
     /// The second best.
@@ -125,7 +125,7 @@
             let known = former.iter().position(|it| it.instance == spec.instance);
             let mut target = match known {
                 Some(index) => former.swap_remove(index),
-                None => Target::new(spec.instance.clone(), self.config.latency_guess, now),
+                None => Target::new(spec.instance.clone(), self.config.initial_latency, now),
             };
             target.state = spec.state;
             target.hint = spec.hint;
@@ -145,32 +145,32 @@
     pub fn pick(
         &mut self,
         now: Timestamp,
-        sending: Sending,
+        profile: RequestProfile,
         tried: &[InstanceName],
         rng: &mut impl Rng,
-    ) -> Option<Picked> {
+    ) -> Option<PickedTarget> {
         let fit = |it: &&Target| it.takes_work(&self.config, now);
         let fresh = |it: &&Target| !tried.contains(&it.instance.name);
         let able: Vec<usize> = self.indexes(|it| fit(&it) && fresh(&it));
         let able = if able.is_empty() { self.indexes(|it| fit(&it)) } else { able };
-        let ranking = self.by_reports(now, sending, &able, rng);
+        let ranking = self.by_reports(now, profile, &able, rng);
         let index = match &ranking {
             Some(it) => it.best.0,
             None => self.choose(now, &able, rng)?,
         };
-        let weighed = ranking.map(|it| self.weighed(now, it));
+        let comparison = ranking.map(|it| self.comparison(now, it));
         let target = &mut self.targets[index];
         target.start(now);
-        Some(Picked { instance: target.instance.clone(), weighed })
+        Some(PickedTarget { instance: target.instance.clone(), comparison })
     }
 
-    fn weighed(&self, now: Timestamp, ranking: Ranking) -> Weighed {
+    fn comparison(&self, now: Timestamp, ranking: Ranking) -> TargetComparison {
         let expected = |s: f64| Duration::try_from_secs_f64(s).unwrap_or(Duration::MAX);
         let (index, expected_s) = ranking.best;
         let next_best = ranking.next_best;
-        Weighed {
+        TargetComparison {
             targets: ranking.targets,
-            expected: expected(expected_s),
+            expected_latency: expected(expected_s),
             load_age: self.targets[index].load_age(now),
             next_best: next_best.map(|it| (self.targets[it.0].instance.clone(), expected(it.1))),
         }
@@ -229,11 +229,11 @@
     fn by_reports(
         &self,
         now: Timestamp,
-        sending: Sending,
+        profile: RequestProfile,
         able: &[usize],
         rng: &mut impl Rng,
     ) -> Option<Ranking> {
-        let Sending { kind, objective } = sending;
+        let RequestProfile { kind, objective } = profile;
         let usual_s = self.usual_s(now, kind, able)?;
         let ahead = objective.filter(|it| !it.is_zero());
         let way_max = ahead.map_or(Duration::MAX, |it| it.mul_f64(WAY_SHARE_MAX));
@@ -299,7 +299,7 @@
     /// The least latency measured at any target, in seconds.
     fn best_s(&self) -> f64 {
         let measured = self.targets.iter().filter_map(Target::measured_s);
-        let guess_s = self.config.latency_guess.as_secs_f64();
+        let guess_s = self.config.initial_latency.as_secs_f64();
         measured.min_by(f64::total_cmp).unwrap_or(guess_s)
     }
 }
--- a/crates/traffic/src/selection/target.rs
+++ b/crates/traffic/src/selection/target.rs
@@ -5,7 +5,7 @@
 use model::{Instance, Timestamp};
 
 use super::SelectionConfig;
-use crate::Smoothed;
+use crate::SmoothedDuration;
 
 /// A new target's share of work at the least, so that it gets any.
 const RAMP_MIN: f64 = 0.1;
@@ -36,7 +36,7 @@
 /// What a target's health and load endpoints say; may lag or mislead.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct HealthHint {
-    pub ill: bool,
+    pub is_unhealthy: bool,
     /// 0 idle, 1 full.
     pub load: f64,
 }
@@ -57,9 +57,9 @@
     pub backlog: u32,
     pub slots: u32,
     /// What a request takes there, on average over all kinds as they come.
-    pub service: Duration,
+    pub service_time: Duration,
     /// What one of the kind that was asked for takes there, if any has been measured.
-    pub kind: Option<(u8, Duration)>,
+    pub kind_service_time: Option<(u8, Duration)>,
 }
 
 /// A gate's report, and what has become of it since.
@@ -91,8 +91,8 @@
     pub instance: Instance,
     pub in_flight: u32,
     pub latency: Duration,
-    pub ejected: bool,
-    pub frozen: bool,
+    pub is_ejected: bool,
+    pub is_unresponsive: bool,
 }
 
 #[derive(Debug, Clone)]
@@ -102,7 +102,7 @@
     pub(super) hint: HealthHint,
     since: Timestamp,
     in_flight: u32,
-    latency: Smoothed,
+    latency: SmoothedDuration,
     reported: Option<Reported>,
     /// What requests of each kind take there, as its gate last said.
     kinds: HashMap<u8, (Duration, Timestamp)>,
@@ -114,14 +114,14 @@
 }
 
 impl Target {
-    pub(super) fn new(instance: Instance, latency_guess: Duration, now: Timestamp) -> Target {
+    pub(super) fn new(instance: Instance, initial_latency: Duration, now: Timestamp) -> Target {
         Target {
             instance,
             state: TargetState::Closed,
             hint: HealthHint::default(),
             since: now,
             in_flight: 0,
-            latency: Smoothed::new(latency_guess),
+            latency: SmoothedDuration::new(initial_latency),
             reported: None,
             kinds: HashMap::new(),
             last_sign: now,
@@ -132,7 +132,9 @@
     }
 
     pub(super) fn takes_work(&self, config: &SelectionConfig, now: Timestamp) -> bool {
-        self.state == TargetState::Ready && !self.is_ejected(now) && !self.is_frozen(config, now)
+        self.state == TargetState::Ready
+            && !self.is_ejected(now)
+            && !self.is_unresponsive(config, now)
     }
 
     pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
@@ -141,8 +143,8 @@
 
     /// Requests in flight and no sign of life. Deadlines and cancellations end what is in flight,
     /// and with it the state: then one request at a time finds out whether it is back.
-    pub(super) fn is_frozen(&self, config: &SelectionConfig, now: Timestamp) -> bool {
-        let silence_max = config.frozen_after.max(self.latency.mean() * SILENT_LATENCIES);
+    pub(super) fn is_unresponsive(&self, config: &SelectionConfig, now: Timestamp) -> bool {
+        let silence_max = config.unresponsive_after.max(self.latency.mean() * SILENT_LATENCIES);
         self.in_flight > 0 && now.since(self.last_sign) > silence_max
     }
 
@@ -161,7 +163,7 @@
     }
 
     pub(super) fn report(&mut self, now: Timestamp, report: GateReport) {
-        if let Some((kind, takes)) = report.kind {
+        if let Some((kind, takes)) = report.kind_service_time {
             self.kinds.insert(kind, (takes, now));
         }
         let backlog = f64::from(report.backlog);
@@ -172,7 +174,7 @@
 
     /// What a request takes here, on average over all kinds; none: the gate has said nothing for long.
     pub(super) fn service_s(&self, now: Timestamp) -> Option<f64> {
-        Some(self.heard(now)?.report.service.as_secs_f64())
+        Some(self.heard(now)?.report.service_time.as_secs_f64())
     }
 
     /// What a request of a kind takes here by itself.
@@ -187,7 +189,7 @@
     pub(super) fn wait_s(&self, now: Timestamp) -> Option<f64> {
         let Reported { report, at, sent, usual_backlog } = self.heard(now)?;
         let slots = f64::from(report.slots.max(1));
-        let service_s = report.service.as_secs_f64();
+        let service_s = report.service_time.as_secs_f64();
         let left = (-now.since(at).as_secs_f64() / service_s.max(f64::MIN_POSITIVE)).exp();
         let told = f64::from(report.backlog) + f64::from(sent);
         let backlog = usual_backlog + (told - usual_backlog) * left;
@@ -233,13 +235,13 @@
         }
         self.failures_in_row = 0;
         self.ejections_in_row = (self.ejections_in_row + 1).min(EJECTIONS_MAX);
-        self.ejected_until = now + config.eject_for * self.ejections_in_row;
+        self.ejected_until = now + config.ejection_duration * self.ejections_in_row;
     }
 
     /// The expected wait at this target, in seconds: less is better. `best_s` is the
     /// least latency of any target.
     pub(super) fn cost_s(&self, config: &SelectionConfig, now: Timestamp, best_s: f64) -> f64 {
-        let ill = if self.hint.ill { HINT_ILL_WEIGHT } else { 0.0 };
+        let ill = if self.hint.is_unhealthy { HINT_ILL_WEIGHT } else { 0.0 };
         let hint = 1.0 + ill + HINT_LOAD_WEIGHT * self.hint.load.clamp(0.0, 1.0);
         (self.in_flight_share(config, now) + 1.0) * self.latency_s(now, best_s) * hint
     }
@@ -281,8 +283,8 @@
             instance: self.instance.clone(),
             in_flight: self.in_flight,
             latency: self.latency.mean(),
-            ejected: self.is_ejected(now),
-            frozen: self.is_frozen(config, now),
+            is_ejected: self.is_ejected(now),
+            is_unresponsive: self.is_unresponsive(config, now),
         }
     }
 }
--- a/crates/traffic/src/selection/tests/many.rs
+++ b/crates/traffic/src/selection/tests/many.rs
@@ -11,8 +11,8 @@
 use super::{ms, spec};
 use crate::{
     Admission, AdmissionConfig, Arrival, ClassConfig, ClassIndex, Completion, Decision, GateReport,
-    RouteIndex, Selection, SelectionConfig, Sending, TargetResult, TargetSpec, Ticket, Use,
-    Verdict,
+    RequestProfile, RouteIndex, Selection, SelectionConfig, TargetResult, TargetSpec, Ticket,
+    Timeliness, Verdict,
 };
 
 const SLOTS: usize = 9;
@@ -217,8 +217,8 @@
         let tried: Vec<_> = tried.iter().map(|it| it.name.clone()).collect();
         let (selection, zone) = &mut self.agents[agent];
         let objective = Some(KINDS[kind].objective);
-        let sending = Sending { kind: Some(kind as u8), objective };
-        let Some(picked) = selection.pick(now, sending, &tried, &mut self.rng) else {
+        let profile = RequestProfile { kind: Some(kind as u8), objective };
+        let Some(picked) = selection.pick(now, profile, &tried, &mut self.rng) else {
             self.seen.refused[self.requests[request].kind] += 1;
             return;
         };
@@ -254,8 +254,10 @@
         let report = GateReport {
             backlog: (gate.running() + gate.queued()) as u32,
             slots: gate.slots_at(now) as u32,
-            service: gate.mean_service_time(),
-            kind: gate.measured_service_time(ClassIndex(kind), route).map(|it| (kind as u8, it)),
+            service_time: gate.mean_service_time(),
+            kind_service_time: gate
+                .measured_service_time(ClassIndex(kind), route)
+                .map(|it| (kind as u8, it)),
         };
         self.reports.push(report);
         let report = Some(self.reports.len() - 1);
--- a/crates/traffic/src/selection/tests/mod.rs
+++ b/crates/traffic/src/selection/tests/mod.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
-    HealthHint, Selection, SelectionConfig, Sending, TargetResult, TargetSpec, TargetState,
+    HealthHint, RequestProfile, Selection, SelectionConfig, TargetResult, TargetSpec, TargetState,
     tests::seeded,
 };
 
@@ -47,7 +47,9 @@
     }
 
     fn pick(&mut self) -> Option<Instance> {
-        self.selection.pick(self.now, Sending::default(), &[], &mut self.rng).map(|it| it.instance)
+        self.selection
+            .pick(self.now, RequestProfile::default(), &[], &mut self.rng)
+            .map(|it| it.instance)
     }
 
     fn finish(&mut self, instance: &Instance, result: TargetResult) {
@@ -100,7 +102,7 @@
     });
     assert_eq!(picks[0], 5);
     it.picks(|_| TargetResult::Failed);
-    let ejected = it.selection.view(it.now).iter().filter(|it| it.ejected).count();
+    let ejected = it.selection.view(it.now).iter().filter(|it| it.is_ejected).count();
     assert_eq!(ejected, 1);
 }
 
@@ -143,7 +145,7 @@
 #[test]
 fn a_lying_health_hint_starves_nobody() {
     let mut it = Fixture::new(&["a", "a"]);
-    it.specs[0].hint = HealthHint { ill: true, load: 1.0 };
+    it.specs[0].hint = HealthHint { is_unhealthy: true, load: 1.0 };
     let specs = it.specs.clone();
     it.selection.update(it.now, &specs);
     let in_flight = it.fill(100);
@@ -225,11 +227,11 @@
             it.selection.finish(now, &instance, ms(100), TargetResult::Answered);
             ends[at].retain(|it| *it > now);
             let backlog = ends[at].len() as u32;
-            let service = ms(service_ms[at].into());
+            let service_time = ms(service_ms[at].into());
             it.selection.report(
                 now,
                 &instance,
-                GateReport { backlog, slots: SLOTS, service, kind: None },
+                GateReport { backlog, slots: SLOTS, service_time, kind_service_time: None },
             );
         }
         let Some(instance) = it.pick() else { continue };
@@ -254,20 +256,21 @@
 fn a_pick_tells_what_it_was_weighed_by() {
     use crate::GateReport;
     let mut it = Fixture::new(&["a", "a", "a"]);
-    let picked = it.selection.pick(it.now, Sending::default(), &[], &mut it.rng).unwrap();
-    assert_eq!(picked.weighed, None, "no gate has told its load");
+    let picked = it.selection.pick(it.now, RequestProfile::default(), &[], &mut it.rng).unwrap();
+    assert_eq!(picked.comparison, None, "no gate has told its load");
     let specs = it.specs.clone();
     for (spec, backlog) in specs.iter().zip([24, 0, 36]) {
-        let report = GateReport { backlog, slots: 12, service: ms(100), kind: None };
+        let report =
+            GateReport { backlog, slots: 12, service_time: ms(100), kind_service_time: None };
         it.selection.report(it.now, &spec.instance, report);
     }
     it.now = it.now + ms(10);
-    let picked = it.selection.pick(it.now, Sending::default(), &[], &mut it.rng).unwrap();
+    let picked = it.selection.pick(it.now, RequestProfile::default(), &[], &mut it.rng).unwrap();
     assert_eq!(picked.instance, specs[1].instance);
-    let weighed = picked.weighed.unwrap();
-    assert_eq!((weighed.targets, weighed.load_age), (3, Some(ms(10))));
-    assert_eq!(weighed.next_best.unwrap().0, specs[0].instance);
-    assert!(weighed.expected < ms(110), "{:?}", weighed.expected);
+    let comparison = picked.comparison.unwrap();
+    assert_eq!((comparison.targets, comparison.load_age), (3, Some(ms(10))));
+    assert_eq!(comparison.next_best.unwrap().0, specs[0].instance);
+    assert!(comparison.expected_latency < ms(110), "{:?}", comparison.expected_latency);
 }
 
 /// The own zone's target has 40 ms of waiting, the other zone is 150 ms away.
@@ -278,12 +281,17 @@
     it.selection.config.zone_penalty = ms(150);
     let specs = it.specs.clone();
     for (spec, backlog) in specs.iter().zip([36, 0]) {
-        let report = GateReport { backlog, slots: 9, service: ms(30), kind: Some((1, ms(30))) };
+        let report = GateReport {
+            backlog,
+            slots: 9,
+            service_time: ms(30),
+            kind_service_time: Some((1, ms(30))),
+        };
         it.selection.report(it.now, &spec.instance, report);
     }
     let mut pick = |objective: u64| {
-        let sending = Sending { kind: Some(1), objective: Some(ms(objective)) };
-        let picked = it.selection.pick(it.now, sending, &[], &mut it.rng).unwrap().instance;
+        let profile = RequestProfile { kind: Some(1), objective: Some(ms(objective)) };
+        let picked = it.selection.pick(it.now, profile, &[], &mut it.rng).unwrap().instance;
         it.selection.finish(it.now, &picked, ms(30), TargetResult::Cancelled);
         picked
     };
