--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -133,7 +133,7 @@
     ) -> anyhow::Result<Bound> {
         let announcement = &local.announcement;
         let document = &service.document;
-        self.handle.warmup.with(|it| it.limit(document.upstream.cold_requests_per_s));
+        self.handle.warmup.with(|it| it.set_limit(document.upstream.cold_requests_per_s));
         let same_upstream = former.filter(|it| it.is_of(announcement));
         // A version may change limits of the client: connections are cheap to make anew.
         let upstream = match same_upstream.filter(|it| it.has_same_client(document)) {
--- a/crates/agent/src/gate/handle.rs
+++ b/crates/agent/src/gate/handle.rs
@@ -90,12 +90,12 @@
 
     /// The upstream has said for how much longer it is cold.
     pub fn announced_cold_for(&self, cold_for: Duration) {
-        self.warmup.with(|it| it.heard(self.clock.now(), cold_for));
+        self.warmup.with(|it| it.set_cold_period(self.clock.now(), cold_for));
     }
 
     /// The upstream may have turned cold since it was last heard.
     pub fn doubt_warmth(&self) {
-        self.warmup.with(|it| it.doubt());
+        self.warmup.with(|it| it.invalidate());
     }
 
     /// The load since the last call, for [`ownership::Input::Load`].
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -11,7 +11,7 @@
     sync::{SemaphorePermit, oneshot},
     time::{sleep_until, timeout, timeout_at},
 };
-use traffic::{Completion, RecordUnit, RouteIndex, Standing, Timeliness};
+use traffic::{Completion, QuarantineStatus, RecordUnit, RouteIndex, Timeliness};
 use upstream::{CallError, ClockBounds, Upstream};
 
 use crate::{
@@ -262,9 +262,9 @@
         caller: &mut Caller,
     ) -> Result<Option<SemaphorePermit<'_>>, Box<GateReply>> {
         match self.gate.quarantine.standing(self.request.content) {
-            Standing::Clear => return Ok(None),
-            Standing::Suspect => {}
-            Standing::Quarantined => return Err(quarantined()),
+            QuarantineStatus::Clear => return Ok(None),
+            QuarantineStatus::Suspect => {}
+            QuarantineStatus::Quarantined => return Err(quarantined()),
         }
         let until = self.gate.clock.instant(self.queue_until().0);
         let alone = timeout_at(until, self.gate.suspects.acquire());
--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -8,7 +8,7 @@
 use http::{Uri, request::Parts};
 use model::{KeyHash, OrderedKeys, ServiceName, key_hash};
 use settings::{HostRoute, RouteError, RouteMatch, RoutingTable, ServiceDocument};
-use traffic::Turns;
+use traffic::WeightedRoundRobin;
 
 use crate::{
     ingress::{form::CallHead, refusal::Refusal},
@@ -31,7 +31,7 @@
 /// Finds destinations; remembers whose turn it is where a route leads to several services.
 #[derive(Debug, Default)]
 pub(super) struct Destinations {
-    turns: Mutex<HashMap<Arc<str>, Turns>>,
+    turns: Mutex<HashMap<Arc<str>, WeightedRoundRobin>>,
 }
 
 impl Destinations {
@@ -82,11 +82,11 @@
         }
         let turns = all
             .entry(Arc::clone(&route.name))
-            .or_insert_with(|| Turns::new(weights.clone(), &mut rand::rng()));
+            .or_insert_with(|| WeightedRoundRobin::new(weights.clone(), &mut rand::rng()));
         if turns.weights() != weights {
-            *turns = Turns::new(weights, &mut rand::rng());
+            *turns = WeightedRoundRobin::new(weights, &mut rand::rng());
         }
-        turns.take().unwrap_or(0)
+        turns.next_index().unwrap_or(0)
     }
 }
 
--- a/crates/agent/src/ingress/waits.rs
+++ b/crates/agent/src/ingress/waits.rs
@@ -7,14 +7,14 @@
 };
 
 use settings::HostRoute;
-use traffic::UsualWait;
+use traffic::TimeoutEstimate;
 
 /// Routes whose callers are known; more start anew.
 const ROUTES_MAX: usize = 4096;
 
 #[derive(Debug, Default)]
 pub(super) struct Waits {
-    routes: Mutex<HashMap<Arc<str>, UsualWait>>,
+    routes: Mutex<HashMap<Arc<str>, TimeoutEstimate>>,
 }
 
 impl Waits {
@@ -25,6 +25,6 @@
         if all.len() >= ROUTES_MAX && !all.contains_key(&route.name) {
             all.clear();
         }
-        all.entry(Arc::clone(&route.name)).or_default().waited(left)
+        all.entry(Arc::clone(&route.name)).or_default().observe(left)
     }
 }
--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -17,7 +17,7 @@
 use object_store::{Change, Follower, FollowerTimes, ObjectStore, StoreError};
 use settings::{ENDS_PREFIX, EndRecord, EndsObject, ends_path};
 use tokio::{sync::mpsc, time::sleep};
-use traffic::{EndId, Quarantine, Standing};
+use traffic::{CrashId, Quarantine, QuarantineStatus};
 
 /// Upstreams end rarely, so that most watches end without news. Word of an end is to be there before the request
 /// is sent again, so the pauses after failures are short.
@@ -65,22 +65,22 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn standing(&self, request: Fingerprint) -> Standing {
-        self.table().standing(request)
+    pub(crate) fn standing(&self, request: Fingerprint) -> QuarantineStatus {
+        self.table().status(request)
     }
 
     pub(crate) fn is_quarantined(&self, request: Fingerprint) -> bool {
-        self.standing(request) == Standing::Quarantined
+        self.standing(request) == QuarantineStatus::Quarantined
     }
 
     /// An upstream has answered the request.
     pub(crate) fn answered(&self, request: Fingerprint) {
-        self.table().answered(request);
+        self.table().record_answer(request);
     }
 
     /// The upstream beside this agent has ended, with these requests at work.
     pub(crate) fn upstream_ended(&self, at_work: Vec<Fingerprint>) {
-        let mut requests = self.table().uncleared(at_work);
+        let mut requests = self.table().exclude_answered(at_work);
         if requests.is_empty() {
             return;
         }
@@ -100,7 +100,7 @@
     }
 
     fn take(&self, end: &EndRecord) {
-        let quarantined = self.table().ended(EndId(end.id), &end.requests);
+        let quarantined = self.table().record_crash(CrashId(end.id), &end.requests);
         for it in quarantined {
             log::warn!(target: "quarantine", "Request {it} is sent to no upstream any more: several have ended under it.");
         }
--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -141,7 +141,9 @@
     /// half of its budget unless even the mean is longer.
     fn need(&self, it: Queued, service_time_deviations: f64) -> Duration {
         let expected = self.costs.expected_for(it.route);
-        expected.bound(service_time_deviations).min(expected.bound(0.7).max(it.budget / 2))
+        expected
+            .upper_bound(service_time_deviations)
+            .min(expected.upper_bound(0.7).max(it.budget / 2))
     }
 }
 
--- a/crates/traffic/src/admission/costs.rs
+++ b/crates/traffic/src/admission/costs.rs
@@ -4,33 +4,33 @@
 use std::time::Duration;
 
 use super::RouteIndex;
-use crate::Smoothed;
+use crate::SmoothedDuration;
 
 /// Routes that are kept apart; those beyond count as their class.
 const ROUTES_MAX: usize = 256;
 
 #[derive(Debug)]
 pub(super) struct Costs {
-    class: Smoothed,
+    class: SmoothedDuration,
     /// By the route's index.
-    routes: Vec<Option<Smoothed>>,
+    routes: Vec<Option<SmoothedDuration>>,
 }
 
 impl Costs {
     pub(super) fn new(guess: Duration) -> Costs {
-        Costs { class: Smoothed::new(guess), routes: Vec::new() }
+        Costs { class: SmoothedDuration::new(guess), routes: Vec::new() }
     }
 
     /// All requests of the class, as they come.
-    pub(super) fn class(&self) -> &Smoothed {
+    pub(super) fn class(&self) -> &SmoothedDuration {
         &self.class
     }
 
-    pub(super) fn expected_for(&self, route: Option<RouteIndex>) -> &Smoothed {
+    pub(super) fn expected_for(&self, route: Option<RouteIndex>) -> &SmoothedDuration {
         route.and_then(|it| self.measured_for(it)).unwrap_or(&self.class)
     }
 
-    pub(super) fn measured_for(&self, route: RouteIndex) -> Option<&Smoothed> {
+    pub(super) fn measured_for(&self, route: RouteIndex) -> Option<&SmoothedDuration> {
         self.routes.get(route.0)?.as_ref()
     }
 
@@ -40,6 +40,6 @@
         if self.routes.len() <= index {
             self.routes.resize(index + 1, None);
         }
-        self.routes[index].get_or_insert_with(|| Smoothed::new(taken)).add(taken);
+        self.routes[index].get_or_insert_with(|| SmoothedDuration::new(taken)).add(taken);
     }
 }
--- a/crates/traffic/src/admission/mod.rs
+++ b/crates/traffic/src/admission/mod.rs
@@ -14,7 +14,7 @@
 use model::{ClassName, NotRunReason, Timestamp};
 use rand::{Rng, RngExt};
 
-use crate::{SharedWarmup, Smoothed};
+use crate::{SharedWarmup, SmoothedDuration};
 
 use class::{Class, Place, Queued};
 
@@ -136,7 +136,7 @@
     ramp_since: Timestamp,
     draining: bool,
     /// What requests of all classes take.
-    service: Smoothed,
+    service: SmoothedDuration,
     /// What the upstream is given while it is cold; none: nothing but its slots limits that.
     warmup: Option<SharedWarmup>,
 }
@@ -148,7 +148,7 @@
         assert!(!config.classes.is_empty(), "there is at least one class");
         assert!(config.classes.iter().all(|it| it.weight > 0.0), "weights are above 0");
         let classes = config.classes.iter().map(Class::new).collect();
-        let service = Smoothed::new(config.classes[0].initial_service_time);
+        let service = SmoothedDuration::new(config.classes[0].initial_service_time);
         Admission {
             config,
             classes,
@@ -292,7 +292,7 @@
         class: ClassIndex,
         route: Option<RouteIndex>,
     ) -> Option<Duration> {
-        self.classes[class.0].costs.measured_for(route?).map(Smoothed::mean)
+        self.classes[class.0].costs.measured_for(route?).map(SmoothedDuration::mean)
     }
 
     /// Requests that run.
@@ -328,7 +328,7 @@
 
     /// The time between two starts at a cold upstream.
     pub fn cold_start_interval(&self, now: Timestamp) -> Option<Duration> {
-        self.warmup.as_ref()?.with(|it| it.step(now))
+        self.warmup.as_ref()?.with(|it| it.start_interval(now))
     }
 
     fn next_ramp_step(&self, now: Timestamp) -> Option<Timestamp> {
--- a/crates/traffic/src/admission/tests/cold.rs
+++ b/crates/traffic/src/admission/tests/cold.rs
@@ -97,8 +97,8 @@
 fn cold() -> SharedWarmup {
     let warmup = SharedWarmup::new(Timestamp::ZERO);
     warmup.with(|it| {
-        it.limit(Some(COLD_PER_S));
-        it.heard(Timestamp::ZERO, Duration::from_secs(3_600));
+        it.set_limit(Some(COLD_PER_S));
+        it.set_cold_period(Timestamp::ZERO, Duration::from_secs(3_600));
     });
     warmup
 }
@@ -121,8 +121,8 @@
 fn once_it_is_warm_only_its_slots_limit_it() {
     let warmup = SharedWarmup::new(Timestamp::ZERO);
     warmup.with(|it| {
-        it.limit(Some(COLD_PER_S));
-        it.heard(Timestamp::ZERO, Duration::ZERO);
+        it.set_limit(Some(COLD_PER_S));
+        it.set_cold_period(Timestamp::ZERO, Duration::ZERO);
     });
     let seen = play(warmup);
     let slots_take = SLOTS as f64 / SERVICE.as_secs_f64() * PLAYED_S as f64;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -21,17 +21,17 @@
     Admission, AdmissionConfig, Arrival, ClassConfig, ClassIndex, Completion, Decision, RouteIndex,
     Ticket, Timeliness, Verdict,
 };
-pub use quarantine::{EndId, Quarantine, Standing};
+pub use quarantine::{CrashId, Quarantine, QuarantineStatus};
 pub use records::{
     Answer, BeginResult, Record, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
 };
 pub use retry::{Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict};
 pub use selection::{
-    GateReport, HealthHint, Picked, Selection, SelectionConfig, Sending, TargetResult, TargetSpec,
-    TargetState, TargetView, Weighed,
+    GateReport, HealthHint, PickedTarget, RequestProfile, Selection, SelectionConfig,
+    TargetComparison, TargetResult, TargetSpec, TargetState, TargetView,
 };
-pub use sketch::{Heavy, Sketch};
-pub use smoothed::Smoothed;
-pub use split::Turns;
-pub use waits::UsualWait;
+pub use sketch::{HeavyHitter, Sketch};
+pub use smoothed::SmoothedDuration;
+pub use split::WeightedRoundRobin;
+pub use waits::TimeoutEstimate;
 pub use warmup::{SharedWarmup, Warmup};
--- a/crates/traffic/src/quarantine/mod.rs
+++ b/crates/traffic/src/quarantine/mod.rs
@@ -22,11 +22,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct EndId(pub u64);
+pub struct CrashId(pub u64);
 
 /// How a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// It may run beside any other.
     Clear,
     /// An upstream has ended while it was at work: it may run beside no other suspect.
@@ -38,7 +38,7 @@
 /// What is known of the requests of all services.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    suspects: HashMap<Fingerprint, BTreeSet<EndId>>,
+    suspects: HashMap<Fingerprint, BTreeSet<CrashId>>,
     /// The suspects in the order in which they became that; some may be cleared by now.
     order: VecDeque<Fingerprint>,
     cleared: HashSet<Fingerprint>,
@@ -46,16 +46,16 @@
 }
 
 impl Quarantine {
-    pub fn standing(&self, request: Fingerprint) -> Standing {
+    pub fn status(&self, request: Fingerprint) -> QuarantineStatus {
         match self.suspects.get(&request).map(BTreeSet::len) {
-            None => Standing::Clear,
-            Some(ends) if ends < ENDS_MAX => Standing::Suspect,
-            Some(_) => Standing::Quarantined,
+            None => QuarantineStatus::Clear,
+            Some(ends) if ends < ENDS_MAX => QuarantineStatus::Suspect,
+            Some(_) => QuarantineStatus::Quarantined,
         }
     }
 
     /// An upstream has answered the request.
-    pub fn answered(&mut self, request: Fingerprint) {
+    pub fn record_answer(&mut self, request: Fingerprint) {
         self.suspects.remove(&request);
         if self.cleared.len() >= CLEARED_MAX {
             self.cleared_before = std::mem::take(&mut self.cleared);
@@ -64,15 +64,15 @@
     }
 
     /// Those of the requests that no upstream is known to have answered.
-    pub fn uncleared(&self, mut requests: Vec<Fingerprint>) -> Vec<Fingerprint> {
+    pub fn exclude_answered(&self, mut requests: Vec<Fingerprint>) -> Vec<Fingerprint> {
         requests.retain(|it| !self.is_cleared(*it));
         requests
     }
 
     /// An upstream has ended under one of these requests. Returns those that are quarantined by that.
-    pub fn ended(&mut self, end: EndId, at_work: &[Fingerprint]) -> Vec<Fingerprint> {
+    pub fn record_crash(&mut self, end: CrashId, at_work: &[Fingerprint]) -> Vec<Fingerprint> {
         let mut quarantined = Vec::new();
-        for request in self.uncleared(at_work.to_vec()) {
+        for request in self.exclude_answered(at_work.to_vec()) {
             let ends = self.suspects.entry(request).or_default();
             if ends.is_empty() {
                 self.order.push_back(request);
--- a/crates/traffic/src/quarantine/tests.rs
+++ b/crates/traffic/src/quarantine/tests.rs
@@ -3,7 +3,7 @@
 use model::Fingerprint;
 use quickcheck::quickcheck;
 
-use super::{EndId, Quarantine, SUSPECTS_MAX, Standing};
+use super::{CrashId, Quarantine, QuarantineStatus, SUSPECTS_MAX};
 
 const HARMFUL: Fingerprint = Fingerprint(1);
 const SOUND: Fingerprint = Fingerprint(2);
@@ -12,34 +12,38 @@
 #[test]
 fn the_second_end_quarantines_and_a_report_heard_twice_counts_once() {
     let mut table = Quarantine::default();
-    assert_eq!(table.standing(HARMFUL), Standing::Clear);
-    assert_eq!(table.ended(EndId(1), &[HARMFUL]), []);
-    assert_eq!(table.ended(EndId(1), &[HARMFUL]), []);
-    assert_eq!(table.standing(HARMFUL), Standing::Suspect);
-    assert_eq!(table.ended(EndId(2), &[HARMFUL]), [HARMFUL]);
-    assert_eq!(table.standing(HARMFUL), Standing::Quarantined);
-    assert_eq!(table.ended(EndId(3), &[HARMFUL]), []);
+    assert_eq!(table.status(HARMFUL), QuarantineStatus::Clear);
+    assert_eq!(table.record_crash(CrashId(1), &[HARMFUL]), []);
+    assert_eq!(table.record_crash(CrashId(1), &[HARMFUL]), []);
+    assert_eq!(table.status(HARMFUL), QuarantineStatus::Suspect);
+    assert_eq!(table.record_crash(CrashId(2), &[HARMFUL]), [HARMFUL]);
+    assert_eq!(table.status(HARMFUL), QuarantineStatus::Quarantined);
+    assert_eq!(table.record_crash(CrashId(3), &[HARMFUL]), []);
 }
 
 #[test]
 fn a_request_that_was_answered_is_no_suspect_and_a_suspect_is_cleared_by_an_answer() {
     let mut table = Quarantine::default();
-    table.answered(SOUND);
-    assert_eq!(table.uncleared(vec![HARMFUL, SOUND, FRESH]), [HARMFUL, FRESH]);
-    table.ended(EndId(1), &[HARMFUL, SOUND, FRESH]);
-    assert_eq!(table.standing(SOUND), Standing::Clear, "another agent may not know of its answer");
-    table.answered(FRESH);
-    assert_eq!(table.standing(FRESH), Standing::Clear);
+    table.record_answer(SOUND);
+    assert_eq!(table.exclude_answered(vec![HARMFUL, SOUND, FRESH]), [HARMFUL, FRESH]);
+    table.record_crash(CrashId(1), &[HARMFUL, SOUND, FRESH]);
+    assert_eq!(
+        table.status(SOUND),
+        QuarantineStatus::Clear,
+        "another agent may not know of its answer"
+    );
+    table.record_answer(FRESH);
+    assert_eq!(table.status(FRESH), QuarantineStatus::Clear);
 }
 
 #[test]
 fn the_oldest_suspects_are_forgotten() {
     let mut table = Quarantine::default();
-    table.ended(EndId(1), &[HARMFUL]);
+    table.record_crash(CrashId(1), &[HARMFUL]);
     let many: Vec<Fingerprint> = (10..10 + SUSPECTS_MAX as u64).map(Fingerprint).collect();
-    table.ended(EndId(2), &many);
-    assert_eq!(table.standing(HARMFUL), Standing::Clear);
-    assert_eq!(table.standing(many[0]), Standing::Suspect);
+    table.record_crash(CrashId(2), &many);
+    assert_eq!(table.status(HARMFUL), QuarantineStatus::Clear);
+    assert_eq!(table.status(many[0]), QuarantineStatus::Suspect);
 }
 
 quickcheck! {
@@ -50,9 +54,9 @@
         for (number, at_work) in ends.iter().enumerate() {
             let mut at_work: Vec<_> = at_work.iter().map(|it| Fingerprint(u64::from(*it) + 10)).collect();
             at_work.push(HARMFUL);
-            table.ended(EndId(number as u64), &at_work);
-            answers.next().into_iter().for_each(|it| table.answered(Fingerprint(u64::from(it) + 10)));
+            table.record_crash(CrashId(number as u64), &at_work);
+            answers.next().into_iter().for_each(|it| table.record_answer(Fingerprint(u64::from(it) + 10)));
         }
-        ends.len() < 2 || table.standing(HARMFUL) == Standing::Quarantined
+        ends.len() < 2 || table.status(HARMFUL) == QuarantineStatus::Quarantined
     }
 }
--- a/crates/traffic/src/sketch/mod.rs
+++ b/crates/traffic/src/sketch/mod.rs
@@ -10,7 +10,7 @@
 
 /// One heavy entry. The true weight lies between `weight - error` and `weight`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Heavy<K> {
+pub struct HeavyHitter<K> {
     pub key: K,
     pub weight: u64,
     pub error: u64,
@@ -72,10 +72,10 @@
     }
 
     /// The heaviest keys first, at most `len`.
-    pub fn heaviest(&self, len: usize) -> Vec<Heavy<K>> {
+    pub fn heaviest(&self, len: usize) -> Vec<HeavyHitter<K>> {
         let heavy = |&(weight, key): &(u64, K)| {
             let error = self.counts[&key].error;
-            Heavy { key, weight, error }
+            HeavyHitter { key, weight, error }
         };
         self.by_weight.iter().rev().take(len).map(heavy).collect()
     }
--- a/crates/traffic/src/smoothed.rs
+++ b/crates/traffic/src/smoothed.rs
@@ -9,17 +9,17 @@
 
 /// Exponentially weighted mean and mean absolute deviation of a duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Smoothed {
+pub struct SmoothedDuration {
     mean_s: f64,
     deviation_s: f64,
     samples: u64,
 }
 
-impl Smoothed {
+impl SmoothedDuration {
     /// Starts from a guess, which the first sample replaces.
-    pub fn new(guess: Duration) -> Smoothed {
+    pub fn new(guess: Duration) -> SmoothedDuration {
         let mean_s = guess.as_secs_f64();
-        Smoothed { mean_s, deviation_s: mean_s / 2.0, samples: 0 }
+        SmoothedDuration { mean_s, deviation_s: mean_s / 2.0, samples: 0 }
     }
 
     pub fn add(&mut self, sample: Duration) {
@@ -44,7 +44,7 @@
     }
 
     /// The mean and `deviations` times the spread: what few samples exceed.
-    pub fn bound(&self, deviations: f64) -> Duration {
+    pub fn upper_bound(&self, deviations: f64) -> Duration {
         Duration::from_secs_f64(self.mean_s + deviations * self.deviation_s)
     }
 
--- a/crates/traffic/src/split/mod.rs
+++ b/crates/traffic/src/split/mod.rs
@@ -10,22 +10,22 @@
 
 /// Takes turns between parts in proportion to their weights, spread as evenly as they can be.
 #[derive(Debug, Clone)]
-pub struct Turns {
+pub struct WeightedRoundRobin {
     weights: Vec<u32>,
     /// What each part is owed; the sum is 0.
     owed: Vec<i64>,
 }
 
-impl Turns {
+impl WeightedRoundRobin {
     /// Starts anywhere in the sequence, so that agents that start together do not all begin with the
     /// same part.
-    pub fn new(weights: impl Into<Vec<u32>>, rng: &mut impl Rng) -> Turns {
+    pub fn new(weights: impl Into<Vec<u32>>, rng: &mut impl Rng) -> WeightedRoundRobin {
         let weights = weights.into();
         let owed = vec![0; weights.len()];
-        let mut turns = Turns { weights, owed };
+        let mut turns = WeightedRoundRobin { weights, owed };
         let total = turns.total();
         for _ in 0..rng.random_range(0..total.clamp(1, 1000)) {
-            turns.take();
+            turns.next_index();
         }
         turns
     }
@@ -35,7 +35,7 @@
     }
 
     /// The index of the next part; none where no part has any weight.
-    pub fn take(&mut self) -> Option<usize> {
+    pub fn next_index(&mut self) -> Option<usize> {
         let total = self.total();
         if total == 0 {
             return None;
--- a/crates/traffic/src/waits/mod.rs
+++ b/crates/traffic/src/waits/mod.rs
@@ -20,12 +20,12 @@
 
 /// How long callers of one route usually wait: the median of what they say, as far as it is known.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct UsualWait(Option<Duration>);
+pub struct TimeoutEstimate(Option<Duration>);
 
-impl UsualWait {
+impl TimeoutEstimate {
     /// Takes in how long a caller waits from now on, and returns how long it has waited before; none: there
     /// is no sign that it has.
-    pub fn waited(&mut self, left: Duration) -> Option<Duration> {
+    pub fn observe(&mut self, left: Duration) -> Option<Duration> {
         let usual = *self.0.get_or_insert(left);
         let step = usual.mul_f64(STEP_SHARE);
         self.0 = Some(if left > usual {
--- a/crates/traffic/src/waits/tests.rs
+++ b/crates/traffic/src/waits/tests.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::UsualWait;
+use super::TimeoutEstimate;
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -17,19 +17,19 @@
 #[test]
 fn callers_that_differ_by_a_little_have_not_waited() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut usual = UsualWait::default();
-    let mistaken = (0..2000).filter(|_| usual.waited(fresh(&mut rng)).is_some()).count();
+    let mut usual = TimeoutEstimate::default();
+    let mistaken = (0..2000).filter(|_| usual.observe(fresh(&mut rng)).is_some()).count();
     assert_eq!(mistaken, 0);
 }
 
 #[test]
 fn one_that_brings_clearly_less_has_waited() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
-    let mut usual = UsualWait::default();
+    let mut usual = TimeoutEstimate::default();
     for _ in 0..200 {
-        usual.waited(fresh(&mut rng));
+        usual.observe(fresh(&mut rng));
     }
-    let waited = usual.waited(1500 * MS).unwrap();
+    let waited = usual.observe(1500 * MS).unwrap();
     assert!((700 * MS..900 * MS).contains(&waited), "{waited:?}");
 }
 
@@ -37,14 +37,14 @@
 #[test]
 fn many_that_come_back_are_known_too() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
-    let mut usual = UsualWait::default();
+    let mut usual = TimeoutEstimate::default();
     let (mut known, mut mistaken) = (0, 0);
     for request in 0..5000 {
         if request % 10 < 4 {
             let left = fresh(&mut rng) - rng.random_range(400..900) * MS;
-            known += u32::from(usual.waited(left).is_some());
+            known += u32::from(usual.observe(left).is_some());
         } else {
-            mistaken += u32::from(usual.waited(fresh(&mut rng)).is_some());
+            mistaken += u32::from(usual.observe(fresh(&mut rng)).is_some());
         }
     }
     assert!(known > 1700, "{known} of 2000 were known");
@@ -53,13 +53,13 @@
 
 #[test]
 fn what_callers_usually_bring_may_change() {
-    let mut usual = UsualWait::default();
+    let mut usual = TimeoutEstimate::default();
     for _ in 0..100 {
-        usual.waited(6000 * MS);
+        usual.observe(6000 * MS);
     }
     for _ in 0..400 {
-        usual.waited(2000 * MS);
+        usual.observe(2000 * MS);
     }
-    assert_eq!(usual.waited(2000 * MS), None);
-    assert!(usual.waited(1000 * MS).is_some());
+    assert_eq!(usual.observe(2000 * MS), None);
+    assert!(usual.observe(1000 * MS).is_some());
 }
--- a/crates/traffic/src/warmup/mod.rs
+++ b/crates/traffic/src/warmup/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// Sets how many requests a second it bears while it is cold; none: there is no limit.
-    pub fn limit(&mut self, per_s: Option<f64>) {
+    pub fn set_limit(&mut self, per_s: Option<f64>) {
         let kept_to = per_s.filter(|it| *it > 0.0 && *it <= RATE_MAX);
         let limit = kept_to.map(|it| Limit::new(it.max(RATE_MIN)));
         if let (Some(limit), Some(last)) = (limit, self.starts.back().copied()) {
@@ -69,7 +69,7 @@
     }
 
     /// The upstream has said for how much longer it stays cold.
-    pub fn heard(&mut self, now: Timestamp, cold_for: Duration) {
+    pub fn set_cold_period(&mut self, now: Timestamp, cold_for: Duration) {
         self.coldness = match self.coldness {
             Coldness::Unknown { unheard } if unheard > 1 && cold_for.is_zero() => {
                 Coldness::Unknown { unheard: unheard - 1 }
@@ -80,7 +80,7 @@
 
     /// It may have turned cold since it was last heard. Only the second that it says from now on is sure to
     /// have been said after this: one may be on its way.
-    pub fn doubt(&mut self) {
+    pub fn invalidate(&mut self) {
         self.coldness = Coldness::Unknown { unheard: 2 };
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// The time between two starts, while there is a limit on them.
-    pub fn step(&self, now: Timestamp) -> Option<Duration> {
+    pub fn start_interval(&self, now: Timestamp) -> Option<Duration> {
         let limit = self.limit.filter(|_| self.is_cold(now))?;
         Some(limit.window.div_f64(limit.starts as f64))
     }
--- a/crates/traffic/src/warmup/tests.rs
+++ b/crates/traffic/src/warmup/tests.rs
@@ -40,8 +40,8 @@
 #[test]
 fn a_cold_upstream_gets_its_rate_and_no_more() {
     let mut warmup = Warmup::new(at(0));
-    warmup.limit(Some(12.0));
-    warmup.heard(at(0), SECOND * 60);
+    warmup.set_limit(Some(12.0));
+    warmup.set_cold_period(at(0), SECOND * 60);
     let starts = greedy(&mut warmup, 0, 10_000);
     assert!(most_in_a_second(&starts) <= 12, "{}", most_in_a_second(&starts));
     assert!(starts.len() >= 115, "only {} of 120", starts.len());
@@ -50,9 +50,9 @@
 #[test]
 fn one_that_says_it_is_warm_has_no_limit() {
     let mut warmup = Warmup::new(at(0));
-    warmup.limit(Some(12.0));
+    warmup.set_limit(Some(12.0));
     assert!(warmup.is_cold(at(0)), "nothing is known of it");
-    warmup.heard(at(10), Duration::ZERO);
+    warmup.set_cold_period(at(10), Duration::ZERO);
     for _ in 0..100 {
         assert_eq!(warmup.next_start(at(10)), None);
         warmup.start(at(10));
@@ -63,7 +63,7 @@
 fn without_a_rate_there_is_no_limit() {
     let mut warmup = Warmup::new(at(0));
     for rate in [None, Some(0.0), Some(-1.0), Some(f64::NAN), Some(f64::INFINITY), Some(1e12)] {
-        warmup.limit(rate);
+        warmup.set_limit(rate);
         assert_eq!(warmup.next_start(at(0)), None);
     }
 }
@@ -71,18 +71,18 @@
 #[test]
 fn the_smallest_rate_is_a_rate() {
     let mut warmup = Warmup::new(at(0));
-    warmup.limit(Some(f64::MIN_POSITIVE));
-    warmup.heard(at(0), SECOND * 60);
+    warmup.set_limit(Some(f64::MIN_POSITIVE));
+    warmup.set_cold_period(at(0), SECOND * 60);
     assert!(warmup.next_start(at(500)).is_some());
 }
 
 #[test]
 fn what_was_given_while_warm_counts_once_it_is_cold() {
     let mut warmup = Warmup::new(at(0));
-    warmup.limit(Some(12.0));
-    warmup.heard(at(0), Duration::ZERO);
+    warmup.set_limit(Some(12.0));
+    warmup.set_cold_period(at(0), Duration::ZERO);
     (0..50).for_each(|_| warmup.start(at(1_000)));
-    warmup.heard(at(1_001), SECOND);
+    warmup.set_cold_period(at(1_001), SECOND);
     let next = warmup.next_start(at(1_001)).unwrap();
     assert!(next >= at(1_080), "{next:?}: the last windows are full");
 }
@@ -90,17 +90,17 @@
 #[test]
 fn a_doubt_takes_two_announcements_to_clear() {
     let mut warmup = Warmup::new(at(0));
-    warmup.limit(Some(12.0));
-    warmup.heard(at(0), Duration::ZERO);
+    warmup.set_limit(Some(12.0));
+    warmup.set_cold_period(at(0), Duration::ZERO);
     assert!(!warmup.is_cold(at(1)));
-    warmup.doubt();
+    warmup.invalidate();
     assert!(warmup.is_cold(at(2)));
-    warmup.heard(at(3), Duration::ZERO);
+    warmup.set_cold_period(at(3), Duration::ZERO);
     assert!(warmup.is_cold(at(4)), "it may have been said before");
-    warmup.heard(at(900), Duration::ZERO);
+    warmup.set_cold_period(at(900), Duration::ZERO);
     assert!(!warmup.is_cold(at(901)));
-    warmup.doubt();
-    warmup.heard(at(1_000), ms(500));
+    warmup.invalidate();
+    warmup.set_cold_period(at(1_000), ms(500));
     assert!(warmup.is_cold(at(1_499)) && !warmup.is_cold(at(1_501)));
 }
 
@@ -108,8 +108,8 @@
 fn any_rate_is_kept_and_used() {
     for per_s in [0.5, 1.0, 3.0, 7.0, 12.5, 15.0, 43.0] {
         let mut warmup = Warmup::new(at(0));
-        warmup.limit(Some(per_s));
-        warmup.heard(at(0), SECOND * 60);
+        warmup.set_limit(Some(per_s));
+        warmup.set_cold_period(at(0), SECOND * 60);
         let starts = greedy(&mut warmup, 0, 20_000);
         let most = most_in_a_second(&starts) as f64;
         assert!(most <= per_s.max(1.0).ceil(), "{most} in a second at {per_s}");
@@ -129,17 +129,17 @@
     let per_s = f64::from(rate % 40 + 1);
     let mut now = at(1_000);
     let mut warmup = Warmup::new(now);
-    warmup.limit(Some(per_s));
+    warmup.set_limit(Some(per_s));
     let mut cold_starts = Vec::new();
     for (what, value) in steps {
         match what % 16 {
-            0 => warmup.heard(now, ms(u64::from(value % 3_000))),
-            1 => warmup.doubt(),
+            0 => warmup.set_cold_period(now, ms(u64::from(value % 3_000))),
+            1 => warmup.invalidate(),
             2 => {
                 // A process that was killed takes a while to start again.
                 now = now + ms(u64::from(value % 300));
                 warmup = Warmup::new(now);
-                warmup.limit(Some(per_s));
+                warmup.set_limit(Some(per_s));
             }
             _ => now = now + ms(u64::from(value % 40)),
         }
