--- a/crates/traffic/src/selection/tests/many.rs
+++ b/crates/traffic/src/selection/tests/many.rs
@@ -282,7 +282,7 @@
                     class: ClassIndex(kind),
                     route: Some(RouteIndex(kind)),
                     deadline,
-                    timeliness: Use::Full,
+                    timeliness: Timeliness::InTime,
                 };
                 let ticket = self.gates[target].offer(now, arrival, &mut self.rng, &mut out);
                 self.tickets[target].insert(ticket, request);
