--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -9,7 +9,7 @@
 use upstream::Upstream;
 
 use crate::{
-    gate::{Gate, lane::Lane, leases::Life, records::Book},
+    gate::{Gate, lane::Lane, leases::UpstreamIncarnation, records::Book},
     report::Announcement,
     snapshot::{Leaving, LocalUpstream, Routes, ServiceRoutes, Snapshot},
 };
@@ -66,7 +66,7 @@
     }
 
     /// The life of the upstream that this leads to.
-    pub(super) fn life(&self) -> Life {
+    pub(super) fn incarnation(&self) -> UpstreamIncarnation {
         (self.announcement.upstream_id.clone(), self.announcement.born_ms)
     }
 
--- a/crates/agent/src/gate/leases/mod.rs
+++ b/crates/agent/src/gate/leases/mod.rs
@@ -4,10 +4,10 @@
 //! a grant that it has acknowledged; a slot is reported closed only when the upstream has released it
 //! and works on it no more, or when its grant has run out.
 
-mod announced;
+mod exchange;
 mod answers;
-mod book;
-mod keeper;
+mod slot_leases;
+mod reconcile;
 
 #[cfg(test)]
 mod tests;
@@ -21,46 +21,46 @@
 };
 use upstream::HandoverToken;
 
-use self::{announced::TAKEN_AFTER, book::LeaseBook};
+use self::{exchange::ANSWER_READ_DELAY, slot_leases::SlotLeases};
 
 pub(super) use self::{
-    book::{Life, SLOW_CLOCK},
-    keeper::run,
+    reconcile::run,
+    slot_leases::{SLOW_CLOCK_FACTOR, UpstreamIncarnation},
 };
 
 /// The leases of the upstream beside this agent.
 #[derive(Debug)]
 pub(super) struct Leases {
-    book: Mutex<LeaseBook>,
+    slot_leases: Mutex<SlotLeases>,
     /// Something is to be done.
-    due: Notify,
+    wakeup: Notify,
     /// Changes when a slot becomes usable.
-    usable: watch::Sender<()>,
+    usable_changes: watch::Sender<()>,
     /// Changes when there may be something new to tell an upstream whose announcement is unanswered.
-    news: watch::Sender<()>,
+    pending_changes: watch::Sender<()>,
     /// The number of the last announcement that was taken in.
-    newest: watch::Sender<u64>,
+    latest_sequence: watch::Sender<u64>,
 }
 
 impl Default for Leases {
     fn default() -> Leases {
         Leases {
-            book: Mutex::default(),
-            due: Notify::new(),
-            usable: watch::channel(()).0,
-            news: watch::channel(()).0,
-            newest: watch::channel(0).0,
+            slot_leases: Mutex::default(),
+            wakeup: Notify::new(),
+            usable_changes: watch::channel(()).0,
+            pending_changes: watch::channel(()).0,
+            latest_sequence: watch::channel(0).0,
         }
     }
 }
 
 impl Leases {
-    fn book(&self) -> MutexGuard<'_, LeaseBook> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, SlotLeases> {
+        self.slot_leases.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn admit(&self, now: Timestamp, slot: Slot, token: Token) {
-        self.book().admit(now, slot, token);
+        self.lock().admit(now, slot, token);
         self.wake();
     }
 
@@ -70,9 +70,9 @@
         now: Timestamp,
         slot: Slot,
         token: Token,
-        to: Option<Instance>,
+        successor: Option<Instance>,
     ) -> bool {
-        let closing = self.book().close(now, slot, token, to);
+        let closing = self.lock().close(now, slot, token, successor);
         self.wake();
         closing
     }
@@ -80,41 +80,41 @@
     /// What earlier sessions or lives of this agent granted the upstream is to be given up, before
     /// anything is granted.
     pub(super) fn clear(&self, token: Token) {
-        self.book().clear(token);
+        self.lock().clear(token);
         self.wake();
     }
 
     pub(super) fn drop_all(&self) {
-        self.book().drop_all();
+        self.lock().drop_all();
         self.wake();
     }
 
     /// Whoever waits for a slot looks again once the upstream has read the answer that grants it.
-    fn wake_when_taken(self: &Arc<Leases>) {
+    fn notify_usable_when_read(self: &Arc<Leases>) {
         let leases = Arc::clone(self);
         tokio::spawn(async move {
-            sleep(TAKEN_AFTER).await;
-            leases.usable.send_replace(());
+            sleep(ANSWER_READ_DELAY).await;
+            leases.usable_changes.send_replace(());
         });
     }
 
     /// Something is to be done, or to be told.
     fn wake(&self) {
-        self.due.notify_one();
-        self.news.send_replace(());
+        self.wakeup.notify_one();
+        self.pending_changes.send_replace(());
     }
 
-    pub(super) fn take_handover(
+    pub(super) fn store_handover_token(
         &self,
         now: Timestamp,
         (first, last): (Slot, Slot),
-        text: HandoverToken,
+        handover: HandoverToken,
     ) {
-        self.book().take_handover(now, first, last, text);
+        self.lock().store_handover_token(now, first, last, handover);
     }
 
     pub(super) fn is_usable(&self, now: Timestamp, slot: Slot) -> bool {
-        self.book().is_usable(now, slot)
+        self.lock().is_usable(now, slot)
     }
 
     /// Waits until a slot is usable, at most until `until`. `now` reads the clock.
@@ -124,7 +124,7 @@
         until: Instant,
         now: impl Fn() -> Timestamp,
     ) -> bool {
-        let mut changes = self.usable.subscribe();
+        let mut changes = self.usable_changes.subscribe();
         loop {
             if self.is_usable(now(), slot) {
                 return true;
--- a/crates/agent/src/gate/leases/keeper.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -12,8 +12,8 @@
         Gate,
         bound::Bound,
         leases::{
-            announced::GivenUp,
-            book::{CALL_MARGIN, Call, GrantEnd, Run, SLOW_CLOCK},
+            exchange::SlotTransfer,
+            slot_leases::{CALL_LATENCY_MARGIN, Call, GrantOutcome, SLOW_CLOCK_FACTOR, SlotRange},
         },
     },
     links::traffic::Handover,
@@ -30,70 +30,72 @@
 
 /// How long the answers of runs may come after that of the release that has waited for them, and how often
 /// they are looked for. What comes later is found with the next tick.
-const ANSWERS_WAIT: Duration = Duration::from_millis(20);
-const ANSWERS_POLL: Duration = Duration::from_millis(1);
+const RUN_ANSWERS_WAIT: Duration = Duration::from_millis(20);
+const RUN_ANSWERS_POLL: Duration = Duration::from_millis(1);
 
 /// How long the upstream may take to give up what earlier sessions or lives of this agent granted it: work whose
 /// connections are still there has to end first. After that its grants are waited for, as after any loss.
-const CLEAR_MAX: Duration = Duration::from_millis(1_500);
+const CLEAR_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Gate {
     /// What an earlier life of this agent began may go on until its lease has run out, of which nothing is known
     /// but that it was over when this process started.
-    pub(super) fn doubt_earlier_lives(&self, bound: &Bound) {
-        let lease = bound.document.ownership.lease.mul_f64(SLOW_CLOCK);
-        self.upstream_runs.doubt_earlier_lives(Timestamp::ZERO + lease + CALL_MARGIN);
+    pub(super) fn assume_earlier_runs(&self, bound: &Bound) {
+        let lease = bound.document.ownership.lease.mul_f64(SLOW_CLOCK_FACTOR);
+        self.upstream_runs.assume_earlier_runs_until(Timestamp::ZERO + lease + CALL_LATENCY_MARGIN);
     }
 }
 
 /// Runs for as long as the gate does.
 pub(crate) async fn run(gate: Arc<Gate>) {
     loop {
-        let due = timeout(TICK, gate.leases.due.notified()).await;
+        let due = timeout(TICK, gate.leases.wakeup.notified()).await;
         if due.is_ok() {
             sleep(GATHER_FOR).await;
         }
         let Some(bound) = gate.bound.load_full() else { continue };
         match bound.upstream.key_leases() {
             KeyLeases::NotEnforced => {}
-            KeyLeases::ByCall(_) => step(&gate, &bound).await,
-            KeyLeases::ByAnnouncement => report_ended(&gate, &bound).await,
+            KeyLeases::ByCall(_) => reconcile_by_calls(&gate, &bound).await,
+            KeyLeases::ByAnnouncement => reconcile_announced(&gate, &bound).await,
         }
     }
 }
 
 /// What an upstream that is granted keys by its announcements gives up without one.
-async fn report_ended(gate: &Gate, bound: &Bound) {
+async fn reconcile_announced(gate: &Gate, bound: &Bound) {
     let now = gate.clock.now();
     let cleared = {
-        let mut book = gate.leases.book();
-        book.follow_life(now, &bound.life());
-        book.take_cleared()
+        let mut leases = gate.leases.lock();
+        leases.follow_incarnation(now, &bound.incarnation());
+        leases.take_cleared()
     };
     report_closed(gate).await;
     if let Some(token) = cleared {
-        gate.doubt_earlier_lives(bound);
+        gate.assume_earlier_runs(bound);
         gate.reporter.deliver(Report::Cleared { token }).await;
     }
 }
 
-async fn step(gate: &Arc<Gate>, bound: &Arc<Bound>) {
+async fn reconcile_by_calls(gate: &Arc<Gate>, bound: &Arc<Bound>) {
     let now = gate.clock.now();
     let lease_until = gate.handle.table.lease_until();
     let calls = {
-        let mut book = gate.leases.book();
-        book.follow_life(now, &bound.life());
-        book.calls(now, lease_until)
+        let mut leases = gate.leases.lock();
+        leases.follow_incarnation(now, &bound.incarnation());
+        leases.calls(now, lease_until)
     };
     report_closed(gate).await;
     for call in calls {
         let (gate, bound) = (Arc::clone(gate), Arc::clone(bound));
         tokio::spawn(async move {
             match call {
-                Call::Grant { run, hold, handover } => {
-                    grant(&gate, &bound, run, hold, handover).await
+                Call::Grant { range, hold, handover } => {
+                    grant(&gate, &bound, range, hold, handover).await
+                }
+                Call::Release { range, successor, wait } => {
+                    release_range(&gate, &bound, range, successor, wait).await
                 }
-                Call::Release { run, to, wait } => give_up(&gate, &bound, run, to, wait).await,
                 Call::Clear { token } => clear(&gate, &bound, token).await,
             }
         });
@@ -101,32 +103,43 @@
 }
 
 /// Releases a run, and hands its token to the gate of the next owner before the slots count as closed.
-async fn give_up(gate: &Gate, bound: &Bound, run: Run, to: Option<Instance>, wait: Duration) {
-    let handover = release(gate, bound, run, wait).await;
+async fn release_range(
+    gate: &Gate,
+    bound: &Bound,
+    range: SlotRange,
+    successor: Option<Instance>,
+    wait: Duration,
+) {
+    let handover = release(gate, bound, range, wait).await;
     let is_answered = handover.is_some();
-    pass_on(gate, bound, GivenUp { run, to, handover }, is_answered).await;
+    complete_release(gate, bound, SlotTransfer { range, successor, handover }, is_answered).await;
 }
 
 /// Hands the token of a run that the upstream has given up to the gate of the next owner, and says then that
 /// its slots are closed.
-pub(super) async fn pass_on(gate: &Gate, bound: &Bound, given_up: GivenUp, is_answered: bool) {
-    let GivenUp { run, to, handover } = given_up;
-    if let (Some(text), Some(to), Some(links)) = (&handover, to, gate.links.get())
-        && !links.hand_over(&to, &handover_of(bound, run, text)).await
+pub(super) async fn complete_release(
+    gate: &Gate,
+    bound: &Bound,
+    transfer: SlotTransfer,
+    is_answered: bool,
+) {
+    let SlotTransfer { range, successor, handover } = transfer;
+    if let (Some(handover), Some(successor), Some(links)) = (&handover, successor, gate.links.get())
+        && !links.hand_over(&successor, &handover_message(bound, range, handover)).await
     {
-        log::warn!(target: "gate", "{to} did not take the handover token of slots {} to {}: their keys start cold.", run.first, run.last);
+        log::warn!(target: "gate", "{successor} did not take the handover token of slots {} to {}: their keys start cold.", range.first, range.last);
     }
-    wait_for_answers(gate, run).await;
-    gate.leases.book().release_ended(gate.clock.now(), run, is_answered);
+    wait_for_run_answers(gate, range).await;
+    gate.leases.lock().finish_release(gate.clock.now(), range, is_answered);
     report_closed(gate).await;
 }
 
 /// The answers of runs that a release has waited for come with its own, on other connections.
-async fn wait_for_answers(gate: &Gate, run: Run) {
-    let until = gate.clock.now() + ANSWERS_WAIT;
+async fn wait_for_run_answers(gate: &Gate, range: SlotRange) {
+    let until = gate.clock.now() + RUN_ANSWERS_WAIT;
     let mut now = gate.clock.now();
-    while now < until && gate.upstream_runs.unended(now, run.first, run.last).running > 0 {
-        sleep(ANSWERS_POLL).await;
+    while now < until && gate.upstream_runs.ongoing(now, range.first, range.last).running > 0 {
+        sleep(RUN_ANSWERS_POLL).await;
         now = gate.clock.now();
     }
 }
@@ -134,18 +147,19 @@
 /// Has the upstream give up all that earlier sessions or lives of this agent granted it. Its handover
 /// token is kept for what is granted it again.
 async fn clear(gate: &Gate, bound: &Bound, token: Token) {
-    let run = Run { first: Slot(0), last: Slot(bound.document.slot_count.count() - 1), token };
-    let handover = release(gate, bound, run, CLEAR_MAX).await;
-    gate.doubt_earlier_lives(bound);
+    let range =
+        SlotRange { first: Slot(0), last: Slot(bound.document.slot_count.count() - 1), token };
+    let handover = release(gate, bound, range, CLEAR_TIMEOUT).await;
+    gate.assume_earlier_runs(bound);
     let now = gate.clock.now();
     {
-        let mut book = gate.leases.book();
-        if let Some(text) = handover.clone().filter(|it| !it.is_empty()) {
-            book.take_handover(now, run.first, run.last, text);
+        let mut leases = gate.leases.lock();
+        if let Some(handover) = handover.clone().filter(|it| !it.is_empty()) {
+            leases.store_handover_token(now, range.first, range.last, handover);
         }
-        book.clear_ended(token);
+        leases.finish_clear(token);
     }
-    gate.leases.due.notify_one();
+    gate.leases.wakeup.notify_one();
     match handover {
         Some(_) => gate.reporter.deliver(Report::Cleared { token }).await,
         None => {
@@ -157,42 +171,47 @@
 async fn grant(
     gate: &Gate,
     bound: &Bound,
-    run: Run,
+    range: SlotRange,
     hold: Duration,
     handover: Option<HandoverToken>,
 ) {
     let sent_at = gate.clock.now();
-    let Some((leases, granted)) = leased(bound, run) else { return };
-    let result = timeout(GRANT_TIMEOUT, leases.grant_keys(granted, hold, handover)).await;
+    let Some((upstream, granted)) = leased(bound, range) else { return };
+    let result = timeout(GRANT_TIMEOUT, upstream.grant_keys(granted, hold, handover)).await;
     let end = match result {
-        Ok(Ok(())) => GrantEnd::Taken,
+        Ok(Ok(())) => GrantOutcome::Accepted,
         Ok(Err(GrantError::Outdated { peer })) => {
-            log::warn!(target: "gate", "The upstream {peer} has seen a higher token than {} for keys {} to {}.", run.token, granted.keys.first, granted.keys.last);
-            gate.reporter.hint(Report::GrantOutdated { token: run.token });
-            GrantEnd::Outdated
+            log::warn!(target: "gate", "The upstream {peer} has seen a higher token than {} for keys {} to {}.", range.token, granted.keys.first, granted.keys.last);
+            gate.reporter.hint(Report::GrantOutdated { token: range.token });
+            GrantOutcome::Outdated
         }
         Ok(Err(error)) => {
             log::debug!(target: "gate", "{error}.");
-            GrantEnd::Unknown
+            GrantOutcome::Unknown
         }
         Err(_) => {
             log::debug!(target: "gate", "A grant of keys {} to {} got no answer.", granted.keys.first, granted.keys.last);
-            GrantEnd::Unknown
+            GrantOutcome::Unknown
         }
     };
-    gate.leases.book().grant_ended(gate.clock.now(), run, sent_at, hold, end);
-    if end == GrantEnd::Taken {
+    gate.leases.lock().finish_grant(gate.clock.now(), range, sent_at, hold, end);
+    if end == GrantOutcome::Accepted {
         gate.sign(gate.clock.now());
-        gate.leases.usable.send_replace(());
+        gate.leases.usable_changes.send_replace(());
     }
 }
 
 /// The upstream's handover token; none: it did not answer.
-async fn release(gate: &Gate, bound: &Bound, run: Run, wait: Duration) -> Option<HandoverToken> {
-    let (leases, granted) = leased(bound, run)?;
+async fn release(
+    gate: &Gate,
+    bound: &Bound,
+    range: SlotRange,
+    wait: Duration,
+) -> Option<HandoverToken> {
+    let (upstream, granted) = leased(bound, range)?;
     let sent_at = gate.clock.now();
-    let result = timeout(wait, leases.release_keys(granted)).await;
-    log_release(gate, run, sent_at, matches!(result, Ok(Ok(_))));
+    let result = timeout(wait, upstream.release_keys(granted)).await;
+    log_release_end(gate, range, sent_at, matches!(result, Ok(Ok(_))));
     match result {
         Ok(Ok(handover)) => {
             gate.sign(gate.clock.now());
@@ -212,45 +231,45 @@
 }
 
 /// What shows whether the work on the slots has ended: how long the answer took, and what ended without one.
-fn log_release(gate: &Gate, run: Run, sent_at: Timestamp, is_answered: bool) {
+fn log_release_end(gate: &Gate, range: SlotRange, sent_at: Timestamp, is_answered: bool) {
     let now = gate.clock.now();
-    let unended = gate.upstream_runs.unended(now, run.first, run.last);
+    let ongoing = gate.upstream_runs.ongoing(now, range.first, range.last);
     let end = if is_answered { "answered" } else { "failed" };
     log::info!(
         target: "gate",
         "Release of slots {} to {}, token {}: {end} after {} ms; {} runs without an answer yet, {} cut off, the last may go on for {} ms.",
-        run.first, run.last, run.token, now.since(sent_at).as_millis(),
-        unended.running, unended.unanswered, unended.until.since(now).as_millis(),
+        range.first, range.last, range.token, now.since(sent_at).as_millis(),
+        ongoing.running, ongoing.unanswered, ongoing.until.since(now).as_millis(),
     );
 }
 
-fn leased(bound: &Bound, run: Run) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
+fn leased(bound: &Bound, range: SlotRange) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
     let keys = bound.document.ordered_keys?;
-    let keys = keys_of(keys, bound.document.slot_count, run);
+    let keys = keys_of(keys, bound.document.slot_count, range);
     match bound.upstream.key_leases() {
-        KeyLeases::ByCall(leases) => Some((leases, GrantedKeys { keys, token: run.token })),
+        KeyLeases::ByCall(upstream) => Some((upstream, GrantedKeys { keys, token: range.token })),
         KeyLeases::NotEnforced | KeyLeases::ByAnnouncement => None,
     }
 }
 
-fn keys_of(keys: OrderedKeys, slot_count: SlotCount, run: Run) -> KeyRange {
-    keys.of_slots(slot_count, run.first, run.last)
+fn keys_of(keys: OrderedKeys, slot_count: SlotCount, range: SlotRange) -> KeyRange {
+    keys.of_slots(slot_count, range.first, range.last)
 }
 
-fn handover_of(bound: &Bound, run: Run, text: &HandoverToken) -> Handover {
+fn handover_message(bound: &Bound, range: SlotRange, handover: &HandoverToken) -> Handover {
     Handover {
         service: bound.service.clone(),
-        unit: Unit::Slots { first: run.first, last: run.last },
-        token: run.token,
-        records: bytes::Bytes::copy_from_slice(text.as_bytes()),
+        unit: Unit::Slots { first: range.first, last: range.last },
+        token: range.token,
+        records: bytes::Bytes::copy_from_slice(handover.as_bytes()),
     }
 }
 
 /// Says which slots the upstream neither holds nor works on any more.
 async fn report_closed(gate: &Gate) {
     let now = gate.clock.now();
-    let works_until = gate.upstream_runs.ends(now);
-    let closed = gate.leases.book().take_closed(now, works_until);
+    let works_until = gate.upstream_runs.latest_ends(now);
+    let closed = gate.leases.lock().take_closed(now, works_until);
     if !closed.is_empty() {
         gate.reporter.deliver(Report::ClosedSlots(closed)).await;
     }
--- a/crates/agent/src/gate/leases/book.rs
+++ b/crates/agent/src/gate/leases/slot_leases.rs
@@ -6,30 +6,30 @@
 use model::{Instance, Slot, Timestamp, Token};
 use upstream::HandoverToken;
 
-use super::announced::{Exchange, Told};
+use super::exchange::{AnswerState, Exchange};
 use crate::report::UpstreamId;
 
 /// How much longer than it was told an upstream may hold a key, since its clock may be slow: those that
 /// enforce leases may be off by 2%.
-pub(in crate::gate) const SLOW_CLOCK: f64 = 1.02;
+pub(in crate::gate) const SLOW_CLOCK_FACTOR: f64 = 1.02;
 /// What the way of a call to the upstream on the same instance may take.
-pub(in crate::gate) const CALL_MARGIN: Duration = Duration::from_millis(20);
+pub(in crate::gate) const CALL_LATENCY_MARGIN: Duration = Duration::from_millis(20);
 /// A grant for a shorter time is of no use.
 pub(super) const HOLD_MIN: Duration = Duration::from_millis(100);
 /// A renewal must gain this much: a fifth of a lease of 1.5 s, so three calls a second and run.
-const RENEWAL_GAIN: Duration = Duration::from_millis(300);
+const RENEWAL_GAIN_MIN: Duration = Duration::from_millis(300);
 /// The pause after a call that failed.
 const RETRY_AFTER: Duration = Duration::from_millis(50);
 /// How long a release may take, for the handover token's sake; a shorter rest of the lease does not
 /// cut it short. Keys that come without it are slow at their new owner for some seconds.
-const RELEASE_MAX: Duration = Duration::from_millis(1_800);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// How long a handover token waits for its grant.
-const HANDOVER_KEPT: Duration = Duration::from_secs(5);
-const HANDOVERS_MAX: usize = 256;
+const HANDOVER_TOKEN_TTL: Duration = Duration::from_secs(5);
+const HANDOVER_TOKENS_MAX: usize = 256;
 
 /// Neighbouring slots that are treated alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Run {
+pub(super) struct SlotRange {
     pub(super) first: Slot,
     pub(super) last: Slot,
     pub(super) token: Token,
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Call {
     Grant {
-        run: Run,
+        range: SlotRange,
         hold: Duration,
         handover: Option<HandoverToken>,
     },
     /// `to` takes the keys over.
     Release {
-        run: Run,
-        to: Option<Instance>,
+        range: SlotRange,
+        successor: Option<Instance>,
         wait: Duration,
     },
     /// All keys are to be given up that were granted under tokens up to this one.
@@ -57,8 +57,8 @@
 
 /// How a grant ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum GrantEnd {
-    Taken,
+pub(super) enum GrantOutcome {
+    Accepted,
     /// The upstream has seen a higher token.
     Outdated,
     /// It may or may not take effect.
@@ -67,16 +67,16 @@
 
 #[derive(Debug)]
 pub(super) struct Closing {
-    pub(super) to: Option<Instance>,
+    pub(super) successor: Option<Instance>,
     pub(super) until: Timestamp,
-    pub(super) release: Release,
+    pub(super) release: ReleaseState,
 }
 
 /// How far the release of a closing slot has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Release {
+pub(super) enum ReleaseState {
     Due,
-    Pending,
+    InFlight,
     /// The upstream holds the slot no more; it may still work on it.
     Answered,
 }
@@ -90,35 +90,35 @@
     /// The upstream may hold the slot until then, whatever was lost on the way.
     pub(super) held_until: Timestamp,
     /// Set while a grant is on its way: until when the upstream would hold the slot by it.
-    calling: Option<Timestamp>,
+    grant_in_flight_until: Option<Timestamp>,
     /// The same of grants that got no answer: these may take effect after a later release.
-    doubtful_until: Timestamp,
-    next_call: Timestamp,
+    unanswered_until: Timestamp,
+    next_grant_at: Timestamp,
     pub(super) closing: Option<Closing>,
     /// What is known of it where the upstream is granted keys by its announcements.
-    pub(super) told: Told,
+    pub(super) answer_state: AnswerState,
 }
 
 #[derive(Debug)]
-struct Handover {
+struct StoredHandover {
     first: Slot,
     last: Slot,
-    text: HandoverToken,
-    at: Timestamp,
+    handover: HandoverToken,
+    received_at: Timestamp,
 }
 
 /// All slots that the upstream is to hold, holds, or is giving up.
 #[derive(Debug, Default)]
-pub(super) struct LeaseBook {
+pub(super) struct SlotLeases {
     pub(super) slots: BTreeMap<Slot, SlotLease>,
-    handovers: Vec<Handover>,
+    handovers: Vec<StoredHandover>,
     pub(super) clearing: Option<Clearing>,
     pub(super) exchange: Exchange,
-    life: Option<Life>,
+    incarnation: Option<UpstreamIncarnation>,
 }
 
 /// One life of an upstream: its name, and when it began in milliseconds of its time of day.
-pub(in crate::gate) type Life = (Option<UpstreamId>, Option<u64>);
+pub(in crate::gate) type UpstreamIncarnation = (Option<UpstreamId>, Option<u64>);
 
 /// Nothing is granted until the upstream has given up what earlier sessions or lives of this agent
 /// granted it: a release that arrives after a grant could undo it.
@@ -128,23 +128,23 @@
     pub(super) is_sent: bool,
 }
 
-impl LeaseBook {
+impl SlotLeases {
     /// Control admits a slot.
     pub(super) fn admit(&mut self, now: Timestamp, slot: Slot, token: Token) {
-        let handover = self.handover_of(now, slot);
+        let handover = self.handover_token_for(now, slot);
         let former = self.slots.get(&slot);
         let held_until = former.map_or(now, |it| it.held_until);
-        let doubtful_until = former.map_or(now, SlotLease::doubtful_until);
+        let unanswered_until = former.map_or(now, SlotLease::unanswered_until);
         let lease = SlotLease {
             token,
             handover,
             usable_until: Timestamp::ZERO,
             held_until,
-            calling: None,
-            doubtful_until,
-            next_call: now,
+            grant_in_flight_until: None,
+            unanswered_until,
+            next_grant_at: now,
             closing: None,
-            told: Told::default(),
+            answer_state: AnswerState::default(),
         };
         self.slots.insert(slot, lease);
     }
@@ -155,21 +155,21 @@
         now: Timestamp,
         slot: Slot,
         token: Token,
-        to: Option<Instance>,
+        successor: Option<Instance>,
     ) -> bool {
         let Some(lease) = self.slots.get_mut(&slot).filter(|it| it.token == token) else {
             return false;
         };
         if let Some(closing) = &mut lease.closing {
-            closing.to = to.or_else(|| closing.to.take());
+            closing.successor = successor.or_else(|| closing.successor.take());
             return true;
         }
         // What the upstream cannot hold needs no release.
         let until = match lease.held_until > now {
-            true => lease.held_until.max(now + RELEASE_MAX),
+            true => lease.held_until.max(now + RELEASE_TIMEOUT),
             false => now,
         };
-        lease.closing = Some(Closing { to, until, release: Release::Due });
+        lease.closing = Some(Closing { successor, until, release: ReleaseState::Due });
         true
     }
 
@@ -179,68 +179,68 @@
     }
 
     /// The call for that has ended, with the upstream's word or without.
-    pub(super) fn clear_ended(&mut self, token: Token) {
+    pub(super) fn finish_clear(&mut self, token: Token) {
         self.clearing.take_if(|it| it.token == token);
     }
 
     /// The lease is gone: what the upstream holds runs out with it.
     pub(super) fn drop_all(&mut self) {
-        self.exchange.gives_up |= !self.slots.is_empty();
+        self.exchange.must_revoke |= !self.slots.is_empty();
         self.slots.clear();
     }
 
     /// The upstream that is there; another life than the one before holds nothing.
-    pub(super) fn follow_life(&mut self, now: Timestamp, life: &Life) {
-        match self.life.replace(life.clone()) {
-            Some(known) if known != *life => self.upstream_replaced(now),
+    pub(super) fn follow_incarnation(&mut self, now: Timestamp, incarnation: &UpstreamIncarnation) {
+        match self.incarnation.replace(incarnation.clone()) {
+            Some(known) if known != *incarnation => self.reset_for_new_incarnation(now),
             _ => {}
         }
     }
 
     /// Another life of the upstream: it holds nothing.
-    pub(super) fn upstream_replaced(&mut self, now: Timestamp) {
+    pub(super) fn reset_for_new_incarnation(&mut self, now: Timestamp) {
         for lease in self.slots.values_mut() {
             lease.usable_until = Timestamp::ZERO;
             lease.held_until = now;
-            lease.doubtful_until = now;
+            lease.unanswered_until = now;
             lease.handover = None;
-            lease.told = Told::default();
+            lease.answer_state = AnswerState::default();
         }
-        self.exchange = Exchange::of_new_life();
+        self.exchange = Exchange::for_new_incarnation();
     }
 
     /// The former owner's gate hands a token over: for slots that are admitted later, or that have been but
     /// are not granted yet.
-    pub(super) fn take_handover(
+    pub(super) fn store_handover_token(
         &mut self,
         now: Timestamp,
         first: Slot,
         last: Slot,
-        text: HandoverToken,
+        handover: HandoverToken,
     ) {
         for (_, lease) in self.slots.range_mut(first..=last) {
             if lease.is_untouched() {
-                lease.handover = Some(Arc::clone(&text));
+                lease.handover = Some(Arc::clone(&handover));
             }
         }
-        self.handovers.retain(|it| now.since(it.at) < HANDOVER_KEPT);
-        if self.handovers.len() < HANDOVERS_MAX {
-            self.handovers.push(Handover { first, last, text, at: now });
+        self.handovers.retain(|it| now.since(it.received_at) < HANDOVER_TOKEN_TTL);
+        if self.handovers.len() < HANDOVER_TOKENS_MAX {
+            self.handovers.push(StoredHandover { first, last, handover, received_at: now });
         }
     }
 
-    fn handover_of(&self, now: Timestamp, slot: Slot) -> Option<HandoverToken> {
-        let fits = |it: &&Handover| {
-            (it.first..=it.last).contains(&slot) && now.since(it.at) < HANDOVER_KEPT
+    fn handover_token_for(&self, now: Timestamp, slot: Slot) -> Option<HandoverToken> {
+        let fits = |it: &&StoredHandover| {
+            (it.first..=it.last).contains(&slot) && now.since(it.received_at) < HANDOVER_TOKEN_TTL
         };
-        self.handovers.iter().rev().find(fits).map(|it| Arc::clone(&it.text))
+        self.handovers.iter().rev().find(fits).map(|it| Arc::clone(&it.handover))
     }
 
     /// Whether requests for a slot may be given to the upstream.
     pub(super) fn is_usable(&self, now: Timestamp, slot: Slot) -> bool {
         let lease = self.slots.get(&slot);
         lease.is_some_and(|it| {
-            it.closing.is_none() && now < it.usable_until && it.is_announced_usable(now)
+            it.closing.is_none() && now < it.usable_until && it.is_grant_read(now)
         })
     }
 
@@ -251,33 +251,34 @@
             let is_due = !std::mem::replace(&mut clearing.is_sent, true);
             return is_due.then_some(Call::Clear { token: clearing.token }).into_iter().collect();
         }
-        let hold = lease_until.since(now).saturating_sub(CALL_MARGIN).div_f64(SLOW_CLOCK);
+        let hold =
+            lease_until.since(now).saturating_sub(CALL_LATENCY_MARGIN).div_f64(SLOW_CLOCK_FACTOR);
         let mut calls: Vec<Call> = Vec::new();
         for (slot, lease) in &mut self.slots {
             let wants_grant = lease.wants_grant(now, hold);
             // A grant that is on its way might arrive after a release and undo it.
-            let is_quiet = lease.calling.is_none();
+            let is_quiet = lease.grant_in_flight_until.is_none();
             let call = match &mut lease.closing {
                 Some(closing)
-                    if closing.release == Release::Due && is_quiet && now < closing.until =>
+                    if closing.release == ReleaseState::Due && is_quiet && now < closing.until =>
                 {
-                    closing.release = Release::Pending;
-                    let run = Run { first: *slot, last: *slot, token: lease.token };
+                    closing.release = ReleaseState::InFlight;
+                    let range = SlotRange { first: *slot, last: *slot, token: lease.token };
                     let wait = closing.until.since(now);
-                    Call::Release { run, to: closing.to.clone(), wait }
+                    Call::Release { range, successor: closing.successor.clone(), wait }
                 }
                 Some(_) => continue,
                 None if wants_grant => {
                     // The time counts from when the call arrives, on a clock that may be slow.
-                    let ends = now + hold.mul_f64(SLOW_CLOCK) + CALL_MARGIN;
+                    let ends = now + hold.mul_f64(SLOW_CLOCK_FACTOR) + CALL_LATENCY_MARGIN;
                     lease.held_until = lease.held_until.max(ends);
-                    lease.calling = Some(ends);
-                    let run = Run { first: *slot, last: *slot, token: lease.token };
-                    Call::Grant { run, hold, handover: lease.handover.clone() }
+                    lease.grant_in_flight_until = Some(ends);
+                    let range = SlotRange { first: *slot, last: *slot, token: lease.token };
+                    Call::Grant { range, hold, handover: lease.handover.clone() }
                 }
                 None => continue,
             };
-            if !calls.last_mut().is_some_and(|it| it.takes(&call)) {
+            if !calls.last_mut().is_some_and(|it| it.try_extend(&call)) {
                 calls.push(call);
             }
         }
@@ -285,48 +286,49 @@
     }
 
     /// A grant that was sent at `sent_at` has ended.
-    pub(super) fn grant_ended(
+    pub(super) fn finish_grant(
         &mut self,
         now: Timestamp,
-        run: Run,
+        range: SlotRange,
         sent_at: Timestamp,
         hold: Duration,
-        end: GrantEnd,
+        end: GrantOutcome,
     ) {
-        for (_, lease) in self.slots.range_mut(run.first..=run.last) {
-            if lease.token != run.token {
+        for (_, lease) in self.slots.range_mut(range.first..=range.last) {
+            if lease.token != range.token {
                 continue;
             }
-            let ends = lease.calling.take().unwrap_or_default();
+            let ends = lease.grant_in_flight_until.take().unwrap_or_default();
             match end {
-                GrantEnd::Taken => {
+                GrantOutcome::Accepted => {
                     lease.usable_until = lease.usable_until.max(sent_at + hold);
                     // It is warm from now on.
                     lease.handover = None;
                 }
-                GrantEnd::Outdated | GrantEnd::Unknown => {
-                    lease.doubtful_until = lease.doubtful_until.max(ends);
-                    lease.next_call = now + RETRY_AFTER;
+                GrantOutcome::Outdated | GrantOutcome::Unknown => {
+                    lease.unanswered_until = lease.unanswered_until.max(ends);
+                    lease.next_grant_at = now + RETRY_AFTER;
                 }
             }
         }
     }
 
     /// A release has ended: with an answer, or without.
-    pub(super) fn release_ended(&mut self, now: Timestamp, run: Run, is_answered: bool) {
-        for (_, lease) in self.slots.range_mut(run.first..=run.last) {
-            let doubtful_until = lease.doubtful_until();
-            let Some(closing) = lease.closing.as_mut().filter(|_| lease.token == run.token) else {
+    pub(super) fn finish_release(&mut self, now: Timestamp, range: SlotRange, is_answered: bool) {
+        for (_, lease) in self.slots.range_mut(range.first..=range.last) {
+            let unanswered_until = lease.unanswered_until();
+            let Some(closing) = lease.closing.as_mut().filter(|_| lease.token == range.token)
+            else {
                 continue;
             };
             closing.release = match is_answered {
-                true => Release::Answered,
-                false => Release::Due,
+                true => ReleaseState::Answered,
+                false => ReleaseState::Due,
             };
             if is_answered {
                 // Work does not outlast the hold under which it began.
                 closing.until = lease.held_until;
-                lease.held_until = doubtful_until.max(now);
+                lease.held_until = unanswered_until.max(now);
             }
         }
     }
@@ -341,9 +343,9 @@
         let is_closed = |slot: &Slot, it: &SlotLease| {
             let Some(closing) = &it.closing else { return false };
             let may_be_at_work_until = match closing.release {
-                Release::Pending => return false,
-                Release::Due => closing.until,
-                Release::Answered => closing.until.min(works_until(*slot)),
+                ReleaseState::InFlight => return false,
+                ReleaseState::Due => closing.until,
+                ReleaseState::Answered => closing.until.min(works_until(*slot)),
             };
             may_be_at_work_until <= now && it.held_until <= now
         };
@@ -354,41 +356,40 @@
 
 impl SlotLease {
     /// Until when grants that have no answer may make the upstream hold the slot.
-    fn doubtful_until(&self) -> Timestamp {
-        self.doubtful_until.max(self.calling.unwrap_or_default())
+    fn unanswered_until(&self) -> Timestamp {
+        self.unanswered_until.max(self.grant_in_flight_until.unwrap_or_default())
     }
 
     /// Whether the upstream has not been asked to take it.
     fn is_untouched(&self) -> bool {
-        self.usable_until == Timestamp::ZERO && self.calling.is_none()
+        self.usable_until == Timestamp::ZERO && self.grant_in_flight_until.is_none()
     }
 
     fn wants_grant(&self, now: Timestamp, hold: Duration) -> bool {
-        self.calling.is_none()
-            && self.next_call <= now
+        self.grant_in_flight_until.is_none()
+            && self.next_grant_at <= now
             && hold >= HOLD_MIN
-            && now + hold >= self.usable_until + RENEWAL_GAIN
+            && now + hold >= self.usable_until + RENEWAL_GAIN_MIN
     }
 }
 
 impl Call {
     /// Extends this call by the next slot's, if they are alike.
-    fn takes(&mut self, next: &Call) -> bool {
-        let (run, next_run) = match (&mut *self, next) {
+    fn try_extend(&mut self, next: &Call) -> bool {
+        let (range, next_range) = match (&mut *self, next) {
             (
-                Call::Grant { run, handover, .. },
-                Call::Grant { run: next, handover: next_handover, .. },
-            ) if handover == next_handover => (run, next),
-            (Call::Release { run, to, .. }, Call::Release { run: next, to: next_to, .. })
-                if to == next_to =>
-            {
-                (run, next)
-            }
+                Call::Grant { range, handover, .. },
+                Call::Grant { range: next, handover: next_handover, .. },
+            ) if handover == next_handover => (range, next),
+            (
+                Call::Release { range, successor, .. },
+                Call::Release { range: next, successor: next_successor, .. },
+            ) if successor == next_successor => (range, next),
             _ => return false,
         };
-        let follows = run.last.0 + 1 == next_run.first.0 && run.token == next_run.token;
+        let follows = range.last.0 + 1 == next_range.first.0 && range.token == next_range.token;
         if follows {
-            run.last = next_run.last;
+            range.last = next_range.last;
         }
         follows
     }
--- a/crates/agent/src/gate/upstream_runs/mod.rs
+++ b/crates/agent/src/gate/upstream_runs/mod.rs
@@ -14,10 +14,10 @@
 
 use model::{Slot, Timestamp};
 
-use super::leases::SLOW_CLOCK;
+use super::leases::SLOW_CLOCK_FACTOR;
 
 /// What the way to the upstream may take where a connection has to be made: its time counts from the arrival.
-const ARRIVES_WITHIN: Duration = Duration::from_millis(500);
+const ARRIVAL_MARGIN: Duration = Duration::from_millis(500);
 
 /// The runs of each slot.
 #[derive(Debug, Default)]
@@ -25,13 +25,13 @@
 
 #[derive(Debug, Default)]
 struct State {
-    slots: BTreeMap<Slot, SlotRuns>,
+    slots: BTreeMap<Slot, SlotRunCounts>,
     /// Until when runs may go on that earlier lives of this agent began.
-    earlier_lives_until: Timestamp,
+    earlier_runs_until: Timestamp,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct SlotRuns {
+struct SlotRunCounts {
     /// Runs whose end is not known yet, and until when the last of them may go on.
     running: u32,
     running_until: Timestamp,
@@ -42,7 +42,7 @@
 
 /// What may still go on of some slots.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct Unended {
+pub(super) struct OngoingRuns {
     pub(super) running: u32,
     pub(super) unanswered: u32,
     /// Zero: nothing goes on.
@@ -51,7 +51,7 @@
 
 /// A run at the upstream. Dropped before its end is known, it may go on until its deadline.
 #[derive(Debug)]
-pub(super) struct Run<'a> {
+pub(super) struct OngoingRun<'a> {
     runs: &'a UpstreamRuns,
     slot: Option<Slot>,
     until: Timestamp,
@@ -64,45 +64,50 @@
     }
 
     /// A run begins that the upstream is given this long for. `slot`: none where nothing is granted.
-    pub(super) fn begin(&self, now: Timestamp, slot: Option<Slot>, remaining: Duration) -> Run<'_> {
-        let until = now + remaining.mul_f64(SLOW_CLOCK) + ARRIVES_WITHIN;
+    pub(super) fn begin(
+        &self,
+        now: Timestamp,
+        slot: Option<Slot>,
+        remaining: Duration,
+    ) -> OngoingRun<'_> {
+        let until = now + remaining.mul_f64(SLOW_CLOCK_FACTOR) + ARRIVAL_MARGIN;
         if let Some(slot) = slot {
             let mut state = self.state();
             let it = state.slots.entry(slot).or_default();
             it.running += 1;
             it.running_until = it.running_until.max(until);
         }
-        Run { runs: self, slot, until, is_answered: false }
+        OngoingRun { runs: self, slot, until, is_answered: false }
     }
 
     /// Runs of earlier lives of this agent, of which nothing is known, may go on until then.
-    pub(super) fn doubt_earlier_lives(&self, until: Timestamp) {
+    pub(super) fn assume_earlier_runs_until(&self, until: Timestamp) {
         let mut state = self.state();
-        state.earlier_lives_until = state.earlier_lives_until.max(until);
+        state.earlier_runs_until = state.earlier_runs_until.max(until);
     }
 
     /// Until when runs of each slot may go on.
-    pub(super) fn ends(&self, now: Timestamp) -> impl Fn(Slot) -> Timestamp + use<> {
+    pub(super) fn latest_ends(&self, now: Timestamp) -> impl Fn(Slot) -> Timestamp + use<> {
         let mut state = self.state();
         state.slots.retain(|_, it| it.running > 0 || now < it.unanswered_until);
-        let nothing = Unended::default();
-        let slots = state.slots.iter().map(|(slot, it)| (*slot, nothing.and(now, it).until));
+        let nothing = OngoingRuns::default();
+        let slots = state.slots.iter().map(|(slot, it)| (*slot, nothing.plus(now, it).until));
         let slots: BTreeMap<Slot, Timestamp> = slots.collect();
-        let earlier_lives_until = state.earlier_lives_until;
-        move |slot| slots.get(&slot).copied().unwrap_or_default().max(earlier_lives_until)
+        let earlier_runs_until = state.earlier_runs_until;
+        move |slot| slots.get(&slot).copied().unwrap_or_default().max(earlier_runs_until)
     }
 
     /// What may go on of the slots from `first` to `last`.
-    pub(super) fn unended(&self, now: Timestamp, first: Slot, last: Slot) -> Unended {
+    pub(super) fn ongoing(&self, now: Timestamp, first: Slot, last: Slot) -> OngoingRuns {
         let state = self.state();
-        let earlier_lives = Unended {
-            until: Some(state.earlier_lives_until).filter(|it| now < *it).unwrap_or_default(),
-            ..Unended::default()
+        let earlier_lives = OngoingRuns {
+            until: Some(state.earlier_runs_until).filter(|it| now < *it).unwrap_or_default(),
+            ..OngoingRuns::default()
         };
-        state.slots.range(first..=last).fold(earlier_lives, |sum, (_, it)| sum.and(now, it))
+        state.slots.range(first..=last).fold(earlier_lives, |sum, (_, it)| sum.plus(now, it))
     }
 
-    fn ended(&self, run: &Run<'_>) {
+    fn ended(&self, run: &OngoingRun<'_>) {
         let Some(slot) = run.slot else { return };
         let mut state = self.state();
         let it = state.slots.entry(slot).or_default();
@@ -117,11 +122,11 @@
     }
 }
 
-impl Unended {
-    fn and(self, now: Timestamp, runs: &SlotRuns) -> Unended {
+impl OngoingRuns {
+    fn plus(self, now: Timestamp, runs: &SlotRunCounts) -> OngoingRuns {
         let is_cut = now < runs.unanswered_until;
         let cut_until = if is_cut { runs.unanswered_until } else { Timestamp::ZERO };
-        Unended {
+        OngoingRuns {
             running: self.running + runs.running,
             unanswered: self.unanswered + if is_cut { runs.unanswered } else { 0 },
             until: self.until.max(runs.running_until).max(cut_until),
@@ -129,14 +134,14 @@
     }
 }
 
-impl Run<'_> {
+impl OngoingRun<'_> {
     /// The upstream does not work on it any more.
     pub(super) fn finish(mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for Run<'_> {
+impl Drop for OngoingRun<'_> {
     fn drop(&mut self) {
         self.runs.ended(self);
     }
--- a/crates/agent/src/gate/upstream_runs/tests.rs
+++ b/crates/agent/src/gate/upstream_runs/tests.rs
@@ -4,14 +4,14 @@
 
 use model::{Slot, Timestamp};
 
-use super::{Unended, UpstreamRuns};
+use super::{OngoingRuns, UpstreamRuns};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_ms(ms)
 }
 
 fn ends(runs: &UpstreamRuns, now_ms: u64, slot: u16) -> Timestamp {
-    runs.unended(at(now_ms), Slot(slot), Slot(slot)).until
+    runs.ongoing(at(now_ms), Slot(slot), Slot(slot)).until
 }
 
 #[test]
@@ -23,13 +23,13 @@
     assert!(ends(&runs, 10, 1) > at(1000), "its clock may be slow");
     answered.finish();
     drop(cut);
-    assert_eq!(runs.unended(at(10), Slot(0), Slot(1)), Unended::default());
-    let unended = runs.unended(at(10), Slot(0), Slot(9));
-    assert_eq!((unended.running, unended.unanswered), (0, 1));
-    assert!(unended.until > at(1000));
-    let ends = runs.ends(at(10));
-    assert_eq!((ends(Slot(1)), ends(Slot(2))), (Timestamp::ZERO, unended.until));
-    assert_eq!(runs.unended(unended.until, Slot(0), Slot(9)), Unended::default());
+    assert_eq!(runs.ongoing(at(10), Slot(0), Slot(1)), OngoingRuns::default());
+    let ongoing = runs.ongoing(at(10), Slot(0), Slot(9));
+    assert_eq!((ongoing.running, ongoing.unanswered), (0, 1));
+    assert!(ongoing.until > at(1000));
+    let ends = runs.latest_ends(at(10));
+    assert_eq!((ends(Slot(1)), ends(Slot(2))), (Timestamp::ZERO, ongoing.until));
+    assert_eq!(runs.ongoing(ongoing.until, Slot(0), Slot(9)), OngoingRuns::default());
 }
 
 #[test]
@@ -43,8 +43,8 @@
 #[test]
 fn runs_of_an_earlier_life_of_the_agent_may_go_on_in_every_slot() {
     let runs = UpstreamRuns::default();
-    runs.doubt_earlier_lives(at(1500));
+    runs.assume_earlier_runs_until(at(1500));
     assert_eq!(ends(&runs, 1499, 7), at(1500));
     assert_eq!(ends(&runs, 1500, 7), Timestamp::ZERO);
-    assert_eq!(runs.ends(at(0))(Slot(7)), at(1500));
+    assert_eq!(runs.latest_ends(at(0))(Slot(7)), at(1500));
 }
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -209,7 +209,7 @@
         let unit = match handover.unit {
             Unit::Slots { first, last } => {
                 let text = String::from_utf8_lossy(&handover.records).as_ref().into();
-                self.leases.take_handover(self.clock.now(), (first, last), text);
+                self.leases.store_handover_token(self.clock.now(), (first, last), text);
                 return true;
             }
             Unit::Slot(slot) => RecordUnit::Slot(slot),
