--- a/crates/traffic/src/records/handover.rs
+++ b/crates/traffic/src/records/handover.rs
@@ -1,11 +1,12 @@
-//! Records on their way from one owner to the next. Times are ages: clocks are not shared.
+//! The form in which records are handed over from one owner to the next. Times are written as ages,
+//! because the owners have different clocks.
 
 use std::time::Duration;
 
 use model::{KeyHash, RequestId, UnknownReason};
 use serde::{Deserialize, Serialize};
 
-/// The end of a recorded request.
+/// The outcome of a recorded request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RecordedOutcome<A> {
@@ -13,15 +14,15 @@
     Unknown(UnknownReason),
 }
 
-/// One record.
+/// The record of one ended request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record<A> {
     pub id: RequestId,
     pub key_hash: KeyHash,
-    /// Time since its first sending.
+    /// Time since the caller first sent the request.
     pub first_sent_age: Duration,
-    /// Time since its end.
+    /// Time since the request ended.
     pub ended_age: Duration,
     pub end: RecordedOutcome<A>,
 }
@@ -30,7 +31,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UnitRecords<A> {
-    /// Every request first sent within this age is in `records` if it was begun.
+    /// The age up to which `records` is complete: it holds every request that was started and was
+    /// first sent no longer ago than this.
     pub complete_age: Duration,
     pub records: Vec<Record<A>>,
 }
--- a/crates/traffic/src/records/mod.rs
+++ b/crates/traffic/src/records/mod.rs
@@ -1,9 +1,9 @@
 //! At-most-once records: which request ids have been begun, and how they ended.
 //!
-//! One table a unit of ownership (a slot, or a hot key with an entry of its own). Each table
-//! knows since when it is complete. An id that is not in the table has never run if it was first
-//! sent since then; otherwise nobody can tell. Forgetting a record moves that point forward, so a
-//! forgotten id never looks new.
+//! There is one table per unit of ownership (a slot, or a hot key with an entry of its own). Each
+//! table stores the point in time since which it is complete: an id that is missing from the table
+//! has never run if it was first sent after that point; for an older id, whether it ran is unknown.
+//! Evicting a record moves that point forward, so that an evicted id is never taken for a new one.
 
 mod handover;
 mod table;
@@ -19,46 +19,46 @@
 
 pub use handover::{Record, RecordedOutcome, UnitRecords};
 
-/// An answer as it is kept for resends. Cheap to clone.
+/// An answer that is stored in order to replay it to resends. Cheap to clone.
 pub trait Answer: Clone {
-    /// What it takes in memory, headers and body.
+    /// Memory taken by the headers and the body, in bytes.
     fn size_bytes(&self) -> usize;
 }
 
 /// Bounds on the records of one unit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordsConfig {
-    /// Memory for one unit's records, in bytes.
+    /// The memory limit for the records of one unit, in bytes.
     pub bytes_max: usize,
-    /// How long a finished record is kept, if the memory allows.
+    /// The retention period of a finished record. The memory limit may evict the record earlier.
     pub retention: Duration,
-    /// How far the age that a resend carries may fall short of the truth: clock drift and the
-    /// time that the message took.
+    /// The most by which a resend's reported age may be too low, because of clock drift and the
+    /// transit time of the message.
     pub age_margin: Duration,
 }
 
-/// What owns records: a slot, or a hot key apart from its slot.
+/// The unit that records belong to: a slot, or a hot key that is owned separately from its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordUnit {
     Slot(Slot),
     Key(KeyHash),
 }
 
-/// What to do with a request that arrives.
+/// The action to take for an arriving request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum BeginResult<A> {
-    /// New: run it, then call [`Records::finish`], [`Records::finish_unknown`] or
+    /// The request is new: run it, then call [`Records::finish`], [`Records::finish_unknown`] or
     /// [`Records::discard`].
     Run,
-    /// Its first sending still runs: wait for the end of that.
+    /// An earlier attempt of the request is still running: wait for its result.
     Attach,
-    /// It has run: give this answer again.
+    /// The request has run: return this answer again.
     Replay(A),
-    /// It was begun, and how it ended is not known or not kept: do not run it.
+    /// The request was started, and its outcome is unknown or no longer stored: do not run it.
     Unknown(UnknownReason),
-    /// The records do not reach back to its first sending: do not run it.
+    /// The request was first sent before the point since which the table is complete: do not run it.
     NoRecord,
-    /// No room for another record while so many run: not run.
+    /// The records of running requests fill the memory limit: do not run the request.
     Full,
 }
 
@@ -74,18 +74,19 @@
         Records { config, units: HashMap::new() }
     }
 
-    /// Starts a unit without records: its first owner, or a new one after a loss.
+    /// Opens a unit with an empty table. Used by the first owner of a unit, and by a new owner to
+    /// which the records of the previous owner were lost.
     pub fn open(&mut self, now: Timestamp, unit: RecordUnit) {
         self.units.insert(unit, Table::new(Instant::of(now)));
     }
 
-    /// Whether the unit has a table here.
+    /// Returns whether this gate has a table for the unit.
     pub fn is_open(&self, unit: RecordUnit) -> bool {
         self.units.contains_key(&unit)
     }
 
-    /// Looks a request up, and records it as running if it is new. `age` is the time since its
-    /// first sending by its caller: zero for a first sending.
+    /// Looks up a request, and records it as running if it is new. `age` is the time since the
+    /// caller first sent the request; zero if this is the first attempt.
     pub fn begin(
         &mut self,
         now: Timestamp,
@@ -98,13 +99,13 @@
         table.begin(&self.config, Instant::of(now), key_hash, id, age)
     }
 
-    /// Keeps the answer of a request that ran.
+    /// Stores the answer of a request that has run.
     pub fn finish(&mut self, now: Timestamp, unit: RecordUnit, id: RequestId, answer: A) {
         let Some(table) = self.units.get_mut(&unit) else { return };
         table.end(&self.config, Instant::of(now), id, RecordedOutcome::Answered(answer));
     }
 
-    /// Notes that nobody knows how a request ended: no resend may run it.
+    /// Records that the outcome of a request is unknown, so that no resend runs it again.
     pub fn finish_unknown(
         &mut self,
         now: Timestamp,
@@ -116,28 +117,28 @@
         table.end(&self.config, Instant::of(now), id, RecordedOutcome::Unknown(reason));
     }
 
-    /// Takes a record back: the request was provably not run, so a resend may run it.
+    /// Removes the record of a request that provably did not run, so that a resend may run it.
     pub fn discard(&mut self, unit: RecordUnit, id: RequestId) {
         let Some(table) = self.units.get_mut(&unit) else { return };
         table.discard(id);
     }
 
-    /// Drops what has been kept long enough. To be called about once a second.
+    /// Evicts records that are older than the retention period. To be called about once a second.
     pub fn tick(&mut self, now: Timestamp) {
         for table in self.units.values_mut() {
             table.expire(&self.config, Instant::of(now));
         }
     }
 
-    /// Closes a unit and returns its records for the next owner. What still runs is handed over
-    /// as unknown. None: there is no such unit.
+    /// Closes a unit and returns its records for the next owner. Requests that are still running
+    /// are handed over with an unknown outcome. Returns `None` if the unit is not open.
     pub fn export(&mut self, now: Timestamp, unit: RecordUnit) -> Option<UnitRecords<A>> {
         let table = self.units.remove(&unit)?;
         Some(table.export(Instant::of(now), |_| true))
     }
 
-    /// The records of one key of a unit that stays open, for a hot key's new owner. The unit's
-    /// own records of the key are kept: they do no harm.
+    /// Returns the records of one key of a unit that stays open, for the new owner of a hot key. The
+    /// unit keeps its copies of these records, which is harmless.
     pub fn export_key(
         &mut self,
         now: Timestamp,
@@ -148,8 +149,8 @@
         Some(table.clone().export(Instant::of(now), |it| it == key_hash))
     }
 
-    /// Takes over the records of a former owner. If the unit is open here already (a hot key that
-    /// follows its slot again), both are complete only since the later of the two points.
+    /// Imports the records of a previous owner. If the unit is already open (a hot key that is merged
+    /// back into its slot), the merged table is complete only since the later of the two points.
     pub fn import(&mut self, now: Timestamp, unit: RecordUnit, records: UnitRecords<A>) {
         let now = Instant::of(now);
         let table = self.units.remove(&unit);
@@ -157,12 +158,12 @@
         self.units.insert(unit, table);
     }
 
-    /// Memory taken by a unit's records, in bytes.
+    /// Returns the memory taken by the records of a unit, in bytes.
     pub fn bytes(&self, unit: RecordUnit) -> usize {
         self.units.get(&unit).map_or(0, |it| it.bytes())
     }
 
-    /// Records of a unit, running ones included.
+    /// Returns the number of records of a unit, including those of running requests.
     pub fn len(&self, unit: RecordUnit) -> usize {
         self.units.get(&unit).map_or(0, |it| it.len())
     }
--- a/crates/traffic/src/records/table.rs
+++ b/crates/traffic/src/records/table.rs
@@ -9,11 +9,11 @@
 
 use super::{Answer, BeginResult, Record, RecordedOutcome, RecordsConfig, UnitRecords};
 
-/// What a record takes beside its answer: the maps' entries, rounded up.
+/// Memory taken by a record without its answer: the entries of both collections, rounded up.
 const RECORD_BYTES: usize = 160;
 
-/// A point in time that may lie before the origin of this process's clock, as records of former
-/// owners do. A saturating timestamp would make such points look alike.
+/// A point in time that may lie before the origin of this process's clock, which is common for
+/// imported records. A saturating timestamp would make all such points equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Instant {
     ns: i128,
@@ -68,9 +68,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct Table<A> {
     entries: HashMap<RequestId, Entry<A>>,
-    /// Ended entries, the first to end first.
+    /// Ended entries, ordered by their end, oldest first.
     ended: BTreeSet<(Instant, RequestId)>,
-    /// An id first sent at or after this, and not in the table, has never run.
+    /// A request that was first sent at or after this point, and has no entry, has never run.
     complete_since: Instant,
     bytes: usize,
 }
@@ -106,12 +106,12 @@
             };
         }
         self.expire(config, now);
-        // Room is made before the check: making it may move the point that is checked against.
+        // Making room may move `complete_since`, so it has to precede the check against it.
         if !self.make_room(config, RECORD_BYTES) {
             return BeginResult::Full;
         }
-        // A resend's age may fall short by the margin, so it counts as that much older here. What
-        // is recorded is the latest point that it can have been sent at: see `evict`.
+        // A resend's age may be too low by up to the margin, so the check adds the margin. The entry
+        // stores the latest possible point of the first attempt, which is the bound that `evict` needs.
         let first_sent = now.before(age);
         let margin = if age.is_zero() { Duration::ZERO } else { config.age_margin };
         if first_sent.before(margin) < self.complete_since {
@@ -129,12 +129,12 @@
         end: RecordedOutcome<A>,
     ) {
         let Some(entry) = self.take(id) else {
-            panic!("request {id} ended but was never begun");
+            panic!("request {id} ended, but has no record");
         };
         assert!(matches!(entry.state, State::Running), "request {id} ended twice");
         let mut entry = Entry { state: State::Ended { at: now, end }, ..entry };
         if !self.make_room(config, entry.bytes()) {
-            // The answer is larger than all the memory there is; that it ran must be kept.
+            // The answer exceeds the available memory. The record that the request has run has to be kept.
             let end = RecordedOutcome::Unknown(UnknownReason::NoRecord);
             entry.state = State::Ended { at: now, end };
         }
@@ -143,10 +143,13 @@
 
     pub(super) fn discard(&mut self, id: RequestId) {
         let Some(entry) = self.take(id) else { return };
-        assert!(matches!(entry.state, State::Running), "request {id} ended and can't be forgotten");
+        assert!(
+            matches!(entry.state, State::Running),
+            "request {id} has ended, so its record can't be discarded"
+        );
     }
 
-    /// Drops the records that were kept long enough.
+    /// Evicts records that ended longer ago than the retention period.
     pub(super) fn expire(&mut self, config: &RecordsConfig, now: Instant) {
         let horizon = now.before(config.retention);
         while let Some(&(at, id)) = self.ended.first()
@@ -179,14 +182,14 @@
     pub(super) fn import(
         config: &RecordsConfig,
         now: Instant,
-        handed: UnitRecords<A>,
-        present: Option<Table<A>>,
+        imported: UnitRecords<A>,
+        existing: Option<Table<A>>,
     ) -> Table<A> {
-        let complete_since = now.before(handed.complete_age);
-        let mut table = present.unwrap_or_else(|| Table::new(complete_since));
+        let complete_since = now.before(imported.complete_age);
+        let mut table = existing.unwrap_or_else(|| Table::new(complete_since));
         table.complete_since = table.complete_since.max(complete_since);
-        let mut records = handed.records;
-        // The latest first: if there is no room for all, the oldest are evicted.
+        let mut records = imported.records;
+        // The most recent first, so that the oldest are left out if not all of them fit.
         records.sort_by_key(|it| (it.ended_age, it.id));
         for it in records {
             if table.entries.contains_key(&it.id) {
@@ -197,13 +200,13 @@
             let entry = Entry { key_hash: it.key_hash, first_sent, state };
             match table.bytes + entry.bytes() <= config.bytes_max {
                 true => table.insert(it.id, entry),
-                false => table.raise(first_sent),
+                false => table.raise_complete_since(first_sent),
             }
         }
         table
     }
 
-    /// Evicts ended records, oldest first, until `bytes` more fit.
+    /// Evicts ended records, oldest first, until `bytes` more fit. Returns false if they can't fit.
     fn make_room(&mut self, config: &RecordsConfig, bytes: usize) -> bool {
         if bytes > config.bytes_max {
             return false;
@@ -215,14 +218,15 @@
         true
     }
 
-    /// Forgets an ended record, though its request has run: from here on the table is complete
-    /// only for what was sent later.
+    /// Removes an ended record although its request has run. From then on the table is complete only
+    /// for requests that were first sent later than this one.
     fn evict(&mut self, id: RequestId) {
-        let entry = self.take(id).expect("an ended record is in the table");
-        self.raise(entry.first_sent);
+        let entry = self.take(id).expect("each id in `ended` is in the table");
+        self.raise_complete_since(entry.first_sent);
     }
 
-    fn raise(&mut self, first_sent: Instant) {
+    /// Moves `complete_since` past the first attempt of a request whose record is not kept.
+    fn raise_complete_since(&mut self, first_sent: Instant) {
         let bound = first_sent.after(Duration::from_nanos(1));
         self.complete_since = self.complete_since.max(bound);
     }
@@ -233,7 +237,7 @@
         }
         self.bytes += entry.bytes();
         let former = self.entries.insert(id, entry);
-        assert!(former.is_none(), "request {id} was recorded twice");
+        assert!(former.is_none(), "request {id} already has a record");
     }
 
     fn take(&mut self, id: RequestId) -> Option<Entry<A>> {
