--- a/crates/traffic/src/retry/mod.rs
+++ b/crates/traffic/src/retry/mod.rs
@@ -1,7 +1,8 @@
-//! Whether a request that came back without an answer is sent again, and when.
+//! Decides whether and when a request that was not answered is retried.
 //!
-//! Retries are paid from a budget that is a share of fresh traffic, so that an overloaded service
-//! gets little more than its callers ask. A stale route is followed without charge, a few times.
+//! Retries are charged to a budget that is a share of the number of new requests, so that retries add
+//! little to the load of an overloaded service. Redirects because of a stale route are limited in
+//! number, but not charged.
 
 #[cfg(test)]
 mod tests;
@@ -11,28 +12,29 @@
 use model::{NotRunReason, Outcome, Timestamp, UnknownReason};
 use rand::{Rng, RngExt};
 
-/// How long a request for a key that nobody owns waits between two tries, at the least; at the most
-/// twice as long. A handover takes some tens of milliseconds, so a shorter wait asks in vain.
-const UNOWNED_PAUSE: Duration = Duration::from_millis(40);
+/// The shortest pause before a request for a key without an owner is retried; the longest is twice
+/// that. A handover takes some tens of milliseconds, so an earlier retry would fail again.
+const UNOWNED_PAUSE_MIN: Duration = Duration::from_millis(40);
 
-/// How long a request waits at the least whose connection was lost: if its upstream has ended under it, word of that
-/// is here by then.
-const LOST_PAUSE: Duration = Duration::from_millis(50);
+/// The shortest pause before a retry after a lost connection. If the upstream crashed while it ran the
+/// request, the report of the crash has arrived by then.
+const CONNECTION_LOST_PAUSE: Duration = Duration::from_millis(50);
 
-/// A sending with less time than this is of no use: the shortest requests run for half of it, and the rest is
-/// the way there and back. It would end unknown where the caller can be told that nothing has run.
-const USEFUL_MIN: Duration = Duration::from_millis(100);
+/// The shortest time to the deadline with which a request is retried: the shortest requests run for
+/// half of it, and the network round trip takes the rest. A retry with less time would probably end
+/// with an unknown outcome, while without it the caller gets a definite "not run".
+const RETRY_TIME_MIN: Duration = Duration::from_millis(100);
 
-/// How many more targets are asked when one has no room: what they say of their load is a little old,
-/// so one may have room after all; more would only spread the rush.
-const ELSEWHERE_MAX: u8 = 2;
+/// How many further targets are tried at once after one was full. The load reports of the targets are
+/// slightly out of date, so another one may have room; more tries would only spread the overload.
+const IMMEDIATE_RETRIES_MAX: u8 = 2;
 
-/// Which retries the budget pays for.
+/// Which retries are charged to the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChargePolicy {
-    /// Each one, whoever refused the sending before it.
+    /// Every retry, whether a gate or an upstream refused the previous attempt.
     EveryRetry,
-    /// Only those after a sending that may have reached an upstream: what a gate refuses by itself
+    /// Only retries after an attempt that may have reached an upstream. An attempt that a gate refuses
     /// costs the upstreams nothing.
     AfterUpstream,
 }
@@ -40,19 +42,19 @@
 /// Bounds on retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryConfig {
-    /// Retries allowed for each fresh request, on average.
+    /// The number of retries that each new request adds to the budget.
     pub budget_share: f64,
-    /// Retries that may be saved up.
+    /// The largest number of retries that the budget can hold.
     pub budget_max: f64,
-    /// The longest wait before the first retry; doubles with each.
+    /// The upper bound of the backoff before the first retry; it doubles with each retry.
     pub backoff_base: Duration,
     pub backoff_max: Duration,
-    /// Retries of one request, stale routes not counted.
+    /// The most retries of one request, not counting redirects.
     pub retries_max: u8,
-    /// Stale routes that one request follows.
+    /// The most redirects that one request follows because of stale routes.
     pub redirects_max: u8,
     pub charge: ChargePolicy,
-    /// How long a request waits in all for a key that nobody owns; without charge.
+    /// The longest total time that a request waits for its key to get an owner; not charged.
     pub unowned_wait: Duration,
 }
 
@@ -71,22 +73,23 @@
     }
 }
 
-/// What one request has used up so far.
+/// The attempts made for one request so far, and their limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempts {
     pub retries: u8,
     pub redirects: u8,
-    /// Targets that were asked after others had refused the request without giving it to an upstream.
+    /// Retries without a pause, each after a gate refused the request without sending it to its upstream.
     pub immediate_retries: u8,
-    /// Sendings that may have reached an upstream, and the most of them.
+    /// Attempts that may have reached an upstream.
     pub upstream_attempts: u8,
+    /// The limit of `upstream_attempts`.
     pub upstream_attempts_max: u8,
-    /// Time spent waiting for an owner of the key.
-    pub waited: Duration,
+    /// Time spent waiting for the key to get an owner.
+    pub owner_wait: Duration,
 }
 
 impl Attempts {
-    /// A request that may be given to so many upstreams.
+    /// Creates the count for a request that may be sent to at most `upstream_attempts_max` upstreams.
     pub fn new(upstream_attempts_max: u8) -> Attempts {
         Attempts {
             retries: 0,
@@ -94,7 +97,7 @@
             immediate_retries: 0,
             upstream_attempts: 0,
             upstream_attempts_max,
-            waited: Duration::ZERO,
+            owner_wait: Duration::ZERO,
         }
     }
 }
@@ -105,87 +108,91 @@
     }
 }
 
-/// How one sending ended.
+/// The result of one attempt to send a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedAttempt {
     pub outcome: Outcome,
-    /// When the peer asked to come back.
+    /// The pause before the next attempt that the peer asked for, if any.
     pub retry_after: Option<Duration>,
-    /// The peer named another owner for the key than the one that was asked.
+    /// Whether the peer named a different owner of the key than the instance that was tried.
     pub is_redirect: bool,
-    /// There is a target that has not been asked yet and may take it.
+    /// Whether there is a ready target that this request has not been sent to yet.
     pub has_untried_target: bool,
 }
 
-/// What to do next.
+/// The next step for a request whose last attempt was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryVerdict {
-    /// Send it to the owner that the peer named, now.
+    /// Send the request to the owner that the peer named, at once.
     FollowRedirect,
-    /// Send it again after this time.
+    /// Send the request again after this time.
     Retry { after: Duration },
-    /// Tell the caller the outcome now, and when to come back if that makes sense.
+    /// Report the outcome to the caller now, with the time after which a retry makes sense, if any.
     GiveUp { retry_after: Option<Duration> },
 }
 
-/// The retries of one agent towards one service.
+/// The retry budget of one agent for one service.
 #[derive(Debug)]
 pub struct Retries {
     config: RetryConfig,
+    /// The number of retries that are available now.
     budget: f64,
 }
 
 impl Retries {
-    /// Starts with half the budget saved up.
+    /// Creates a budget that is half full.
     pub fn new(config: RetryConfig) -> Retries {
         let budget = config.budget_max / 2.0;
         Retries { config, budget }
     }
 
-    /// A fresh request of a caller: pays a share of a retry into the budget.
+    /// Adds the share of a new request, in retries, to the budget.
     pub fn add_request(&mut self) {
         self.budget = (self.budget + self.config.budget_share).min(self.config.budget_max);
     }
 
-    /// Decides on a request whose sending ended, and charges what it uses.
+    /// Decides on the next step after an attempt that was not answered, and charges the budget for a
+    /// retry.
     pub fn decide(
         &mut self,
         now: Timestamp,
         deadline: Timestamp,
-        idempotent: bool,
+        is_idempotent: bool,
         attempts: &mut Attempts,
         ended: &EndedAttempt,
         rng: &mut impl Rng,
     ) -> RetryVerdict {
-        let left = deadline.since(now);
-        let reached = may_have_reached_upstream(ended.outcome);
-        attempts.upstream_attempts = attempts.upstream_attempts.saturating_add(u8::from(reached));
+        let remaining = deadline.since(now);
+        let may_have_reached = may_have_reached_upstream(ended.outcome);
+        attempts.upstream_attempts =
+            attempts.upstream_attempts.saturating_add(u8::from(may_have_reached));
         if ended.is_redirect
             && attempts.redirects < self.config.redirects_max
-            && left > Duration::ZERO
+            && remaining > Duration::ZERO
         {
             attempts.redirects += 1;
             return RetryVerdict::FollowRedirect;
         }
-        if let Some(after) = self.wait_for_owner(ended.outcome, attempts, left, rng) {
+        if let Some(after) = self.wait_for_owner(ended.outcome, attempts, remaining, rng) {
             return RetryVerdict::Retry { after };
         }
-        if let Some(verdict) = self.retry_immediately(ended, reached, attempts, left) {
+        if let Some(verdict) = self.retry_immediately(ended, may_have_reached, attempts, remaining)
+        {
             return verdict;
         }
         let backoff = self.backoff(attempts.retries, rng);
         let backoff = match ended.outcome {
-            Outcome::Unknown(UnknownReason::ConnectionLost) => backoff.max(LOST_PAUSE),
+            Outcome::Unknown(UnknownReason::ConnectionLost) => backoff.max(CONNECTION_LOST_PAUSE),
             _ => backoff,
         };
         let after = ended.retry_after.map_or(backoff, |it| it + backoff);
-        let give_up = RetryVerdict::GiveUp { retry_after: self.come_back(ended, after) };
-        let allowed = may_retry(ended.outcome, idempotent)
+        let give_up = RetryVerdict::GiveUp { retry_after: self.retry_after(ended, after) };
+        let allowed = may_retry(ended.outcome, is_idempotent)
             && attempts.retries < self.config.retries_max
             && attempts.upstream_attempts < attempts.upstream_attempts_max
-            && after + USEFUL_MIN < left;
+            && after + RETRY_TIME_MIN < remaining;
         let charge = match self.config.charge {
-            ChargePolicy::AfterUpstream if !reached => 0.0,
+            ChargePolicy::AfterUpstream if !may_have_reached => 0.0,
             ChargePolicy::AfterUpstream | ChargePolicy::EveryRetry => 1.0,
         };
         if !allowed || self.budget < charge {
@@ -196,61 +203,65 @@
         RetryVerdict::Retry { after }
     }
 
-    /// Where only upstreams count, a gate's refusal costs nobody else anything: the next target is asked
-    /// at once, and when all have refused for want of room the caller is told so, and when to come back,
-    /// in place of being held.
+    /// Decides on a request that a gate refused, where only attempts at upstreams are charged. Such a
+    /// refusal costs the upstreams nothing, so the next target is tried at once. When all have refused
+    /// because they are overloaded, the caller gets that outcome and a retry-after time at once instead
+    /// of waiting for a backoff.
     fn retry_immediately(
         &self,
         ended: &EndedAttempt,
-        reached: bool,
+        may_have_reached: bool,
         attempts: &mut Attempts,
-        left: Duration,
+        remaining: Duration,
     ) -> Option<RetryVerdict> {
         let Outcome::NotRun(reason) = ended.outcome else { return None };
-        if self.config.charge != ChargePolicy::AfterUpstream || reached || !is_transient(reason) {
+        if self.config.charge != ChargePolicy::AfterUpstream
+            || may_have_reached
+            || !is_transient(reason)
+        {
             return None;
         }
         if ended.has_untried_target
-            && attempts.immediate_retries < ELSEWHERE_MAX
-            && left > Duration::ZERO
+            && attempts.immediate_retries < IMMEDIATE_RETRIES_MAX
+            && remaining > Duration::ZERO
         {
             attempts.immediate_retries += 1;
             return Some(RetryVerdict::Retry { after: Duration::ZERO });
         }
-        let full = reason == NotRunReason::Overloaded;
-        full.then_some(RetryVerdict::GiveUp { retry_after: ended.retry_after })
+        let is_overloaded = reason == NotRunReason::Overloaded;
+        is_overloaded.then_some(RetryVerdict::GiveUp { retry_after: ended.retry_after })
     }
 
-    /// The pause until a key that nobody owns is asked for again, if there is time for it.
+    /// Returns the pause before a request for a key without an owner is retried, if enough time is left.
     fn wait_for_owner(
         &self,
         outcome: Outcome,
         attempts: &mut Attempts,
-        left: Duration,
+        remaining: Duration,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
-        let unowned =
+        let is_unowned =
             matches!(outcome, Outcome::NotRun(NotRunReason::NoOwner | NotRunReason::NotOwner));
-        let pause = UNOWNED_PAUSE.mul_f64(rng.random_range(1.0..2.0));
-        let in_time =
-            attempts.waited + pause <= self.config.unowned_wait && pause + USEFUL_MIN < left;
-        (unowned && in_time).then(|| attempts.waited += pause)?;
+        let pause = UNOWNED_PAUSE_MIN.mul_f64(rng.random_range(1.0..2.0));
+        let is_in_time = attempts.owner_wait + pause <= self.config.unowned_wait
+            && pause + RETRY_TIME_MIN < remaining;
+        (is_unowned && is_in_time).then(|| attempts.owner_wait += pause)?;
         Some(pause)
     }
 
-    /// Retries that the budget still holds.
+    /// Returns the number of retries that the budget holds.
     pub fn budget(&self) -> f64 {
         self.budget
     }
 
-    /// Full jitter: anything up to the exponential bound.
+    /// Returns a random pause up to the exponential bound (full jitter).
     fn backoff(&self, retries: u8, rng: &mut impl Rng) -> Duration {
         let factor = 1_u32 << u32::from(retries).min(16);
         let bound = self.config.backoff_base.saturating_mul(factor).min(self.config.backoff_max);
         bound.mul_f64(rng.random_range(0.0..1.0))
     }
 
-    fn come_back(&self, ended: &EndedAttempt, after: Duration) -> Option<Duration> {
+    fn retry_after(&self, ended: &EndedAttempt, after: Duration) -> Option<Duration> {
         match ended.outcome {
             Outcome::NotRun(reason) if is_transient(reason) => Some(after),
             _ => None,
@@ -258,7 +269,7 @@
     }
 }
 
-/// Whether the upstream may have seen the request.
+/// Returns whether the request may have reached an upstream.
 fn may_have_reached_upstream(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -266,17 +277,17 @@
     )
 }
 
-/// Whether sending a request again after this outcome is safe and makes sense.
-fn may_retry(outcome: Outcome, idempotent: bool) -> bool {
+/// Returns whether a retry after this outcome is safe and may succeed.
+fn may_retry(outcome: Outcome, is_idempotent: bool) -> bool {
     match outcome {
         Outcome::Answered => false,
         Outcome::NotRun(reason) => is_transient(reason),
         Outcome::Unknown(UnknownReason::DeadlineExceeded) => false,
-        Outcome::Unknown(_) => idempotent,
+        Outcome::Unknown(_) => is_idempotent,
     }
 }
 
-/// Whether the reason may pass by itself.
+/// Returns whether the reason is temporary, so that a later attempt may succeed.
 fn is_transient(reason: NotRunReason) -> bool {
     match reason {
         NotRunReason::Overloaded
--- a/crates/traffic/src/retry/tests.rs
+++ b/crates/traffic/src/retry/tests.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::LOST_PAUSE;
+use super::CONNECTION_LOST_PAUSE;
 use crate::{
     Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict, tests::seeded,
 };
@@ -53,7 +53,7 @@
         let RetryVerdict::Retry { after } = decide(LOST, true, left_ms) else {
             panic!("it may be sent again");
         };
-        assert!(after >= LOST_PAUSE, "{after:?}");
+        assert!(after >= CONNECTION_LOST_PAUSE, "{after:?}");
     }
     check(Outcome::NotRun(NotRunReason::Quarantined), true, false);
 }
