--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -1,44 +1,44 @@
-//! The queue of one class: those that can be of full use first, then by deadline, with what its requests are
-//! expected to take.
+//! The queue of one class, with the expected service times of its requests. Requests that can be in time
+//! come first, then those that are late; each ordered by deadline.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use model::Timestamp;
 
-use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, costs::Costs};
+use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, costs::ServiceTimes};
 
-/// Where a request stands in the queue; lower ones go first.
+/// The position of a request in the queue of its class. Lower positions start first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) timeliness: Timeliness,
     pub(super) deadline: Timestamp,
     pub(super) ticket: Ticket,
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Queued {
-    pub(super) place: Place,
+pub(super) struct QueuedRequest {
+    pub(super) position: QueuePosition,
     pub(super) route: Option<RouteIndex>,
-    /// What was left to the deadline on arrival.
+    /// The time to the deadline on arrival.
     pub(super) budget: Duration,
 }
 
 #[derive(Debug)]
-pub(super) struct Class {
+pub(super) struct ClassQueue {
     pub(super) weight: f64,
-    pub(super) costs: Costs,
-    /// Service time received, over the weight; starts of a class that was idle count from the
-    /// virtual time of the others.
-    pub(super) virtual_s: f64,
-    queue: BTreeMap<Place, Waiting>,
+    pub(super) service_times: ServiceTimes,
+    /// The service time received, divided by the weight, in seconds. A class that was idle starts from the
+    /// virtual time of the others, so that it can't make up for the time in which it sent no requests.
+    pub(super) virtual_time_s: f64,
+    queue: BTreeMap<QueuePosition, QueueEntry>,
 }
 
-impl Class {
-    pub(super) fn new(config: &ClassConfig) -> Class {
-        Class {
+impl ClassQueue {
+    pub(super) fn new(config: &ClassConfig) -> ClassQueue {
+        ClassQueue {
             weight: config.weight,
-            costs: Costs::new(config.initial_service_time),
-            virtual_s: 0.0,
+            service_times: ServiceTimes::new(config.initial_service_time),
+            virtual_time_s: 0.0,
             queue: BTreeMap::new(),
         }
     }
@@ -47,113 +47,111 @@
         self.queue.len()
     }
 
-    pub(super) fn push(&mut self, it: Queued, virtual_s: f64) {
+    pub(super) fn push(&mut self, it: QueuedRequest, virtual_time_s: f64) {
         if self.queue.is_empty() {
-            self.virtual_s = self.virtual_s.max(virtual_s);
+            self.virtual_time_s = self.virtual_time_s.max(virtual_time_s);
         }
-        let waiting = Waiting { route: it.route, budget: it.budget };
-        self.queue.insert(it.place, waiting);
+        let waiting = QueueEntry { route: it.route, budget: it.budget };
+        self.queue.insert(it.position, waiting);
     }
 
-    pub(super) fn remove(&mut self, place: Place) -> bool {
-        self.queue.remove(&place).is_some()
+    pub(super) fn remove(&mut self, position: QueuePosition) -> bool {
+        self.queue.remove(&position).is_some()
     }
 
-    pub(super) fn first(&self) -> Option<Queued> {
-        self.queue.first_key_value().map(queued)
+    pub(super) fn first(&self) -> Option<QueuedRequest> {
+        self.queue.first_key_value().map(queued_request)
     }
 
-    pub(super) fn last(&self) -> Option<Queued> {
-        self.queue.last_key_value().map(queued)
+    pub(super) fn last(&self) -> Option<QueuedRequest> {
+        self.queue.last_key_value().map(queued_request)
     }
 
-    /// Charges one start to the class; the cost in virtual seconds.
-    pub(super) fn charge(&mut self, virtual_s: f64, route: Option<RouteIndex>) -> f64 {
-        let cost_s = self.costs.expected_for(route).mean().as_secs_f64() / self.weight;
-        self.virtual_s = self.virtual_s.max(virtual_s) + cost_s;
+    /// Charges the expected service time of one start to the class. Returns the cost in virtual seconds.
+    pub(super) fn charge(&mut self, virtual_time_s: f64, route: Option<RouteIndex>) -> f64 {
+        let cost_s = self.service_times.expected_for(route).mean().as_secs_f64() / self.weight;
+        self.virtual_time_s = self.virtual_time_s.max(virtual_time_s) + cost_s;
         cost_s
     }
 
-    /// Corrects the charge by what a request took, and learns from it.
-    pub(super) fn end(
+    /// Replaces the charge of a start by the actual service time, and updates the estimates.
+    pub(super) fn settle(
         &mut self,
-        taken: Duration,
+        elapsed: Duration,
         cost_s: f64,
         route: Option<RouteIndex>,
         completion: Completion,
     ) {
         match completion {
-            Completion::Answered => self.costs.add(route, taken),
-            Completion::Aborted if taken > self.costs.expected_for(route).mean() => {
-                self.costs.add(route, taken);
+            Completion::Answered => self.service_times.add(route, elapsed),
+            Completion::Aborted if elapsed > self.service_times.expected_for(route).mean() => {
+                self.service_times.add(route, elapsed);
             }
             Completion::Aborted => (),
             Completion::NotSent => {
-                self.virtual_s -= cost_s;
+                self.virtual_time_s -= cost_s;
                 return;
             }
         }
-        self.virtual_s += taken.as_secs_f64() / self.weight - cost_s;
+        self.virtual_time_s += elapsed.as_secs_f64() / self.weight - cost_s;
     }
 
-    /// Whether a request, started now, is expected to end before its deadline.
-    pub(super) fn can_finish(
-        &self,
-        now: Timestamp,
-        it: Queued,
-        service_time_deviations: f64,
-    ) -> bool {
-        now + self.need(it, service_time_deviations) <= it.place.deadline
+    /// Returns whether a request that starts now is expected to end by its deadline.
+    pub(super) fn can_finish(&self, now: Timestamp, it: QueuedRequest, deviations: f64) -> bool {
+        now + self.service_time_bound(it, deviations) <= it.position.deadline
     }
 
-    /// When the first request of the queue has to be refused.
-    pub(super) fn drop_at(&self, service_time_deviations: f64) -> Option<Timestamp> {
-        let first_late =
-            Place { timeliness: Timeliness::Late, deadline: Timestamp::ZERO, ticket: Ticket(0) };
-        let late = self.queue.range(first_late..).next().map(queued);
-        let drop_at = |it: Queued| it.place.deadline - self.need(it, service_time_deviations);
-        let earliest = self.first().into_iter().chain(late).map(drop_at).min()?;
+    /// Returns when the first waiting request, of those in time or of those that are late, has to be refused.
+    pub(super) fn next_refusal(&self, deviations: f64) -> Option<Timestamp> {
+        let first_late = QueuePosition {
+            timeliness: Timeliness::Late,
+            deadline: Timestamp::ZERO,
+            ticket: Ticket(0),
+        };
+        let late = self.queue.range(first_late..).next().map(queued_request);
+        let latest_start =
+            |it: QueuedRequest| it.position.deadline - self.service_time_bound(it, deviations);
+        let earliest = self.first().into_iter().chain(late).map(latest_start).min()?;
         Some(earliest + Duration::from_nanos(1))
     }
 
-    /// The waiting requests that are not expected to finish if one starts each `step`.
-    pub(super) fn doomed(
+    /// Returns the waiting requests that are not expected to finish by their deadline, or to start within
+    /// `queue_time_max`, if one request starts per `start_interval`.
+    pub(super) fn infeasible(
         &self,
         now: Timestamp,
-        step: Duration,
+        start_interval: Duration,
         queue_time_max: Duration,
-        service_time_deviations: f64,
-    ) -> Vec<Queued> {
-        let mut doomed = Vec::new();
+        deviations: f64,
+    ) -> Vec<QueuedRequest> {
+        let mut infeasible = Vec::new();
         let start_max = now + queue_time_max;
         let mut start = now;
-        for it in self.queue.iter().map(queued) {
-            let late = start + self.need(it, service_time_deviations) > it.place.deadline;
-            match late || start > start_max {
-                true => doomed.push(it),
-                false => start = start + step,
+        for it in self.queue.iter().map(queued_request) {
+            let is_late = start + self.service_time_bound(it, deviations) > it.position.deadline;
+            match is_late || start > start_max {
+                true => infeasible.push(it),
+                false => start = start + start_interval,
             }
         }
-        doomed
+        infeasible
     }
 
-    /// The time that a request is given to run: what few of its kind exceed, but no more than
-    /// half of its budget unless even the mean is longer.
-    fn need(&self, it: Queued, service_time_deviations: f64) -> Duration {
-        let expected = self.costs.expected_for(it.route);
-        expected
-            .upper_bound(service_time_deviations)
-            .min(expected.upper_bound(0.7).max(it.budget / 2))
+    /// Returns the time to reserve for running a request: a service time that few requests of its route
+    /// exceed, but no more than half of the request's budget unless the typical service time is longer.
+    fn service_time_bound(&self, it: QueuedRequest, deviations: f64) -> Duration {
+        let expected = self.service_times.expected_for(it.route);
+        expected.upper_bound(deviations).min(expected.upper_bound(0.7).max(it.budget / 2))
     }
 }
 
-/// What the queue keeps of a request beside its place.
+/// The properties of a waiting request other than its position.
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct QueueEntry {
     route: Option<RouteIndex>,
     budget: Duration,
 }
 
-fn queued((&place, &it): (&Place, &Waiting)) -> Queued {
-    Queued { place, route: it.route, budget: it.budget }
+fn queued_request((&position, &it): (&QueuePosition, &QueueEntry)) -> QueuedRequest {
+    QueuedRequest { position, route: it.route, budget: it.budget }
 }
--- a/crates/traffic/src/admission/costs.rs
+++ b/crates/traffic/src/admission/costs.rs
@@ -1,28 +1,28 @@
-//! What requests of a class are expected to take: by route where one has been measured, else by
-//! class, else the class's guess. Each with its spread.
+//! The expected service times of a class, as mean and deviation: of the route if it has been measured,
+//! else of the class, which starts from an initial value.
 
 use std::time::Duration;
 
 use super::RouteIndex;
 use crate::SmoothedDuration;
 
-/// Routes that are kept apart; those beyond count as their class.
+/// The number of routes with their own estimate. Routes with a higher index use that of the class.
 const ROUTES_MAX: usize = 256;
 
 #[derive(Debug)]
-pub(super) struct Costs {
+pub(super) struct ServiceTimes {
     class: SmoothedDuration,
-    /// By the route's index.
+    /// The estimates by index of the route; `None` where no request has been measured.
     routes: Vec<Option<SmoothedDuration>>,
 }
 
-impl Costs {
-    pub(super) fn new(guess: Duration) -> Costs {
-        Costs { class: SmoothedDuration::new(guess), routes: Vec::new() }
+impl ServiceTimes {
+    pub(super) fn new(initial: Duration) -> ServiceTimes {
+        ServiceTimes { class: SmoothedDuration::new(initial), routes: Vec::new() }
     }
 
-    /// All requests of the class, as they come.
-    pub(super) fn class(&self) -> &SmoothedDuration {
+    /// Returns the estimate over all requests of the class.
+    pub(super) fn class_estimate(&self) -> &SmoothedDuration {
         &self.class
     }
 
@@ -34,12 +34,14 @@
         self.routes.get(route.0)?.as_ref()
     }
 
-    pub(super) fn add(&mut self, route: Option<RouteIndex>, taken: Duration) {
-        self.class.add(taken);
+    pub(super) fn add(&mut self, route: Option<RouteIndex>, service_time: Duration) {
+        self.class.add(service_time);
         let Some(RouteIndex(index @ ..ROUTES_MAX)) = route else { return };
         if self.routes.len() <= index {
             self.routes.resize(index + 1, None);
         }
-        self.routes[index].get_or_insert_with(|| SmoothedDuration::new(taken)).add(taken);
+        self.routes[index]
+            .get_or_insert_with(|| SmoothedDuration::new(service_time))
+            .add(service_time);
     }
 }
--- a/crates/traffic/src/admission/mod.rs
+++ b/crates/traffic/src/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission to one local upstream: its slots, and a short queue that is fair between classes,
-//! ordered by use and deadline within a class and bounded in time and length.
+//! Admission control for one local upstream: its slots, and a short queue of bounded time and length.
+//! The queue is fair between classes; within a class it is ordered by timeliness and deadline.
 //!
-//! What can no longer finish is refused at once, never held until its deadline.
+//! A request that can no longer finish in time is refused at once, not held until its deadline.
 
 mod class;
 mod costs;
@@ -16,34 +16,34 @@
 
 use crate::{SharedWarmup, SmoothedDuration};
 
-use class::{Class, Place, Queued};
+use class::{ClassQueue, QueuePosition, QueuedRequest};
 
-/// A class of requests and its share of a busy upstream.
+/// A class of requests, and its share of the upstream under load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassConfig {
     pub name: ClassName,
     /// Relative to the other classes; above 0.
     pub weight: f64,
-    /// What a request is expected to take until some have been measured.
+    /// The service time that is assumed until one has been measured.
     pub initial_service_time: Duration,
 }
 
-/// What a document sets for the admission to one upstream.
+/// The limits on admission to one upstream, from the document of the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionConfig {
-    /// Requests that the upstream runs at once.
+    /// The number of requests that the upstream runs at a time.
     pub slots: usize,
-    /// The most requests that wait, over all classes.
+    /// The most requests that wait in the queue, over all classes.
     pub queue_len_max: usize,
-    /// The longest time that a request is expected to wait when it is taken in.
+    /// The longest expected waiting time with which a request is queued.
     pub queue_time_max: Duration,
-    /// How long a new upstream takes to get all its slots.
+    /// The time over which the open slots of a new upstream grow from one to all.
     pub slow_start: Duration,
-    /// How many mean deviations above the mean a request is given room to run.
+    /// The time reserved for running a request: its mean service time plus this many mean deviations.
     pub service_time_deviations: f64,
-    /// The shortest time after which a refused caller is asked to come back, before jitter.
+    /// The shortest retry-after time that a refused caller gets, before jitter.
     pub retry_after_min: Duration,
-    /// At least one.
+    /// The classes, at least one.
     pub classes: Vec<ClassConfig>,
 }
 
@@ -51,104 +51,109 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassIndex(pub usize);
 
-/// Requests that are expected to cost alike, such as those of one rule of the document.
+/// Index of a group of requests with similar service times, such as those of one rule of the document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteIndex(pub usize);
 
-/// Names a request within one [`Admission`].
+/// Identifier of a request within one [`Admission`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A request at the gate.
+/// A request that has arrived at the gate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
     pub class: ClassIndex,
-    /// None: its cost is taken to be that of its class.
+    /// The route, or `None` if only the class is known; then the service time of the class is assumed.
     pub route: Option<RouteIndex>,
     pub deadline: Timestamp,
-    /// Of what use its answer will be.
+    /// Whether the answer can still be in time.
     pub timeliness: Timeliness,
 }
 
-/// Of what use an answer will be to its caller. Where slots are short, those of full use go first: each slot
-/// serves one caller in time in place of another late.
+/// Whether an answer can reach its caller in time. When slots are scarce, requests that can be in time start
+/// first, so that a slot serves one caller in time rather than another one late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timeliness {
     InTime,
-    /// It will come late whatever is done.
+    /// The answer will be late even if the request starts now.
     Late,
 }
 
-/// What becomes of a ticket. Each ticket gets at most one, unless it is cancelled while queued.
+/// The decision on a ticket. Each ticket gets exactly one, unless it is cancelled while queued.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Decision {
     pub ticket: Ticket,
     pub verdict: Verdict,
 }
 
-/// The end of a ticket's wait.
+/// The result of waiting for a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// Give it to the upstream now; [`Admission::finish`] must follow.
+    /// Send the request to the upstream now; [`Admission::finish`] must follow.
     Start,
-    /// Not run: tell the caller now, and when to come back.
+    /// The request is refused: report the reason and the retry-after time to the caller.
     Shed { reason: NotRunReason, retry_after: Duration },
-    /// Not run: its deadline has passed.
+    /// The request is refused because its deadline has passed.
     Expired,
 }
 
-/// How a started request ended.
+/// The end of a started request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// The upstream answered: its time counts.
+    /// The upstream answered: the elapsed time is added to the estimates.
     Answered,
-    /// The upstream gave it up, or its link broke: its time counts only if longer than expected.
+    /// The request was aborted, or its connection was lost: the elapsed time is added to the estimates only
+    /// if it is longer than expected.
     Aborted,
-    /// It was never given to the upstream after all: its time does not count.
+    /// The request was never sent to the upstream: the elapsed time is not added to the estimates.
     NotSent,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningRequest {
     class: ClassIndex,
     route: Option<RouteIndex>,
-    since: Timestamp,
+    started: Timestamp,
+    /// The virtual time charged to the class at the start, in seconds.
     cost_s: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Entry {
-    Queued { class: ClassIndex, place: Place },
-    Running(Running),
+    Queued { class: ClassIndex, position: QueuePosition },
+    Running(RunningRequest),
 }
 
-/// The table of requests that run on, or wait for, one upstream.
+/// The requests that run on one upstream or wait for a slot of it.
 #[derive(Debug)]
 pub struct Admission {
     config: AdmissionConfig,
-    classes: Vec<Class>,
+    classes: Vec<ClassQueue>,
     entries: HashMap<Ticket, Entry>,
     running: usize,
     queued: usize,
     next_ticket: u64,
-    /// Virtual time of the class served last.
-    virtual_s: f64,
-    ramp_since: Timestamp,
-    draining: bool,
-    /// What requests of all classes take.
-    service: SmoothedDuration,
-    /// What the upstream is given while it is cold; none: nothing but its slots limits that.
+    /// The virtual time at the last start, in seconds of service time over the weight of a class.
+    virtual_time_s: f64,
+    ramp_start: Timestamp,
+    is_draining: bool,
+    /// The service time over all classes.
+    service_time: SmoothedDuration,
+    /// The limit on starts while the upstream is cold. `None` if only the slots limit them.
     warmup: Option<SharedWarmup>,
 }
 
 impl Admission {
-    /// An upstream that starts cold at `now`.
+    /// Creates the admission to an upstream that starts at `now` and ramps up its slots from then.
     pub fn new(config: AdmissionConfig, now: Timestamp) -> Admission {
-        assert!(config.slots > 0, "an upstream has at least one slot");
-        assert!(!config.classes.is_empty(), "there is at least one class");
-        assert!(config.classes.iter().all(|it| it.weight > 0.0), "weights are above 0");
-        let classes = config.classes.iter().map(Class::new).collect();
-        let service = SmoothedDuration::new(config.classes[0].initial_service_time);
+        assert!(config.slots > 0, "an upstream needs at least one slot");
+        assert!(!config.classes.is_empty(), "at least one class is required");
+        assert!(
+            config.classes.iter().all(|it| it.weight > 0.0),
+            "the weight of a class must be above 0"
+        );
+        let classes = config.classes.iter().map(ClassQueue::new).collect();
+        let service_time = SmoothedDuration::new(config.classes[0].initial_service_time);
         Admission {
             config,
             classes,
@@ -156,159 +161,163 @@
             running: 0,
             queued: 0,
             next_ticket: 0,
-            virtual_s: 0.0,
-            ramp_since: now,
-            draining: false,
-            service,
+            virtual_time_s: 0.0,
+            ramp_start: now,
+            is_draining: false,
+            service_time,
             warmup: None,
         }
     }
 
-    /// Keeps to what the upstream bears while it is cold.
+    /// Limits the rate of starts while the upstream is cold.
     pub fn with_warmup(self, warmup: SharedWarmup) -> Admission {
         Admission { warmup: Some(warmup), ..self }
     }
 
-    /// Takes a request in. Its own verdict may follow in `out` at once, with those of others that
-    /// it displaces; else it waits.
+    /// Adds a request. Its verdict is appended to `decisions` unless the request has to wait, together
+    /// with the verdicts of other requests that it displaces from the queue.
     pub fn offer(
         &mut self,
         now: Timestamp,
         arrival: Arrival,
         rng: &mut impl Rng,
-        out: &mut Vec<Decision>,
+        decisions: &mut Vec<Decision>,
     ) -> Ticket {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        if self.draining {
-            let verdict = self.shed(now, arrival.class, NotRunReason::Draining, rng);
-            out.push(Decision { ticket, verdict });
+        if self.is_draining {
+            let verdict = self.shed_verdict(now, arrival.class, NotRunReason::Draining, rng);
+            decisions.push(Decision { ticket, verdict });
             return ticket;
         }
         if arrival.deadline <= now {
-            out.push(Decision { ticket, verdict: Verdict::Expired });
+            decisions.push(Decision { ticket, verdict: Verdict::Expired });
             return ticket;
         }
-        if self.queued == 0 && self.may_start(now) {
-            // A free upstream is tried even if the estimate says no: estimates heal only by use.
-            self.start(now, ticket, arrival.class, arrival.route, out);
+        if self.queued == 0 && self.can_start(now) {
+            // Starts even if the estimated service time exceeds the deadline: an estimate that is too
+            // high is corrected only by measuring further requests.
+            self.start(now, ticket, arrival.class, arrival.route, decisions);
             return ticket;
         }
         self.enqueue(now, ticket, arrival);
-        self.prune(now, arrival.class, rng, out);
-        self.trim(now, rng, out);
-        self.fill(now, rng, out);
-        self.check();
+        self.refuse_infeasible(now, arrival.class, rng, decisions);
+        self.enforce_queue_limit(now, rng, decisions);
+        self.start_queued(now, rng, decisions);
+        self.check_invariants();
         ticket
     }
 
-    /// Ends a started request and starts others in its place.
+    /// Ends a started request, and starts waiting requests in the free slot.
     pub fn finish(
         &mut self,
         now: Timestamp,
         ticket: Ticket,
         completion: Completion,
         rng: &mut impl Rng,
-        out: &mut Vec<Decision>,
+        decisions: &mut Vec<Decision>,
     ) {
         let Some(Entry::Running(it)) = self.entries.remove(&ticket) else {
-            panic!("{ticket:?} was finished but is not running");
+            panic!("{ticket:?} was finished, but is not running");
         };
         self.running -= 1;
-        let taken = now.since(it.since);
+        let elapsed = now.since(it.started);
         if completion == Completion::Answered {
-            self.service.add(taken);
+            self.service_time.add(elapsed);
         }
         let class = &mut self.classes[it.class.0];
-        class.end(taken, it.cost_s, it.route, completion);
-        self.fill(now, rng, out);
-        self.check();
+        class.settle(elapsed, it.cost_s, it.route, completion);
+        self.start_queued(now, rng, decisions);
+        self.check_invariants();
     }
 
-    /// Takes back a request that waits, and frees its place. False: it is not waiting (any more);
-    /// one that runs keeps its slot until [`Admission::finish`].
+    /// Cancels a waiting request and removes it from the queue. Returns false if the request is not
+    /// waiting; a running request keeps its slot until [`Admission::finish`].
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let Some(Entry::Queued { class, place }) = self.entries.get(&ticket).copied() else {
+        let Some(Entry::Queued { class, position }) = self.entries.get(&ticket).copied() else {
             return false;
         };
         self.entries.remove(&ticket);
-        self.unqueue(class, place);
+        self.dequeue(class, position);
         true
     }
 
-    /// Refuses what can no longer finish and fills slots that have been ramped up. To be called
-    /// at [`Admission::next_wakeup`].
-    pub fn tick(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Decision>) {
+    /// Refuses waiting requests that can no longer finish in time, and starts others in slots that have
+    /// opened. To be called at [`Admission::next_wakeup`].
+    pub fn tick(&mut self, now: Timestamp, rng: &mut impl Rng, decisions: &mut Vec<Decision>) {
         for class in 0..self.classes.len() {
-            self.prune(now, ClassIndex(class), rng, out);
+            self.refuse_infeasible(now, ClassIndex(class), rng, decisions);
         }
-        self.fill(now, rng, out);
-        self.check();
+        self.start_queued(now, rng, decisions);
+        self.check_invariants();
     }
 
-    /// When the next waiting request has to be refused, or the next slot opens.
+    /// Returns when the next waiting request has to be refused, or may start because a slot opens or the
+    /// limit of a cold upstream allows it. `None` if no request waits.
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         if self.queued == 0 {
             return None;
         }
-        let drops =
-            self.classes.iter().filter_map(|it| it.drop_at(self.config.service_time_deviations));
-        drops.chain(self.next_ramp_step(now)).chain(self.next_cold_start(now)).min()
+        let refusals = self
+            .classes
+            .iter()
+            .filter_map(|it| it.next_refusal(self.config.service_time_deviations));
+        refusals.chain(self.next_ramp_step(now)).chain(self.next_cold_start(now)).min()
     }
 
-    /// No new work from now on: refuses what waits; what runs goes on.
-    pub fn drain(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Decision>) {
-        self.draining = true;
+    /// Stops admission: refuses all waiting and all new requests. Running requests continue.
+    pub fn drain(&mut self, now: Timestamp, rng: &mut impl Rng, decisions: &mut Vec<Decision>) {
+        self.is_draining = true;
         for class in 0..self.classes.len() {
             let class = ClassIndex(class);
             while let Some(it) = self.classes[class.0].last() {
-                self.drop_queued(class, it);
-                let verdict = self.shed(now, class, NotRunReason::Draining, rng);
-                out.push(Decision { ticket: it.place.ticket, verdict });
+                self.remove_queued(class, it);
+                let verdict = self.shed_verdict(now, class, NotRunReason::Draining, rng);
+                decisions.push(Decision { ticket: it.position.ticket, verdict });
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// The upstream has come back: admits again, ramping up from `now`.
+    /// Resumes admission after the upstream has recovered, ramping up its slots from `now`.
     pub fn restart(&mut self, now: Timestamp) {
-        self.draining = false;
-        self.ramp_since = now;
+        self.is_draining = false;
+        self.ramp_start = now;
     }
 
-    /// What a request takes, on average over all classes as they come.
+    /// Returns the mean service time over all classes, weighted by their number of requests.
     pub fn mean_service_time(&self) -> Duration {
-        self.service.mean()
+        self.service_time.mean()
     }
 
-    /// What a request is expected to take.
+    /// Returns the expected service time of a request.
     pub fn expected_service_time(&self, class: ClassIndex, route: Option<RouteIndex>) -> Duration {
-        self.classes[class.0].costs.expected_for(route).mean()
+        self.classes[class.0].service_times.expected_for(route).mean()
     }
 
-    /// What requests of a route were measured to take, on average; none: there were none.
+    /// Returns the mean measured service time of a route. `None` if no request of the route was measured.
     pub fn measured_service_time(
         &self,
         class: ClassIndex,
         route: Option<RouteIndex>,
     ) -> Option<Duration> {
-        self.classes[class.0].costs.measured_for(route?).map(SmoothedDuration::mean)
+        self.classes[class.0].service_times.measured_for(route?).map(SmoothedDuration::mean)
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// The slots that may be in use at `now`: fewer than all while the upstream ramps up.
+    /// Returns the number of slots that may be in use at `now`: fewer than all during the ramp-up.
     pub fn slots_at(&self, now: Timestamp) -> usize {
         let all = self.config.slots;
-        let passed = now.since(self.ramp_since);
+        let passed = now.since(self.ramp_start);
         if passed >= self.config.slow_start {
             return all;
         }
@@ -316,21 +325,22 @@
         (1 + ((all - 1) as f64 * share) as usize).min(all)
     }
 
-    /// Whether the upstream may be given a request now.
-    fn may_start(&self, now: Timestamp) -> bool {
+    /// Returns whether a request may be sent to the upstream now.
+    fn can_start(&self, now: Timestamp) -> bool {
         self.running < self.slots_at(now) && self.next_cold_start(now).is_none()
     }
 
-    /// When a cold upstream may be given the next request, if not at once.
+    /// Returns when the next request may be sent to a cold upstream. `None` if it may be sent now.
     fn next_cold_start(&self, now: Timestamp) -> Option<Timestamp> {
         self.warmup.as_ref()?.with(|it| it.next_start(now))
     }
 
-    /// The time between two starts at a cold upstream.
+    /// Returns the average time between two starts at a cold upstream. `None` if starts are not limited.
     pub fn cold_start_interval(&self, now: Timestamp) -> Option<Duration> {
         self.warmup.as_ref()?.with(|it| it.start_interval(now))
     }
 
+    /// Returns when the ramp-up opens the next slot. `None` if all slots are open.
     fn next_ramp_step(&self, now: Timestamp) -> Option<Timestamp> {
         let open = self.slots_at(now);
         if open == self.config.slots {
@@ -338,8 +348,9 @@
         }
         let steps = (self.config.slots - 1) as f64;
         let at = self.config.slow_start.mul_f64(open as f64 / steps);
-        // One nanosecond late rather than early: rounding must not wake the caller in a loop.
-        Some((self.ramp_since + at + Duration::from_nanos(1)).max(now + Duration::from_nanos(1)))
+        // Adds a nanosecond, so that rounding can't give a time before the slot opens, which would make
+        // the caller wake up in a loop.
+        Some((self.ramp_start + at + Duration::from_nanos(1)).max(now + Duration::from_nanos(1)))
     }
 
     fn start(
@@ -348,89 +359,100 @@
         ticket: Ticket,
         class: ClassIndex,
         route: Option<RouteIndex>,
-        out: &mut Vec<Decision>,
+        decisions: &mut Vec<Decision>,
     ) {
         if let Some(warmup) = &self.warmup {
             warmup.with(|it| it.start(now));
         }
-        let cost_s = self.classes[class.0].charge(self.virtual_s, route);
-        self.virtual_s = self.virtual_s.max(self.classes[class.0].virtual_s - cost_s);
-        self.entries.insert(ticket, Entry::Running(Running { class, route, since: now, cost_s }));
+        let cost_s = self.classes[class.0].charge(self.virtual_time_s, route);
+        self.virtual_time_s =
+            self.virtual_time_s.max(self.classes[class.0].virtual_time_s - cost_s);
+        self.entries
+            .insert(ticket, Entry::Running(RunningRequest { class, route, started: now, cost_s }));
         self.running += 1;
-        out.push(Decision { ticket, verdict: Verdict::Start });
+        decisions.push(Decision { ticket, verdict: Verdict::Start });
     }
 
     fn enqueue(&mut self, now: Timestamp, ticket: Ticket, arrival: Arrival) {
         let Arrival { class, route, deadline, timeliness } = arrival;
         let budget = deadline.since(now);
-        let place = Place { timeliness, deadline, ticket };
-        self.classes[class.0].push(Queued { place, route, budget }, self.virtual_s);
-        self.entries.insert(ticket, Entry::Queued { class, place });
+        let position = QueuePosition { timeliness, deadline, ticket };
+        self.classes[class.0].push(QueuedRequest { position, route, budget }, self.virtual_time_s);
+        self.entries.insert(ticket, Entry::Queued { class, position });
         self.queued += 1;
     }
 
-    fn unqueue(&mut self, class: ClassIndex, place: Place) {
-        let removed = self.classes[class.0].remove(place);
-        assert!(removed, "{:?} is listed as waiting but is in no queue", place.ticket);
+    fn dequeue(&mut self, class: ClassIndex, position: QueuePosition) {
+        let removed = self.classes[class.0].remove(position);
+        assert!(removed, "{:?} has the state queued, but is in no queue", position.ticket);
         self.queued -= 1;
     }
 
-    fn drop_queued(&mut self, class: ClassIndex, it: Queued) {
-        self.unqueue(class, it.place);
-        self.entries.remove(&it.place.ticket);
+    fn remove_queued(&mut self, class: ClassIndex, it: QueuedRequest) {
+        self.dequeue(class, it.position);
+        self.entries.remove(&it.position.ticket);
     }
 
-    /// Refuses the waiting requests of a class that are not expected to finish in time.
-    fn prune(
+    /// Refuses the waiting requests of a class that are not expected to finish by their deadline.
+    fn refuse_infeasible(
         &mut self,
         now: Timestamp,
         class: ClassIndex,
         rng: &mut impl Rng,
-        out: &mut Vec<Decision>,
+        decisions: &mut Vec<Decision>,
     ) {
-        let step = self.wait_step(now, class);
+        let step = self.start_interval(now, class);
         let config = &self.config;
-        let doomed = self.classes[class.0].doomed(
+        let infeasible = self.classes[class.0].infeasible(
             now,
             step,
             config.queue_time_max,
             config.service_time_deviations,
         );
-        for it in doomed {
-            self.drop_queued(class, it);
-            self.refuse(now, class, it, rng, out);
+        for it in infeasible {
+            self.remove_queued(class, it);
+            self.refuse(now, class, it, rng, decisions);
         }
     }
 
-    /// Refuses requests of the class that is furthest above its share while too many wait.
-    fn trim(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Decision>) {
+    /// While the queue is too long, refuses requests of the class with the longest queue relative to its
+    /// weight.
+    fn enforce_queue_limit(
+        &mut self,
+        now: Timestamp,
+        rng: &mut impl Rng,
+        decisions: &mut Vec<Decision>,
+    ) {
         while self.queued > self.config.queue_len_max {
-            let over = |it: &usize| self.classes[*it].len() as f64 / self.classes[*it].weight;
+            let relative_len =
+                |it: &usize| self.classes[*it].len() as f64 / self.classes[*it].weight;
             let all = 0..self.classes.len();
-            let class = all.max_by(|a, b| over(a).total_cmp(&over(b))).expect("classes exist");
+            let class = all
+                .max_by(|a, b| relative_len(a).total_cmp(&relative_len(b)))
+                .expect("the list of classes is not empty");
             let class = ClassIndex(class);
-            let it = self.classes[class.0].last().expect("the longest queue is not empty");
-            self.drop_queued(class, it);
-            self.refuse(now, class, it, rng, out);
+            let it = self.classes[class.0].last().expect("the longest queue has a request");
+            self.remove_queued(class, it);
+            self.refuse(now, class, it, rng, decisions);
         }
     }
 
-    /// Starts waiting requests while slots are free: the class with the least virtual time first.
-    fn fill(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Decision>) {
-        while self.queued > 0 && self.may_start(now) {
+    /// Starts waiting requests while slots are free, from the class with the least virtual time first.
+    fn start_queued(&mut self, now: Timestamp, rng: &mut impl Rng, decisions: &mut Vec<Decision>) {
+        while self.queued > 0 && self.can_start(now) {
             let waiting = (0..self.classes.len()).filter(|it| self.classes[*it].len() > 0);
-            let virtual_s = |it: &usize| self.classes[*it].virtual_s;
-            let class = waiting.min_by(|a, b| virtual_s(a).total_cmp(&virtual_s(b)));
-            let class = ClassIndex(class.expect("a request is waiting"));
-            let it = self.classes[class.0].first().expect("the class has a request waiting");
-            self.drop_queued(class, it);
+            let virtual_time_s = |it: &usize| self.classes[*it].virtual_time_s;
+            let class = waiting.min_by(|a, b| virtual_time_s(a).total_cmp(&virtual_time_s(b)));
+            let class = ClassIndex(class.expect("a class has a waiting request"));
+            let it = self.classes[class.0].first().expect("the class has a waiting request");
+            self.remove_queued(class, it);
             match self.classes[class.0].can_finish(now, it, self.config.service_time_deviations) {
-                // An idle upstream is tried all the same: see `offer`.
-                _ if self.running == 0 && it.place.deadline > now => {
-                    self.start(now, it.place.ticket, class, it.route, out);
+                // An idle upstream gets the request even if it is not expected to finish: see `offer`.
+                _ if self.running == 0 && it.position.deadline > now => {
+                    self.start(now, it.position.ticket, class, it.route, decisions);
                 }
-                true => self.start(now, it.place.ticket, class, it.route, out),
-                false => self.refuse(now, class, it, rng, out),
+                true => self.start(now, it.position.ticket, class, it.route, decisions),
+                false => self.refuse(now, class, it, rng, decisions),
             }
         }
     }
@@ -439,48 +461,53 @@
         &self,
         now: Timestamp,
         class: ClassIndex,
-        it: Queued,
+        it: QueuedRequest,
         rng: &mut impl Rng,
-        out: &mut Vec<Decision>,
+        decisions: &mut Vec<Decision>,
     ) {
-        let verdict = match it.place.deadline <= now {
+        let verdict = match it.position.deadline <= now {
             true => Verdict::Expired,
-            false => self.shed(now, class, NotRunReason::Overloaded, rng),
+            false => self.shed_verdict(now, class, NotRunReason::Overloaded, rng),
         };
-        out.push(Decision { ticket: it.place.ticket, verdict });
+        decisions.push(Decision { ticket: it.position.ticket, verdict });
     }
 
-    fn shed(
+    fn shed_verdict(
         &self,
         now: Timestamp,
         class: ClassIndex,
         reason: NotRunReason,
         rng: &mut impl Rng,
     ) -> Verdict {
-        let step = self.wait_step(now, class);
+        let step = self.start_interval(now, class);
         let wait = step.mul_f64(self.classes[class.0].len() as f64);
         let base = wait.max(self.config.retry_after_min);
         let retry_after = base + base.mul_f64(rng.random_range(0.0..1.0));
         Verdict::Shed { reason, retry_after }
     }
 
-    /// The time between two starts of a class, with its share of the open slots.
-    fn wait_step(&self, now: Timestamp, class: ClassIndex) -> Duration {
-        let it = &self.classes[class.0];
+    /// Returns the expected time between two starts of a class, given its share of the open slots.
+    fn start_interval(&self, now: Timestamp, class: ClassIndex) -> Duration {
+        let own = &self.classes[class.0];
         let others = self.classes.iter().enumerate();
         let others = others.filter(|(index, other)| *index != class.0 && other.len() > 0);
-        let weights: f64 = it.weight + others.map(|(_, other)| other.weight).sum::<f64>();
-        let share = it.weight / weights;
-        let slot_step = it.costs.class().mean().div_f64(self.slots_at(now) as f64 * share);
+        let weights: f64 = own.weight + others.map(|(_, other)| other.weight).sum::<f64>();
+        let share = own.weight / weights;
+        let slot_step =
+            own.service_times.class_estimate().mean().div_f64(self.slots_at(now) as f64 * share);
         match self.cold_start_interval(now) {
             Some(step) => slot_step.max(step.div_f64(share)),
             None => slot_step,
         }
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         assert!(self.running <= self.config.slots, "more requests run than the upstream has slots");
-        assert!(self.queued <= self.config.queue_len_max, "the queue is longer than allowed");
-        assert_eq!(self.entries.len(), self.running + self.queued, "a ticket was lost");
+        assert!(self.queued <= self.config.queue_len_max, "the queue exceeds its maximum length");
+        assert_eq!(
+            self.entries.len(),
+            self.running + self.queued,
+            "a ticket was lost: the entries are not the running and queued requests"
+        );
     }
 }
