--- a/crates/traffic/src/admission/mod.rs
+++ b/crates/traffic/src/admission/mod.rs
@@ -133,7 +133,8 @@
     running: usize,
     queued: usize,
     next_ticket: u64,
-    /// The virtual time at the last start, in seconds of service time over the weight of a class.
+    /// The virtual time of the class that last started a request: service time divided by the weight, in
+    /// seconds.
     virtual_time_s: f64,
     ramp_start: Timestamp,
     is_draining: bool,
