--- a/crates/traffic/src/admission/mod.rs
+++ b/crates/traffic/src/admission/mod.rs
@@ -79,7 +79,7 @@
     Late,
 }
 
-/// The decision on a ticket. Each ticket gets exactly one, unless it is cancelled while queued.
+/// The decision on a ticket. Each ticket gets one decision, or none if it is cancelled while queued.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Decision {
     pub ticket: Ticket,
