--- a/crates/agent/src/control/accept.rs
+++ b/crates/agent/src/control/accept.rs
@@ -10,12 +10,12 @@
 use rand::RngExt;
 use settings::{Accepted, Judgement, Refused, judge};
 
-use crate::control::{documents::Raised, state::Control};
+use crate::control::{documents::RaiseOutcome, state::Control};
 
 /// How often the document is looked for while none is in force.
-const SEEK_EVERY: Duration = Duration::from_millis(500);
+const LOOKUP_INTERVAL: Duration = Duration::from_millis(500);
 /// How often the coordinator reads the document even if its watch says nothing.
-const READ_EVERY: Duration = Duration::from_secs(15);
+const READ_INTERVAL: Duration = Duration::from_secs(15);
 
 /// What is known of the own service's document and its acceptance.
 #[derive(Debug, Default)]
@@ -23,10 +23,10 @@
     /// `accepted/S` as last read; none: not read yet, or in doubt after a lost answer.
     accepted: Option<AcceptedState>,
     /// The document as last read, until it has been dealt with.
-    pending: Option<(ObjectVersion, String)>,
+    pending_document: Option<(ObjectVersion, String)>,
     /// An update is on its way.
     updating: bool,
-    sought_at: Option<Timestamp>,
+    looked_up_at: Option<Timestamp>,
     read_at: Option<Timestamp>,
     pub(crate) refused: Option<Refused>,
 }
@@ -40,32 +40,32 @@
 
 impl Control {
     /// While no document is in force: look in the platform, and ask the peers.
-    pub(super) fn seek_document(&mut self, now: Timestamp) {
-        let due = self.acceptor.sought_at.is_none_or(|it| now.since(it) >= SEEK_EVERY);
+    pub(super) fn look_up_document(&mut self, now: Timestamp) {
+        let due = self.acceptor.looked_up_at.is_none_or(|it| now.since(it) >= LOOKUP_INTERVAL);
         if self.group.is_some() || !due {
             return;
         }
-        let jitter = self.rng.random_range(0..SEEK_EVERY.as_millis() as u64 / 4);
-        self.acceptor.sought_at = Some(now + Duration::from_millis(jitter));
+        let jitter = self.rng.random_range(0..LOOKUP_INTERVAL.as_millis() as u64 / 4);
+        self.acceptor.looked_up_at = Some(now + Duration::from_millis(jitter));
         let service = self.service().clone();
         self.parts.calls.read_accepted(&service);
-        self.ask_peers(&service);
+        self.query_peers(&service);
     }
 
     /// The coordinator's part: deal with what was read, and read once in a while.
-    pub(super) fn accept(&mut self, now: Timestamp) {
+    pub(super) fn reread_accepted(&mut self, now: Timestamp) {
         let coordinates = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
         if !coordinates {
             return;
         }
-        if self.acceptor.read_at.is_none_or(|it| now.since(it) >= READ_EVERY) {
+        if self.acceptor.read_at.is_none_or(|it| now.since(it) >= READ_INTERVAL) {
             self.acceptor.read_at = Some(now);
             self.acceptor.accepted = None;
             self.parts.calls.read_accepted(&self.service().clone());
         }
     }
 
-    pub(super) fn accepted_read(
+    pub(super) fn on_accepted_read(
         &mut self,
         service: ServiceName,
         result: Result<Option<(ObjectVersion, Accepted)>, StoreError>,
@@ -79,11 +79,11 @@
         };
         match &read {
             Some((_, accepted)) => {
-                self.offer_document(&service, accepted.version, &accepted.document);
+                self.apply_document(&service, accepted.version, &accepted.document);
             }
-            None if self.documents.of(&service).is_none() => {
+            None if self.documents.in_force(&service).is_none() => {
                 let now = self.now();
-                self.foreign.set_absent(now, &service);
+                self.foreign.mark_absent(now, &service);
             }
             None => {}
         }
@@ -95,12 +95,12 @@
         self.parts.calls.read_document(&service);
     }
 
-    pub(super) fn document_read(
+    pub(super) fn on_document_read(
         &mut self,
         result: Result<Option<(ObjectVersion, String)>, StoreError>,
     ) {
         match result {
-            Ok(Some(read)) => self.acceptor.pending = Some(read),
+            Ok(Some(read)) => self.acceptor.pending_document = Some(read),
             Ok(None) => log::warn!(target: "config", "There is no document of {}.", self.service()),
             Err(error) => log::debug!(target: "config", "{error}."),
         }
@@ -113,7 +113,7 @@
             return;
         }
         let Some(state) = self.acceptor.accepted.clone() else { return };
-        let Some((version, text)) = self.acceptor.pending.take() else { return };
+        let Some((version, text)) = self.acceptor.pending_document.take() else { return };
         let service = self.service().clone();
         let accepted = match judge(&service, state.accepted.as_ref(), version, text.as_bytes()) {
             Judgement::Keep => {
@@ -136,7 +136,7 @@
         self.parts.calls.update_accepted(state.object, accepted);
     }
 
-    pub(super) fn accepted_updated(
+    pub(super) fn on_accept_result(
         &mut self,
         accepted: Accepted,
         result: Result<ObjectVersion, StoreError>,
@@ -145,7 +145,7 @@
         match result {
             Ok(object) => {
                 log::info!(target: "config", "Accepted version {} of {}.", accepted.version, accepted.service);
-                self.offer_document(&accepted.service, accepted.version, &accepted.document);
+                self.apply_document(&accepted.service, accepted.version, &accepted.document);
                 self.acceptor.accepted = Some(AcceptedState { object, accepted: Some(accepted) });
                 self.raise_accepted();
             }
@@ -159,18 +159,18 @@
     }
 
     /// Puts a document in force if it is newer, whoever it came from.
-    pub(super) fn offer_document(
+    pub(super) fn apply_document(
         &mut self,
         service: &ServiceName,
         version: ConfigVersion,
         text: &str,
     ) {
         match self.documents.raise(service, version, text) {
-            Raised::Known | Raised::Invalid => {}
-            Raised::Yes if *service == *self.service() => self.own_document_changed(),
-            Raised::Yes => {
+            RaiseOutcome::Unchanged | RaiseOutcome::Invalid => {}
+            RaiseOutcome::Raised if *service == *self.service() => self.on_own_document_changed(),
+            RaiseOutcome::Raised => {
                 self.dirty = true;
-                self.foreign.has_document(service);
+                self.foreign.mark_due(service);
             }
         }
     }
--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform: started here, run as tasks, come back as [`Done`].
+//! Calls to the platform: started here, run as tasks, come back as [`CallResult`].
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -15,16 +15,16 @@
 
 /// The end of a call.
 #[derive(Debug)]
-pub(crate) enum Done {
+pub(crate) enum CallResult {
     Node {
         call: CallId,
         reply: PlatformReply,
     },
-    Accepted {
+    AcceptedRead {
         service: ServiceName,
         result: Result<Option<(ObjectVersion, Accepted)>, StoreError>,
     },
-    Document {
+    DocumentRead {
         result: Result<Option<(ObjectVersion, String)>, StoreError>,
     },
     /// An update of `accepted/S`; what it was to become, and the version that it has now.
@@ -32,11 +32,11 @@
         accepted: Accepted,
         result: Result<ObjectVersion, StoreError>,
     },
-    Group {
+    GroupRead {
         service: ServiceName,
-        result: Result<GroupRead, StoreError>,
+        result: Result<StoredGroup, StoreError>,
     },
-    Watched {
+    WatchEnded {
         prefix: WatchPrefix,
         result: Result<Changes, StoreError>,
     },
@@ -50,17 +50,17 @@
 
 /// What the platform knows of a group. A service that is not divided by key has no plan.
 #[derive(Debug, Default)]
-pub(crate) struct GroupRead {
+pub(crate) struct StoredGroup {
     pub(crate) coordinator: Option<Coordinator>,
     pub(crate) plan: Option<Plan>,
 }
 
 /// Which state of an object is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Age {
+pub(crate) enum Consistency {
     Latest,
     /// Perhaps seconds old, and cheaper.
-    Any,
+    Stale,
 }
 
 /// What a coordinator watches.
@@ -76,28 +76,31 @@
     fn path(&self) -> String {
         match self {
             WatchPrefix::Document(service) => service_path(service),
-            WatchPrefix::Accepted => ACCEPTED_PREFIX.to_owned(),
+            WatchPrefix::Accepted => ACCEPTED_PATH_PREFIX.to_owned(),
         }
     }
 }
 
 /// What the paths of all accepted documents begin with.
-pub(crate) const ACCEPTED_PREFIX: &str = "accepted/";
+pub(crate) const ACCEPTED_PATH_PREFIX: &str = "accepted/";
 
 /// Starts calls on the runtime of the control thread.
 #[derive(Clone)]
-pub(crate) struct Calls {
+pub(crate) struct PlatformCalls {
     platform: Arc<dyn ObjectStore>,
-    done: mpsc::UnboundedSender<Done>,
+    done: mpsc::UnboundedSender<CallResult>,
 }
 
-impl Calls {
-    pub(crate) fn new(platform: Arc<dyn ObjectStore>, done: mpsc::UnboundedSender<Done>) -> Calls {
-        Calls { platform, done }
+impl PlatformCalls {
+    pub(crate) fn new(
+        platform: Arc<dyn ObjectStore>,
+        done: mpsc::UnboundedSender<CallResult>,
+    ) -> PlatformCalls {
+        PlatformCalls { platform, done }
     }
 
     /// A call that a group's node asked for.
-    pub(crate) fn node(
+    pub(crate) fn start_node_call(
         &self,
         service: &ServiceName,
         group: GroupId,
@@ -112,27 +115,27 @@
                 PlatformRequest::ReadCoordinator => {
                     let read = read_json::<Coordinator>(platform, &coordinator).await;
                     read.map(|it| {
-                        let (version, object) = found(platform, it);
+                        let (version, object) = version_and_object(platform, it);
                         PlatformReply::Coordinator(version, object)
                     })
                 }
                 PlatformRequest::ReadPlan => {
                     let read = read_json::<Plan>(platform, &plan).await;
                     read.map(|it| {
-                        let (version, object) = found(platform, it);
+                        let (version, object) = version_and_object(platform, it);
                         PlatformReply::Plan(version, object.map(Box::new))
                     })
                 }
                 PlatformRequest::UpdateCoordinator { expected, object } => {
-                    let body = json(&object);
+                    let body = to_json(&object);
                     platform.update(&coordinator, expected, body).await.map(PlatformReply::Updated)
                 }
                 PlatformRequest::UpdatePlan { expected, object } => platform
-                    .update(&plan, expected, json(&object))
+                    .update(&plan, expected, to_json(&object))
                     .await
                     .map(PlatformReply::Updated),
             };
-            Done::Node { call, reply: reply.unwrap_or_else(failed) }
+            CallResult::Node { call, reply: reply.unwrap_or_else(reply_for_error) }
         });
     }
 
@@ -140,7 +143,7 @@
         let service = service.clone();
         self.spawn(|platform| async move {
             let result = read_json(platform.as_ref(), &accepted_path(&service)).await;
-            Done::Accepted { service, result }
+            CallResult::AcceptedRead { service, result }
         });
     }
 
@@ -148,32 +151,37 @@
         let service = service.clone();
         self.spawn(|platform| async move {
             let result = platform.read(&service_path(&service)).await;
-            let result = result.map(|object| object.map(|it| (it.version, text(&it))));
-            Done::Document { result }
+            let result = result.map(|object| object.map(|it| (it.version, body_text(&it))));
+            CallResult::DocumentRead { result }
         });
     }
 
     pub(crate) fn update_accepted(&self, expected: ObjectVersion, accepted: Accepted) {
         self.spawn(move |platform| async move {
             let path = accepted_path(&accepted.service);
-            let result = platform.update(&path, expected, json(&accepted)).await;
-            Done::AcceptedUpdated { accepted, result }
+            let result = platform.update(&path, expected, to_json(&accepted)).await;
+            CallResult::AcceptedUpdated { accepted, result }
         });
     }
 
     /// Reads what the platform knows of another service's group, for its routes.
-    pub(crate) fn read_group(&self, service: &ServiceName, group: GroupId, age: Age) {
+    pub(crate) fn read_group(
+        &self,
+        service: &ServiceName,
+        group: GroupId,
+        consistency: Consistency,
+    ) {
         let service = service.clone();
         self.spawn(move |platform| async move {
-            let result = read_group(platform.as_ref(), &service, group, age).await;
-            Done::Group { service, result }
+            let result = read_group(platform.as_ref(), &service, group, consistency).await;
+            CallResult::GroupRead { service, result }
         });
     }
 
     pub(crate) fn watch(&self, prefix: WatchPrefix, after: ObjectVersion) {
         self.spawn(move |platform| async move {
             let result = platform.watch(&prefix.path(), after, WATCH_WAIT).await;
-            Done::Watched { prefix, result }
+            CallResult::WatchEnded { prefix, result }
         });
     }
 
@@ -181,7 +189,7 @@
     pub(crate) fn list(&self, prefix: WatchPrefix) {
         self.spawn(move |platform| async move {
             let result = platform.list(&prefix.path()).await;
-            Done::Watched { prefix, result }
+            CallResult::WatchEnded { prefix, result }
         });
     }
 
@@ -189,21 +197,21 @@
         let path = status_path(service, group);
         self.spawn(move |platform| async move {
             let read = platform.read(&path).await;
-            Done::StatusRead { result: read.map(|object| object.map(|it| it.version)) }
+            CallResult::StatusRead { result: read.map(|object| object.map(|it| it.version)) }
         });
     }
 
     pub(crate) fn write_status(&self, expected: ObjectVersion, status: &Status) {
         let path = status_path(&status.service, status.group);
-        let body = json(status);
+        let body = to_json(status);
         self.spawn(move |platform| async move {
-            Done::StatusWritten { result: platform.update(&path, expected, body).await }
+            CallResult::StatusWritten { result: platform.update(&path, expected, body).await }
         });
     }
 
     fn spawn<F>(&self, call: impl FnOnce(Arc<dyn ObjectStore>) -> F)
     where
-        F: Future<Output = Done> + Send + 'static,
+        F: Future<Output = CallResult> + Send + 'static,
     {
         let call = call(Arc::clone(&self.platform));
         let done = self.done.clone();
@@ -215,7 +223,7 @@
 }
 
 /// The version of what does not exist has no revision.
-fn found<T>(
+fn version_and_object<T>(
     platform: &dyn ObjectStore,
     read: Option<(ObjectVersion, T)>,
 ) -> (ObjectVersion, Option<T>) {
@@ -233,7 +241,7 @@
     format!("plans/{service}/{group}")
 }
 
-fn failed(error: StoreError) -> PlatformReply {
+fn reply_for_error(error: StoreError) -> PlatformReply {
     match error {
         StoreError::Conflict { .. } => PlatformReply::Conflict,
         StoreError::Refused { .. }
@@ -245,11 +253,11 @@
     }
 }
 
-fn json(value: &impl Serialize) -> Bytes {
+fn to_json(value: &impl Serialize) -> Bytes {
     Bytes::from(serde_json::to_vec(value).expect("objects of the platform have a JSON form"))
 }
 
-fn text(object: &Object) -> String {
+fn body_text(object: &Object) -> String {
     String::from_utf8_lossy(&object.body).into_owned()
 }
 
@@ -257,11 +265,12 @@
     platform: &dyn ObjectStore,
     service: &ServiceName,
     group: GroupId,
-    age: Age,
-) -> Result<GroupRead, StoreError> {
-    let coordinator = read_json_of(platform, &coordinator_path(service, group), age).await?;
-    let plan = read_json_of(platform, &plan_path(service, group), age).await?;
-    Ok(GroupRead { coordinator: coordinator.map(|(_, it)| it), plan: plan.map(|(_, it)| it) })
+    consistency: Consistency,
+) -> Result<StoredGroup, StoreError> {
+    let coordinator =
+        read_json_with(platform, &coordinator_path(service, group), consistency).await?;
+    let plan = read_json_with(platform, &plan_path(service, group), consistency).await?;
+    Ok(StoredGroup { coordinator: coordinator.map(|(_, it)| it), plan: plan.map(|(_, it)| it) })
 }
 
 /// Reads an object of our own kinds. One that can't be understood counts as not read.
@@ -269,17 +278,17 @@
     platform: &dyn ObjectStore,
     path: &str,
 ) -> Result<Option<(ObjectVersion, T)>, StoreError> {
-    read_json_of(platform, path, Age::Latest).await
+    read_json_with(platform, path, Consistency::Latest).await
 }
 
-async fn read_json_of<T: DeserializeOwned>(
+async fn read_json_with<T: DeserializeOwned>(
     platform: &dyn ObjectStore,
     path: &str,
-    age: Age,
+    consistency: Consistency,
 ) -> Result<Option<(ObjectVersion, T)>, StoreError> {
-    let read = match age {
-        Age::Latest => platform.read(path),
-        Age::Any => platform.read_aged(path),
+    let read = match consistency {
+        Consistency::Latest => platform.read(path),
+        Consistency::Stale => platform.read_aged(path),
     };
     let Some(object) = read.await? else { return Ok(None) };
     match serde_json::from_slice(&object.body) {
--- a/crates/agent/src/control/fleet.rs
+++ b/crates/agent/src/control/central_config.rs
@@ -9,7 +9,7 @@
 
 impl Control {
     /// Puts a configuration in force; the versions that come here only rise.
-    pub(super) fn fleet_changed(&mut self, config: &FleetConfig) {
+    pub(super) fn on_central_config(&mut self, config: &FleetConfig) {
         log::info!(
             target: "config",
             "Version {} of the fleet's configuration is in force: {} services, {} routes.",
@@ -17,16 +17,16 @@
         );
         for (service, text) in &config.documents {
             // Most versions change routes only: a document that stays keeps its queue and connections.
-            let same = self.documents.of(service).is_some_and(|it| it.text == *text);
+            let same = self.documents.in_force(service).is_some_and(|it| it.text == *text);
             if !same {
-                self.offer_document(service, config.version.max(ConfigVersion(1)), text);
+                self.apply_document(service, config.version.max(ConfigVersion(1)), text);
             }
         }
         self.routing = Some(Arc::clone(&config.routing));
         self.dirty = true;
         let now = self.now();
         for (service, _) in &config.documents {
-            self.service_wanted(now, service.clone());
+            self.look_up_service(now, service.clone());
         }
     }
 }
--- a/crates/agent/src/control/documents.rs
+++ b/crates/agent/src/control/documents.rs
@@ -8,11 +8,11 @@
 
 /// What came of an offered document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Raised {
+pub(crate) enum RaiseOutcome {
     /// It is in force now.
-    Yes,
+    Raised,
     /// This version, or a later one, already was.
-    Known,
+    Unchanged,
     /// It doesn't hold; the former one stays in force.
     Invalid,
 }
@@ -29,14 +29,14 @@
         service: &ServiceName,
         version: ConfigVersion,
         text: &str,
-    ) -> Raised {
+    ) -> RaiseOutcome {
         let former = self.version(service);
         let raised = match self.table.take(service, version, text) {
-            Ok(true) => Raised::Yes,
-            Ok(false) => return Raised::Known,
+            Ok(true) => RaiseOutcome::Raised,
+            Ok(false) => return RaiseOutcome::Unchanged,
             Err(problems) => {
                 log::error!(target: "config", "Version {version} of {service} doesn't hold: {problems}");
-                return Raised::Invalid;
+                return RaiseOutcome::Invalid;
             }
         };
         assert!(self.version(service) > former, "a document in force only rises");
@@ -45,11 +45,11 @@
     }
 
     /// Whether the text of a version that a peer knows of is worth fetching.
-    pub(crate) fn wants(&self, service: &ServiceName, version: ConfigVersion) -> bool {
+    pub(crate) fn should_fetch(&self, service: &ServiceName, version: ConfigVersion) -> bool {
         self.table.wants(service, version)
     }
 
-    pub(crate) fn of(&self, service: &ServiceName) -> Option<&InForce> {
+    pub(crate) fn in_force(&self, service: &ServiceName) -> Option<&InForce> {
         self.table.of(service)
     }
 
--- a/crates/agent/src/control/foreign.rs
+++ b/crates/agent/src/control/foreign.rs
@@ -13,76 +13,77 @@
 use wire::exchange::{Envelope, RouteMember, RouteOwner, RouteTable};
 
 use crate::control::{
-    calls::{Age, GroupRead},
+    calls::{Consistency, StoredGroup},
     state::{Control, DocumentSource, ONLY_GROUP},
 };
 
 /// How many services' routes are kept; callers could name any number of services.
 const SERVICES_MAX: usize = 1024;
 /// How many names without a document are looked for at a time.
-const SOUGHT_MAX: usize = 16;
+const LOOKUPS_MAX: usize = 16;
 /// How long a name is known not to be a service before it is looked for again.
-const ABSENT_FOR: Duration = Duration::from_secs(5);
+const ABSENT_TTL: Duration = Duration::from_secs(5);
 /// How often the routes of a service are asked for anew.
-const REFRESH_EVERY: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 /// The shortest time between two questions for one service, however stale its routes are.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(100);
+const QUERY_INTERVAL_MIN: Duration = Duration::from_millis(100);
 /// Questions without an answer after which the platform is asked.
 const UNANSWERED_MAX: u32 = 3;
 /// How many members are asked at once while answers stay out.
-const ASKED_AT_ONCE: usize = 2;
+const PARALLEL_QUERIES: usize = 2;
 
 #[derive(Debug, Default)]
 pub(crate) struct ForeignRoutes {
-    table: BTreeMap<ServiceName, Foreign>,
+    table: BTreeMap<ServiceName, ForeignService>,
 }
 
 #[derive(Debug, Default)]
-struct Foreign {
+struct ForeignService {
     routes: Option<RouteTable>,
-    asked_at: Timestamp,
+    queried_at: Timestamp,
     unanswered: u32,
     /// When the platform was last asked.
-    platform_asked_at: Option<Timestamp>,
+    platform_queried_at: Option<Timestamp>,
     /// Since when the platform has been known to have no such service.
     absent_since: Option<Timestamp>,
 }
 
 /// Who is asked for routes this time.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Question {
+pub(super) struct RouteQuery {
     pub(super) members: usize,
     /// None: the platform is not asked.
-    pub(super) platform: Option<Age>,
+    pub(super) platform: Option<Consistency>,
 }
 
-impl Foreign {
+impl ForeignService {
     /// Whether its members tell of their routes.
-    fn is_heard(&self) -> bool {
+    fn has_responsive_members(&self) -> bool {
         self.routes.is_some() && self.unanswered <= UNANSWERED_MAX
     }
 
     /// Notes one more question. The platform is asked once members have been silent for a while,
     /// however often routes turn out stale meanwhile.
-    fn ask(&mut self, now: Timestamp) -> Question {
-        self.asked_at = now;
+    fn begin_query(&mut self, now: Timestamp) -> RouteQuery {
+        self.queried_at = now;
         self.unanswered += 1;
         let silent = self.unanswered > UNANSWERED_MAX || self.routes.is_none();
-        let due = self.platform_asked_at.is_none_or(|it| now.since(it) >= REFRESH_EVERY);
+        let due = self.platform_queried_at.is_none_or(|it| now.since(it) >= REFRESH_INTERVAL);
         // While there is no group yet, which lasts for seconds, an older state does as well.
-        let age = if self.routes.is_some() { Age::Latest } else { Age::Any };
-        let platform = (silent && due).then_some(age);
+        let consistency =
+            if self.routes.is_some() { Consistency::Latest } else { Consistency::Stale };
+        let platform = (silent && due).then_some(consistency);
         if platform.is_some() {
-            self.platform_asked_at = Some(now);
+            self.platform_queried_at = Some(now);
         }
-        Question { members: if silent { ASKED_AT_ONCE } else { 1 }, platform }
+        RouteQuery { members: if silent { PARALLEL_QUERIES } else { 1 }, platform }
     }
 
     /// Takes over what a peer says; whether that changed anything. Agents of other services pass on
     /// what they have heard, so only the word of a member ends a silence or replaces routes of the
     /// same version. A table without members is of no use, and would go round among such agents
     /// for ever.
-    fn hear(&mut self, from: &Instance, table: RouteTable) -> bool {
+    fn update(&mut self, from: &Instance, table: RouteTable) -> bool {
         if table.members.is_empty() {
             return false;
         }
@@ -104,7 +105,7 @@
     }
 
     /// Notes that a member knows of nothing newer.
-    fn hear_unchanged(&mut self, from: &Instance, version: u64) {
+    fn confirm_unchanged(&mut self, from: &Instance, version: u64) {
         let Some(routes) = &self.routes else { return };
         let is_member = routes.members.iter().any(|it| it.instance == *from);
         if is_member && routes.version == version {
@@ -116,25 +117,29 @@
 impl ForeignRoutes {
     /// A service that callers have asked for.
     #[cfg(test)]
-    pub(super) fn want(&mut self, service: &ServiceName) {
+    pub(super) fn add(&mut self, service: &ServiceName) {
         self.table.entry(service.clone()).or_default();
     }
 
     /// Asks once for the routes of a wanted service.
     #[cfg(test)]
-    pub(super) fn ask(&mut self, now: Timestamp, service: &ServiceName) -> Option<Question> {
-        self.table.get_mut(service).map(|it| it.ask(now))
+    pub(super) fn begin_query(
+        &mut self,
+        now: Timestamp,
+        service: &ServiceName,
+    ) -> Option<RouteQuery> {
+        self.table.get_mut(service).map(|it| it.begin_query(now))
     }
 
     /// Takes over what a peer says; whether that changed anything.
-    pub(super) fn hear(&mut self, from: &Instance, table: RouteTable) -> bool {
-        self.table.get_mut(&table.service).is_some_and(|it| it.hear(from, table))
+    pub(super) fn update(&mut self, from: &Instance, table: RouteTable) -> bool {
+        self.table.get_mut(&table.service).is_some_and(|it| it.update(from, table))
     }
 
     /// Whether members of a service tell of its routes.
     #[cfg(test)]
-    pub(super) fn is_heard(&self, service: &ServiceName) -> bool {
-        self.table.get(service).is_some_and(Foreign::is_heard)
+    pub(super) fn has_responsive_members(&self, service: &ServiceName) -> bool {
+        self.table.get(service).is_some_and(ForeignService::has_responsive_members)
     }
 
     #[cfg(test)]
@@ -143,16 +148,16 @@
     }
 
     /// The platform has no such service.
-    pub(super) fn set_absent(&mut self, now: Timestamp, service: &ServiceName) {
+    pub(super) fn mark_absent(&mut self, now: Timestamp, service: &ServiceName) {
         if let Some(foreign) = self.table.get_mut(service) {
             foreign.absent_since.get_or_insert(now);
         }
     }
 
     /// A document has come into force: its routes are due at once.
-    pub(super) fn has_document(&mut self, service: &ServiceName) {
+    pub(super) fn mark_due(&mut self, service: &ServiceName) {
         if let Some(foreign) = self.table.get_mut(service) {
-            foreign.asked_at = Timestamp::ZERO;
+            foreign.queried_at = Timestamp::ZERO;
             foreign.absent_since = None;
         }
     }
@@ -164,58 +169,59 @@
 
 impl Control {
     /// A caller asked for a service that is not known here.
-    pub(super) fn service_wanted(&mut self, now: Timestamp, service: ServiceName) {
+    pub(super) fn look_up_service(&mut self, now: Timestamp, service: ServiceName) {
         let full = self.foreign.table.len() >= SERVICES_MAX;
         let known = self.foreign.table.contains_key(&service);
-        let sought = self.foreign.table.keys().filter(|it| self.documents.of(it).is_none()).count();
-        if service == *self.service() || (!known && (full || sought >= SOUGHT_MAX)) {
+        let lookups =
+            self.foreign.table.keys().filter(|it| self.documents.in_force(it).is_none()).count();
+        if service == *self.service() || (!known && (full || lookups >= LOOKUPS_MAX)) {
             return;
         }
         let foreign = self.foreign.table.entry(service.clone()).or_default();
-        let asked_before = foreign.asked_at != Timestamp::ZERO;
-        if asked_before && now.since(foreign.asked_at) < REFRESH_EVERY {
+        let asked_before = foreign.queried_at != Timestamp::ZERO;
+        if asked_before && now.since(foreign.queried_at) < REFRESH_INTERVAL {
             return;
         }
-        foreign.asked_at = now;
-        let heard = foreign.is_heard();
+        foreign.queried_at = now;
+        let heard = foreign.has_responsive_members();
         self.read_accepted(&service);
         // Members that answer know it better: each new configuration names all services again, and two reads for
         // each in each process were a third of all calls.
         if !heard {
-            self.parts.calls.read_group(&service, ONLY_GROUP, Age::Latest);
-            self.ask_peers(&service);
+            self.parts.calls.read_group(&service, ONLY_GROUP, Consistency::Latest);
+            self.query_peers(&service);
         }
         // The document may be known already, from a watch.
         self.dirty = true;
     }
 
-    pub(super) fn route_is_stale(
+    pub(super) fn on_stale_route(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
         owner: Option<Instance>,
     ) {
         let Some(foreign) = self.foreign.table.get_mut(service) else { return };
-        if now.since(foreign.asked_at) < ASK_AGAIN_AFTER {
+        if now.since(foreign.queried_at) < QUERY_INTERVAL_MIN {
             return;
         }
-        self.ask_for_routes(now, service, owner);
+        self.query_routes(now, service, owner);
     }
 
-    pub(super) fn refresh_foreign(&mut self, now: Timestamp) {
+    pub(super) fn refresh_foreign_routes(&mut self, now: Timestamp) {
         self.foreign
             .table
-            .retain(|_, it| it.absent_since.is_none_or(|since| now.since(since) < ABSENT_FOR));
+            .retain(|_, it| it.absent_since.is_none_or(|since| now.since(since) < ABSENT_TTL));
         let due: Vec<ServiceName> = self
             .foreign
             .table
             .iter()
             .filter(|(_, it)| it.absent_since.is_none())
-            .filter(|(_, it)| now.since(it.asked_at) >= REFRESH_EVERY)
+            .filter(|(_, it)| now.since(it.queried_at) >= REFRESH_INTERVAL)
             .map(|(service, _)| service.clone())
             .collect();
         for service in due {
-            self.ask_for_routes(now, &service, None);
+            self.query_routes(now, &service, None);
         }
     }
 
@@ -226,20 +232,20 @@
     }
 
     /// Asks a few members, and the platform where they stay silent.
-    fn ask_for_routes(&mut self, now: Timestamp, service: &ServiceName, hint: Option<Instance>) {
+    fn query_routes(&mut self, now: Timestamp, service: &ServiceName, hint: Option<Instance>) {
         let Some(foreign) = self.foreign.table.get_mut(service) else { return };
-        let question = foreign.ask(now);
-        if let Some(age) = question.platform {
+        let query = foreign.begin_query(now);
+        if let Some(consistency) = query.platform {
             self.read_accepted(service);
-            self.parts.calls.read_group(service, ONLY_GROUP, age);
-            self.ask_peers(service);
+            self.parts.calls.read_group(service, ONLY_GROUP, consistency);
+            self.query_peers(service);
         }
-        let mut targets = self.some_members(service, question.members);
+        let mut targets = self.sample_members(service, query.members);
         targets.extend(hint);
         self.fetch_routes(service, targets);
     }
 
-    fn some_members(&mut self, service: &ServiceName, count: usize) -> Vec<Instance> {
+    fn sample_members(&mut self, service: &ServiceName, count: usize) -> Vec<Instance> {
         let routes = self.foreign.table.get(service).and_then(|it| it.routes.as_ref());
         let Some(routes) = routes else { return Vec::new() };
         let picked = routes.members.sample(&mut self.rng, count);
@@ -273,7 +279,7 @@
         self.parts.links.send(to, answer.encode());
     }
 
-    pub(super) fn routes_unchanged(
+    pub(super) fn on_routes_unchanged(
         &mut self,
         from: &Instance,
         service: ServiceName,
@@ -281,26 +287,26 @@
         config: ConfigVersion,
     ) {
         if let Some(foreign) = self.foreign.table.get_mut(&service) {
-            foreign.hear_unchanged(from, version);
+            foreign.confirm_unchanged(from, version);
         }
-        self.version_heard(from, service, config);
+        self.on_version_announced(from, service, config);
     }
 
-    pub(super) fn routes_heard(&mut self, from: Instance, table: RouteTable) {
+    pub(super) fn on_routes(&mut self, from: Instance, table: RouteTable) {
         let service = table.service.clone();
         let config = table.config;
         if service == *self.service() && self.group.is_none() {
-            self.met_members = table.members.iter().map(|it| it.instance.clone()).collect();
+            self.reported_members = table.members.iter().map(|it| it.instance.clone()).collect();
         }
-        self.dirty |= self.foreign.hear(&from, table);
-        self.version_heard(&from, service, config);
+        self.dirty |= self.foreign.update(&from, table);
+        self.on_version_announced(&from, service, config);
     }
 
     /// What the platform knows of a group, for want of a member that answers.
-    pub(super) fn group_read(
+    pub(super) fn on_group_read(
         &mut self,
         service: ServiceName,
-        result: Result<GroupRead, StoreError>,
+        result: Result<StoredGroup, StoreError>,
     ) {
         let read = match result {
             Ok(read) => read,
@@ -311,14 +317,14 @@
         };
         let config = self.documents.version(&service);
         let Some(foreign) = self.foreign.table.get_mut(&service) else { return };
-        if foreign.is_heard() {
+        if foreign.has_responsive_members() {
             return;
         }
         if let Some(plan) = read.plan {
-            foreign.routes = Some(RouteTable { config, ..planned_routes(plan) });
+            foreign.routes = Some(RouteTable { config, ..routes_from_plan(plan) });
             self.dirty = true;
         }
-        let mut targets = self.some_members(&service, ASKED_AT_ONCE);
+        let mut targets = self.sample_members(&service, PARALLEL_QUERIES);
         targets.extend(read.coordinator.and_then(|it| it.holder));
         self.fetch_routes(&service, targets);
     }
@@ -326,7 +332,7 @@
     /// The own group's routes as its node sees them.
     fn own_routes(&self) -> Option<RouteTable> {
         let view = &self.group.as_ref()?.view;
-        let in_force = self.documents.of(self.service())?;
+        let in_force = self.documents.in_force(self.service())?;
         let mut members: Vec<RouteMember> = view
             .members
             .iter()
@@ -341,8 +347,12 @@
                 slot: owner.slot,
                 last: None,
                 key_hash: owner.key_hash,
-                owner: owner.owner.as_ref().map(|it| index_of(&mut members, it)),
-                successors: owner.successors.iter().map(|it| index_of(&mut members, it)).collect(),
+                owner: owner.owner.as_ref().map(|it| member_index(&mut members, it)),
+                successors: owner
+                    .successors
+                    .iter()
+                    .map(|it| member_index(&mut members, it))
+                    .collect(),
             };
             if !owners.last_mut().is_some_and(|it: &mut RouteOwner| it.extend(&next)) {
                 owners.push(next);
@@ -360,7 +370,7 @@
 }
 
 /// The index of an instance, which is added if it is new; such a one is no live member.
-fn index_of(members: &mut Vec<RouteMember>, instance: &Instance) -> u16 {
+fn member_index(members: &mut Vec<RouteMember>, instance: &Instance) -> u16 {
     let index = members.iter().position(|it| it.instance == *instance).unwrap_or_else(|| {
         members.push(RouteMember { instance: instance.clone(), ready: false });
         members.len() - 1
@@ -369,7 +379,7 @@
 }
 
 /// What the plan says; its version is not one of routes, so any member's word replaces it.
-fn planned_routes(plan: Plan) -> RouteTable {
+fn routes_from_plan(plan: Plan) -> RouteTable {
     let slots = plan.slots.into_iter().map(|it| RouteOwner {
         slot: it.slot,
         last: None,
--- a/crates/agent/src/control/group.rs
+++ b/crates/agent/src/control/group.rs
@@ -25,7 +25,7 @@
     pub(crate) moves: VecDeque<MoveStatus>,
     pub(crate) stopped: bool,
     /// Grants of the step that runs, for the log.
-    granted: Vec<GrantedRun>,
+    granted_ranges: Vec<GrantedRange>,
 }
 
 impl Group {
@@ -56,7 +56,7 @@
             view,
             moves: VecDeque::new(),
             stopped: false,
-            granted: Vec::new(),
+            granted_ranges: Vec::new(),
         }
     }
 
@@ -72,7 +72,7 @@
                     // What the gate was told before holds before anybody hears of it.
                     parts.gate.apply(&gate);
                     gate.clear();
-                    self.carry_out(other, parts);
+                    self.execute(other, parts);
                 }
             }
         }
@@ -89,7 +89,7 @@
         self.view.route_version != route_version || self.view.term != term
     }
 
-    fn carry_out(&mut self, output: Output, parts: &Parts) {
+    fn execute(&mut self, output: Output, parts: &Parts) {
         match output {
             Output::Send { to, message } => {
                 parts.links.send(&to, self.envelope(&message).encode());
@@ -98,10 +98,10 @@
                 parts.links.send_to_address(to.control, self.envelope(&message).encode());
             }
             Output::Platform { call, request } => {
-                parts.calls.node(&self.service, ONLY_GROUP, call, request);
+                parts.calls.start_node_call(&self.service, ONLY_GROUP, call, request);
             }
             Output::Gate(_) => unreachable!("the gate's commands are taken out before"),
-            Output::Event(event) => self.note(event),
+            Output::Event(event) => self.record_event(event),
             Output::Stopped => self.stopped = true,
         }
     }
@@ -111,12 +111,12 @@
         Envelope::Group { service: self.service.clone(), group: ONLY_GROUP, payload }
     }
 
-    fn note(&mut self, event: Event) {
+    fn record_event(&mut self, event: Event) {
         log_event(&event);
         let Event::Granted { slot, token, to, reason } = event else { return };
-        match self.granted.last_mut() {
-            Some(run) if run.goes_on_with(slot, token, &to, reason) => run.last = slot,
-            _ => self.granted.push(GrantedRun {
+        match self.granted_ranges.last_mut() {
+            Some(range) if range.is_extended_by(slot, token, &to, reason) => range.last = slot,
+            _ => self.granted_ranges.push(GrantedRange {
                 first: slot,
                 last: slot,
                 token,
@@ -136,7 +136,7 @@
 
     /// One line for each run of neighbouring slots: a move can be of a thousand.
     fn log_grants(&mut self) {
-        for GrantedRun { first, last, token, to, reason } in self.granted.drain(..) {
+        for GrantedRange { first, last, token, to, reason } in self.granted_ranges.drain(..) {
             let reason = reason_name(reason);
             log::info!(target: "ownership", "Slots {first} to {last} go to {to}, token {token}: {reason}.");
         }
@@ -144,7 +144,7 @@
 }
 
 /// Neighbouring slots that were granted in one step.
-struct GrantedRun {
+struct GrantedRange {
     first: Slot,
     last: Slot,
     token: Token,
@@ -152,8 +152,8 @@
     reason: MoveReason,
 }
 
-impl GrantedRun {
-    fn goes_on_with(&self, slot: Slot, token: Token, to: &Instance, reason: MoveReason) -> bool {
+impl GrantedRange {
+    fn is_extended_by(&self, slot: Slot, token: Token, to: &Instance, reason: MoveReason) -> bool {
         self.last.0 + 1 == slot.0 && self.token == token && self.to == *to && self.reason == reason
     }
 }
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -1,15 +1,15 @@
 //! The control thread: membership, leases, documents, routes and the status.
 //!
 //! All state of control lives here, on one thread, in tables that systems run over each tick.
-//! Calls to the object store run as tasks of the same thread's runtime and come back as `calls::Done`.
+//! Calls to the object store run as tasks of the same thread's runtime and come back as `calls::CallResult`.
 
 mod accept;
 mod calls;
 mod documents;
-mod fleet;
+mod central_config;
 mod foreign;
 mod group;
-mod pace;
+mod status_schedule;
 mod peers;
 mod publish;
 mod state;
@@ -90,7 +90,7 @@
     let mut closed_zones = Some(parts.closed_zones);
     let (links, mut events) = ControlLinks::start(parts.own.clone(), listener, key);
     let (done_sender, mut done) = mpsc::unbounded_channel();
-    let calls = calls::Calls::new(parts.platform, done_sender);
+    let calls = calls::PlatformCalls::new(parts.platform, done_sender);
     let mut control = Control::new(state::Parts {
         settings: parts.settings,
         own: parts.own,
@@ -112,11 +112,11 @@
         tokio::select! {
             biased;
             _ = ticks.tick() => control.tick(),
-            Some(event) = events.recv() => control.peer_event(event),
-            Some(it) = done.recv() => control.call_done(it),
-            Some(it) = next_config(&mut central_config) => control.fleet_changed(&it),
-            Some(it) = next_closed_zones(&mut closed_zones) => control.closed_zones_changed(&it),
-            Some(report) = reports.recv() => control.report(report),
+            Some(event) = events.recv() => control.on_peer_event(event),
+            Some(it) = done.recv() => control.on_call_result(it),
+            Some(it) = next_central_config(&mut central_config) => control.on_central_config(&it),
+            Some(it) = next_closed_zones(&mut closed_zones) => control.on_closed_zones(&it),
+            Some(report) = reports.recv() => control.on_report(report),
             changed = phase.changed() => match *phase.borrow() {
                 _ if changed.is_err() => return,
                 Phase::Running => {}
@@ -135,11 +135,11 @@
 }
 
 /// The next configuration of the whole fleet.
-async fn next_config(fleet: &mut Option<CentralConfigSource>) -> Option<Arc<FleetConfig>> {
-    let Some(source) = fleet else { return std::future::pending().await };
+async fn next_central_config(config: &mut Option<CentralConfigSource>) -> Option<Arc<FleetConfig>> {
+    let Some(source) = config else { return std::future::pending().await };
     if source.changed().await.is_err() {
         log::error!(target: "config", "Nobody tells of configurations any more.");
-        *fleet = None;
+        *config = None;
         return None;
     }
     source.borrow_and_update().clone()
--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     control::{
-        calls::Done,
+        calls::CallResult,
         state::{Control, DocumentSource, ONLY_GROUP},
     },
     links::ControlEvent,
@@ -16,25 +16,25 @@
 };
 
 /// How often a coordinator repeats all versions to its members, for those that missed one.
-const VERSIONS_EVERY: Duration = Duration::from_secs(2);
+const VERSIONS_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Control {
-    pub(crate) fn peer_event(&mut self, event: ControlEvent) {
+    pub(crate) fn on_peer_event(&mut self, event: ControlEvent) {
         let ControlEvent::Message { from, payload } = event;
         match Envelope::decode(&payload) {
-            Ok(envelope) => self.envelope(from, envelope),
+            Ok(envelope) => self.on_envelope(from, envelope),
             Err(error) => {
                 log::warn!(target: "control", "A message of {from} is malformed: {error}.")
             }
         }
     }
 
-    fn envelope(&mut self, from: Instance, envelope: Envelope) {
+    fn on_envelope(&mut self, from: Instance, envelope: Envelope) {
         match envelope {
             Envelope::Group { service, group, payload }
                 if service == *self.service() && group == ONLY_GROUP =>
             {
-                self.group_message(from, &payload);
+                self.on_group_message(from, &payload);
             }
             Envelope::Group { service, .. } => {
                 log::debug!(target: "control", "{from} took this for a member of {service}.");
@@ -44,22 +44,22 @@
             Envelope::Document { .. }
                 if self.parts.documents_from == DocumentSource::CentralConfig => {}
             Envelope::Document { service, version, text } => {
-                self.offer_document(&service, version, &text);
+                self.apply_document(&service, version, &text);
             }
             Envelope::Versions(versions) => {
                 versions.into_iter().for_each(|(service, version)| {
-                    self.version_heard(&from, service, version);
+                    self.on_version_announced(&from, service, version);
                 });
             }
             Envelope::FetchRoutes { service, known } => self.send_routes(&from, &service, known),
-            Envelope::Routes(table) => self.routes_heard(from, table),
+            Envelope::Routes(table) => self.on_routes(from, table),
             Envelope::RoutesUnchanged { service, version, config } => {
-                self.routes_unchanged(&from, service, version, config);
+                self.on_routes_unchanged(&from, service, version, config);
             }
         }
     }
 
-    fn group_message(&mut self, from: Instance, payload: &[u8]) {
+    fn on_group_message(&mut self, from: Instance, payload: &[u8]) {
         let message = match wire::control::decode(payload) {
             Ok(message) => message,
             Err(error) => {
@@ -69,36 +69,36 @@
         };
         let now = self.now();
         self.step(now, Input::Message { from: from.clone(), message });
-        let heard = self.group.as_ref().map(|it| it.view.config);
-        if let Some(version) = heard {
+        let version = self.group.as_ref().map(|it| it.view.config);
+        if let Some(version) = version {
             let service = self.service().clone();
-            self.version_heard(&from, service, version);
+            self.on_version_announced(&from, service, version);
         }
     }
 
     fn send_document(&self, to: &Instance, service: ServiceName) {
-        let Some(in_force) = self.documents.of(&service) else { return };
+        let Some(in_force) = self.documents.in_force(&service) else { return };
         let version = in_force.version;
         let text = in_force.text.to_string();
         self.parts.links.send(to, Envelope::Document { service, version, text }.encode());
     }
 
     /// A peer knows of a version: fetch it if this instance has use for the service.
-    pub(super) fn version_heard(
+    pub(super) fn on_version_announced(
         &mut self,
         from: &Instance,
         service: ServiceName,
         version: ConfigVersion,
     ) {
-        let used = self.documents.of(&service).is_some() || service == *self.service();
+        let used = self.documents.in_force(&service).is_some() || service == *self.service();
         let fetched = self.parts.documents_from == DocumentSource::ObjectStore;
-        if fetched && used && self.documents.wants(&service, version) {
+        if fetched && used && self.documents.should_fetch(&service, version) {
             self.parts.links.send(from, Envelope::FetchDocument { service }.encode());
         }
     }
 
     /// Asks the peers of the settings, while the platform may be down.
-    pub(super) fn ask_peers(&mut self, service: &ServiceName) {
+    pub(super) fn query_peers(&mut self, service: &ServiceName) {
         for address in &self.parts.settings.peers {
             // The routes first: with the document comes the group, and its members are to be known.
             let routes = Envelope::FetchRoutes { service: service.clone(), known: 0 };
@@ -108,9 +108,9 @@
         }
     }
 
-    pub(super) fn spread_versions(&mut self, now: Timestamp) {
+    pub(super) fn broadcast_versions(&mut self, now: Timestamp) {
         let coordinates = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
-        if !coordinates || !self.status.versions_due(now, VERSIONS_EVERY) {
+        if !coordinates || !self.status.take_versions_due(now, VERSIONS_INTERVAL) {
             return;
         }
         let versions: Vec<_> =
@@ -127,29 +127,31 @@
         }
     }
 
-    pub(crate) fn call_done(&mut self, done: Done) {
+    pub(crate) fn on_call_result(&mut self, done: CallResult) {
         let now = self.now();
         match done {
-            Done::Node { call, reply } => self.step(now, Input::Platform { call, reply }),
-            Done::Accepted { service, result } => self.accepted_read(service, result),
-            Done::Document { result } => self.document_read(result),
-            Done::AcceptedUpdated { accepted, result } => self.accepted_updated(accepted, result),
-            Done::Group { service, result } => self.group_read(service, result),
-            Done::Watched { prefix, result } => self.watched(prefix, result),
-            Done::StatusRead { result } => self.status_read(result),
-            Done::StatusWritten { result } => self.status_written(result),
+            CallResult::Node { call, reply } => self.step(now, Input::Platform { call, reply }),
+            CallResult::AcceptedRead { service, result } => self.on_accepted_read(service, result),
+            CallResult::DocumentRead { result } => self.on_document_read(result),
+            CallResult::AcceptedUpdated { accepted, result } => {
+                self.on_accept_result(accepted, result)
+            }
+            CallResult::GroupRead { service, result } => self.on_group_read(service, result),
+            CallResult::WatchEnded { prefix, result } => self.on_watch_result(prefix, result),
+            CallResult::StatusRead { result } => self.on_status_read(result),
+            CallResult::StatusWritten { result } => self.on_status_written(result),
         }
     }
 
-    pub(crate) fn report(&mut self, report: Report) {
+    pub(crate) fn on_report(&mut self, report: Report) {
         let now = self.now();
         match report {
-            Report::Announcement(announcement) => self.announced(announcement),
+            Report::Announcement(announcement) => self.on_announcement(announcement),
             Report::UpstreamLeaves { upstream_id, born_ms } => {
-                self.upstream_leaves(&upstream_id, born_ms);
+                self.on_upstream_leaving(&upstream_id, born_ms);
             }
-            Report::GrantOutdated { token } => self.grant_outdated(now, token),
-            Report::Upstream(state) => self.seen_by_gate(state),
+            Report::GrantOutdated { token } => self.on_grant_outdated(now, token),
+            Report::Upstream(state) => self.on_gate_state(state),
             Report::Prepared { slot, token } => self.step(now, Input::Prepared { slot, token }),
             Report::Closed { slot, token } => self.step(now, Input::Closed { slot, token }),
             Report::ClosedSlots(slots) => self.step(now, Input::ClosedSlots(slots)),
@@ -158,10 +160,10 @@
             Report::KeyClosed { key_hash, token } => {
                 self.step(now, Input::KeyClosed { key_hash, token });
             }
-            Report::StaleRoute { service, owner, .. } => self.route_is_stale(now, &service, owner),
-            Report::UnknownService { service } => self.service_wanted(now, service),
+            Report::StaleRoute { service, owner, .. } => self.on_stale_route(now, &service, owner),
+            Report::UnknownService { service } => self.look_up_service(now, service),
             Report::Config { service, version, from } => {
-                self.version_heard(&from, service, version);
+                self.on_version_announced(&from, service, version);
             }
         }
     }
--- a/crates/agent/src/control/publish.rs
+++ b/crates/agent/src/control/publish.rs
@@ -24,14 +24,14 @@
             services.insert(routes.service.clone(), Arc::new(routes));
         }
         for (service, table) in self.foreign.iter() {
-            let Some(in_force) = self.documents.of(service) else { continue };
+            let Some(in_force) = self.documents.in_force(service) else { continue };
             let routes = routes_of(in_force, table);
             services.insert(service.clone(), Arc::new(service_routes(service, in_force, routes)));
         }
-        let local = self.local.announcement.clone().map(|announcement| LocalUpstream {
-            leaving: match self.stopping {
+        let local = self.upstream.announcement.clone().map(|announcement| LocalUpstream {
+            leaving: match self.is_stopping {
                 true => Some(Leaving::ForGood),
-                false => self.local.leaving(),
+                false => self.upstream.leaving(),
             },
             announcement,
         });
@@ -41,7 +41,7 @@
     fn own_service_routes(&self) -> Option<ServiceRoutes> {
         let view = &self.group.as_ref()?.view;
         let service = self.service();
-        let in_force = self.documents.of(service)?;
+        let in_force = self.documents.in_force(service)?;
         let routes = if in_force.document.keyed {
             Routes::ByKey(KeyRoutes::from_view(in_force.document.slot_count, view))
         } else {
@@ -89,8 +89,8 @@
             owner: owner.owner.and_then(|it| instance(members, it)),
             successors: owner.successors.iter().filter_map(|it| instance(members, *it)).collect(),
         };
-        let run = usize::from(owner.slot.0)..=usize::from(owner.last().0);
-        match (owner.key_hash, slots.get_mut(run)) {
+        let range = usize::from(owner.slot.0)..=usize::from(owner.last().0);
+        match (owner.key_hash, slots.get_mut(range)) {
             (Some(key_hash), _) => drop(hot_keys.insert(key_hash, route)),
             (None, Some(slots)) => slots.fill(route),
             (None, None) => {}
--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -11,8 +11,9 @@
 use crate::{
     clock::Clock,
     control::{
-        accept::Acceptor, calls::Calls, documents::Documents, foreign::ForeignRoutes, group::Group,
-        status::StatusWriter, suspension::Suspension, upstream::LocalState, watch::Watches,
+        accept::Acceptor, calls::PlatformCalls, documents::Documents, foreign::ForeignRoutes,
+        group::Group, status::StatusWriter, suspension::SuspensionDetector,
+        upstream::UpstreamMonitor, watch::Watches,
     },
     gate::GateHandle,
     links::ControlLinks,
@@ -29,7 +30,7 @@
     pub(crate) own: Instance,
     pub(crate) clock: Clock,
     pub(crate) links: ControlLinks,
-    pub(crate) calls: Calls,
+    pub(crate) calls: PlatformCalls,
     pub(crate) gate: GateHandle,
     pub(crate) snapshots: Arc<SnapshotCell>,
     pub(crate) seed: u64,
@@ -54,18 +55,18 @@
     /// None until the own service's document is known.
     pub(super) group: Option<Group>,
     /// Members of the own group that peers told of before this instance was one.
-    pub(super) met_members: Vec<Instance>,
+    pub(super) reported_members: Vec<Instance>,
     pub(super) foreign: ForeignRoutes,
     pub(super) acceptor: Acceptor,
     pub(super) watches: Watches,
     pub(super) status: StatusWriter,
-    pub(super) local: LocalState,
+    pub(super) upstream: UpstreamMonitor,
     /// Routes by host, where there is a configuration of the whole fleet.
     pub(super) routing: Option<Arc<RoutingTable>>,
-    suspension: Suspension,
+    suspension: SuspensionDetector,
     /// Something that traffic should see has changed.
     pub(super) dirty: bool,
-    pub(super) stopping: bool,
+    pub(super) is_stopping: bool,
 }
 
 impl Control {
@@ -75,16 +76,16 @@
             rng: Pcg64Mcg::seed_from_u64(parts.seed),
             documents: Documents::default(),
             group: None,
-            met_members: Vec::new(),
+            reported_members: Vec::new(),
             foreign: ForeignRoutes::default(),
             acceptor: Acceptor::default(),
             watches: Watches::default(),
             status: StatusWriter::default(),
-            local: LocalState::default(),
+            upstream: UpstreamMonitor::default(),
             routing: None,
-            suspension: Suspension::default(),
+            suspension: SuspensionDetector::default(),
             dirty: true,
-            stopping: false,
+            is_stopping: false,
             parts,
         }
     }
@@ -100,31 +101,31 @@
     /// Runs every system once.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
-        if let Some(slept) = self.suspension.slept() {
-            log::warn!(target: "control", "The instance was suspended for {slept:?}.");
+        if let Some(take_suspended) = self.suspension.take_suspended() {
+            log::warn!(target: "control", "The instance was suspended for {take_suspended:?}.");
             self.step(now, Input::Suspended);
         }
         // First of all: after a pause the node drops the lease before anything else runs.
         self.step(now, Input::Tick);
-        self.watch_upstream(now);
+        self.check_upstream_timeout(now);
         self.report_load(now);
-        self.refresh_foreign(now);
+        self.refresh_foreign_routes(now);
         if self.parts.documents_from == DocumentSource::ObjectStore {
-            self.seek_document(now);
-            self.accept(now);
-            self.watch_platform(now);
-            self.spread_versions(now);
+            self.look_up_document(now);
+            self.reread_accepted(now);
+            self.start_watches(now);
+            self.broadcast_versions(now);
             self.write_status(now);
         }
     }
 
     /// Begins the graceful stop.
     pub(crate) fn stop(&mut self) {
-        if self.stopping {
+        if self.is_stopping {
             return;
         }
         log::info!(target: "control", "Stopping: handing over.");
-        self.stopping = true;
+        self.is_stopping = true;
         self.dirty = true;
         let now = self.now();
         self.step(now, Input::Stop);
@@ -132,7 +133,7 @@
 
     /// The stop was asked for, and nothing is held any more.
     pub(crate) fn is_handed_over(&self) -> bool {
-        self.stopping && self.group.as_ref().is_none_or(|it| it.stopped)
+        self.is_stopping && self.group.as_ref().is_none_or(|it| it.stopped)
     }
 
     /// Gives the group's node one input and carries out what it asks for.
@@ -142,18 +143,18 @@
     }
 
     /// The own service's document has come into force, first or anew.
-    pub(super) fn own_document_changed(&mut self) {
+    pub(super) fn on_own_document_changed(&mut self) {
         let now = self.now();
         let service = self.service().clone();
-        let Some(in_force) = self.documents.of(&service).cloned() else { return };
+        let Some(in_force) = self.documents.in_force(&service).cloned() else { return };
         self.dirty = true;
         if self.group.is_none() {
-            let peers = std::mem::take(&mut self.met_members);
+            let peers = std::mem::take(&mut self.reported_members);
             let group = Group::new(now, &self.parts, &in_force.document, peers);
             self.group = Some(group);
-            let state = self.local.state();
+            let state = self.upstream.state();
             self.step(now, Input::Upstream(state));
-            if self.stopping {
+            if self.is_stopping {
                 self.step(now, Input::Stop);
             }
         }
--- a/crates/agent/src/control/status.rs
+++ b/crates/agent/src/control/status.rs
@@ -15,49 +15,49 @@
 };
 
 use crate::control::{
-    pace::Pace,
     state::{Control, ONLY_GROUP},
+    status_schedule::StatusSchedule,
 };
 
 /// The period over which the measures look back.
-const MEASURED: Duration = Duration::from_secs(60);
+const MEASURE_WINDOW: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Default)]
 pub(crate) struct StatusWriter {
     /// The object's version; none: to be read first.
-    object: Option<ObjectVersion>,
+    object_version: Option<ObjectVersion>,
     in_flight: bool,
-    pace: Pace,
+    schedule: StatusSchedule,
     in_force_since_unix_ms: Option<u64>,
     versions_sent_at: Option<Timestamp>,
-    unowned: UnownedTimes,
+    unowned: UnownedPeriods,
 }
 
 /// When some slot had no owner, within the measured period; the time before the first grants is
 /// none of these.
 #[derive(Debug, Default)]
-struct UnownedTimes {
-    owned_before: bool,
+struct UnownedPeriods {
+    was_owned: bool,
     since: Option<Timestamp>,
     /// When each ended, and how long it had lasted.
     ended: VecDeque<(Timestamp, Duration)>,
 }
 
-impl UnownedTimes {
-    fn note(&mut self, now: Timestamp, unowned: bool) {
-        self.ended.retain(|(at, _)| now.since(*at) <= MEASURED);
+impl UnownedPeriods {
+    fn record(&mut self, now: Timestamp, unowned: bool) {
+        self.ended.retain(|(at, _)| now.since(*at) <= MEASURE_WINDOW);
         match self.since {
-            None if unowned && self.owned_before => self.since = Some(now),
+            None if unowned && self.was_owned => self.since = Some(now),
             Some(since) if !unowned => {
                 self.ended.push_back((now, now.since(since)));
                 self.since = None;
             }
             _ => {}
         }
-        self.owned_before |= !unowned;
+        self.was_owned |= !unowned;
     }
 
-    fn longest(&self, now: Timestamp) -> Duration {
+    fn longest_duration(&self, now: Timestamp) -> Duration {
         let running = self.since.map(|it| now.since(it));
         self.ended.iter().map(|(_, it)| *it).chain(running).max().unwrap_or_default()
     }
@@ -65,7 +65,7 @@
 
 impl StatusWriter {
     /// Whether versions are due to be spread again; notes that they are.
-    pub(super) fn versions_due(&mut self, now: Timestamp, every: Duration) -> bool {
+    pub(super) fn take_versions_due(&mut self, now: Timestamp, every: Duration) -> bool {
         let due = self.versions_sent_at.is_none_or(|it| now.since(it) >= every);
         if due {
             self.versions_sent_at = Some(now);
@@ -84,52 +84,52 @@
     pub(super) fn write_status(&mut self, now: Timestamp) {
         let Some(group) = &self.group else { return };
         let unowned = group.view.owners.iter().any(|it| it.owner.is_none());
-        self.status.unowned.note(now, unowned);
+        self.status.unowned.record(now, unowned);
         if !group.view.is_coordinator {
             // Another's writes are unknown here: read before the next one.
-            self.status.object = None;
-            self.status.pace = Pace::default();
+            self.status.object_version = None;
+            self.status.schedule = StatusSchedule::default();
             return;
         }
         if self.status.in_flight {
             return;
         }
         let status = self.build_status();
-        if !self.status.pace.is_due(now, &status) {
+        if !self.status.schedule.is_due(now, &status) {
             return;
         }
         self.status.in_flight = true;
-        match self.status.object {
+        match self.status.object_version {
             None => self.parts.calls.read_status(&status.service, ONLY_GROUP),
             Some(object) => {
                 self.parts.calls.write_status(object, &status);
                 let jitter = self.rng.random();
-                self.status.pace.written(now, status, jitter);
+                self.status.schedule.record_write(now, status, jitter);
             }
         }
     }
 
-    pub(super) fn status_read(&mut self, result: Result<Option<ObjectVersion>, StoreError>) {
+    pub(super) fn on_status_read(&mut self, result: Result<Option<ObjectVersion>, StoreError>) {
         self.status.in_flight = false;
         match result {
-            Ok(version) => self.status.object = Some(version.unwrap_or_default()),
-            Err(error) => self.status_failed(&error),
+            Ok(version) => self.status.object_version = Some(version.unwrap_or_default()),
+            Err(error) => self.on_status_failure(&error),
         }
     }
 
-    pub(super) fn status_written(&mut self, result: Result<ObjectVersion, StoreError>) {
+    pub(super) fn on_status_written(&mut self, result: Result<ObjectVersion, StoreError>) {
         self.status.in_flight = false;
         match result {
-            Ok(version) => self.status.object = Some(version),
-            Err(error) => self.status_failed(&error),
+            Ok(version) => self.status.object_version = Some(version),
+            Err(error) => self.on_status_failure(&error),
         }
     }
 
-    fn status_failed(&mut self, error: &StoreError) {
+    fn on_status_failure(&mut self, error: &StoreError) {
         log::debug!(target: "status", "{error}.");
-        self.status.object = None;
+        self.status.object_version = None;
         let now = self.now();
-        self.status.pace.failed(now);
+        self.status.schedule.record_failure(now);
     }
 
     fn build_status(&mut self) -> Status {
@@ -178,7 +178,7 @@
         let loads: Vec<u64> = group.view.members.iter().map(|it| it.load_us_per_s).collect();
         let mean = loads.iter().sum::<u64>() as f64 / loads.len().max(1) as f64;
         let busiest = loads.iter().max().copied().unwrap_or_default() as f64;
-        let oldest_ms = unix_ms().saturating_sub(MEASURED.as_millis() as u64);
+        let oldest_ms = unix_ms().saturating_sub(MEASURE_WINDOW.as_millis() as u64);
         let moved = group
             .moves
             .iter()
@@ -188,7 +188,7 @@
         Measures {
             imbalance: if mean > 0.0 { busiest / mean } else { 1.0 },
             churn_per_minute: moved as f64 / slots.max(1) as f64,
-            unavailable_ms_max: self.status.unowned.longest(self.now()).as_millis() as u64,
+            unavailable_ms_max: self.status.unowned.longest_duration(self.now()).as_millis() as u64,
         }
     }
 }
--- a/crates/agent/src/control/pace.rs
+++ b/crates/agent/src/control/status_schedule.rs
@@ -10,95 +10,94 @@
 use settings::Status;
 
 /// The shortest time between two writes.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
+const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(250);
 /// How long a document may be on its way to the members before that is worth a write.
-const SPREADING_MAX: Duration = Duration::from_millis(500);
+const ROLLOUT_WAIT_MAX: Duration = Duration::from_millis(500);
 /// News of ownership wait up to this long, by a draw, so that groups do not write all at once.
 const OWNERSHIP_DELAY_MAX: Duration = Duration::from_millis(2_000);
 /// The time between two writes about ownership; doubles with each one up to the second.
-const OWNERSHIP_EVERY: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(8)];
+const OWNERSHIP_INTERVALS: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(8)];
 /// A status without news is written again after this, so that a reader sees its age.
-const WRITE_AGAIN_AFTER: Duration = Duration::from_secs(30);
+const REFRESH_AFTER: Duration = Duration::from_secs(30);
 /// The pause after a write that failed.
-const FAILED_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// What was written when, and how long the next news wait.
 #[derive(Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct StatusSchedule {
     written: Option<(Timestamp, Status)>,
     failed_at: Option<Timestamp>,
     /// Since when there are news.
-    news_since: Option<Timestamp>,
-    ownership_every: Duration,
+    changed_since: Option<Timestamp>,
+    ownership_interval: Duration,
     ownership_delay: Duration,
 }
 
 /// What a status tells that the one before did not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum News {
+enum StatusChange {
     None,
     Ownership,
     Document,
 }
 
-impl Pace {
+impl StatusSchedule {
     /// Whether a status is to be written now.
     pub(crate) fn is_due(&mut self, now: Timestamp, status: &Status) -> bool {
-        if self.failed_at.is_some_and(|it| now.since(it) < FAILED_PAUSE) {
+        if self.failed_at.is_some_and(|it| now.since(it) < RETRY_PAUSE) {
             return false;
         }
         let Some((written_at, written)) = &self.written else { return true };
         let age = now.since(*written_at);
-        let news = news(written, status);
-        if news == News::None {
-            self.news_since = None;
-            return age >= WRITE_AGAIN_AFTER;
+        let change = diff(written, status);
+        if change == StatusChange::None {
+            self.changed_since = None;
+            return age >= REFRESH_AFTER;
         }
-        let waited = now.since(*self.news_since.get_or_insert(now));
-        match news {
-            News::Document if is_spreading(status) => waited >= SPREADING_MAX,
-            News::Document => age >= WRITE_EVERY,
-            _ => age >= self.ownership_every && waited >= self.ownership_delay,
+        let waited = now.since(*self.changed_since.get_or_insert(now));
+        match change {
+            StatusChange::Document if is_rolling_out(status) => waited >= ROLLOUT_WAIT_MAX,
+            StatusChange::Document => age >= WRITE_INTERVAL_MIN,
+            _ => age >= self.ownership_interval && waited >= self.ownership_delay,
         }
     }
 
     /// Notes that a status is being written; `jitter` is drawn from 0 to 1.
-    pub(crate) fn written(&mut self, now: Timestamp, status: Status, jitter: f64) {
-        let [least, most] = OWNERSHIP_EVERY;
-        self.ownership_every = match &self.written {
-            Some((at, former)) if now.since(*at) < WRITE_AGAIN_AFTER => match news(former, &status)
-            {
-                News::Ownership => (self.ownership_every * 2).clamp(least, most),
-                News::Document | News::None => self.ownership_every,
+    pub(crate) fn record_write(&mut self, now: Timestamp, status: Status, jitter: f64) {
+        let [least, most] = OWNERSHIP_INTERVALS;
+        self.ownership_interval = match &self.written {
+            Some((at, former)) if now.since(*at) < REFRESH_AFTER => match diff(former, &status) {
+                StatusChange::Ownership => (self.ownership_interval * 2).clamp(least, most),
+                StatusChange::Document | StatusChange::None => self.ownership_interval,
             },
             _ => least,
         };
         self.ownership_delay = OWNERSHIP_DELAY_MAX.mul_f64(jitter);
         self.written = Some((now, status));
-        self.news_since = None;
+        self.changed_since = None;
         self.failed_at = None;
     }
 
     /// Notes that a write failed: all is news again.
-    pub(crate) fn failed(&mut self, now: Timestamp) {
+    pub(crate) fn record_failure(&mut self, now: Timestamp) {
         self.written = None;
         self.failed_at = Some(now);
     }
 }
 
 /// The accepted version is not yet in force on all members.
-fn is_spreading(status: &Status) -> bool {
+fn is_rolling_out(status: &Status) -> bool {
     status.in_force.instances < status.in_force.of
 }
 
-fn news(written: &Status, status: &Status) -> News {
+fn diff(written: &Status, status: &Status) -> StatusChange {
     let documents =
-        |it: &Status| (it.accepted, is_spreading(it), it.refused.as_ref().map(|it| it.version));
+        |it: &Status| (it.accepted, is_rolling_out(it), it.refused.as_ref().map(|it| it.version));
     let slots = |it: &Status| -> Vec<_> {
         it.owners.iter().map(|it| (it.instance.clone(), it.slots)).collect()
     };
     match () {
-        () if documents(written) != documents(status) => News::Document,
+        () if documents(written) != documents(status) => StatusChange::Document,
         () if written.in_force.of != status.in_force.of
             || written.coordinator != status.coordinator
             || written.upstreams != status.upstreams
@@ -106,8 +105,8 @@
             || written.hot_keys != status.hot_keys
             || slots(written) != slots(status) =>
         {
-            News::Ownership
+            StatusChange::Ownership
         }
-        () => News::None,
+        () => StatusChange::None,
     }
 }
--- a/crates/agent/src/control/suspension.rs
+++ b/crates/agent/src/control/suspension.rs
@@ -6,29 +6,30 @@
 use nix::time::{ClockId, clock_gettime};
 
 /// Less than this is how far apart the two clocks are read.
-const NOTICED: Duration = Duration::from_millis(50);
+const SUSPENSION_MIN: Duration = Duration::from_millis(50);
 
 /// Compares the clock that counts time in suspension with the one that does not.
 #[derive(Debug, Default)]
-pub(super) struct Suspension {
+pub(super) struct SuspensionDetector {
     /// By how much the one is ahead of the other, as last read.
-    ahead: Option<Duration>,
+    lead: Option<Duration>,
 }
 
-impl Suspension {
+impl SuspensionDetector {
     /// How long the instance has been suspended since the last call.
-    pub(super) fn slept(&mut self) -> Option<Duration> {
-        let (Ok(all), Ok(awake)) = (read(ClockId::CLOCK_BOOTTIME), read(ClockId::CLOCK_MONOTONIC))
+    pub(super) fn take_suspended(&mut self) -> Option<Duration> {
+        let (Ok(boottime), Ok(monotonic)) =
+            (read(ClockId::CLOCK_BOOTTIME), read(ClockId::CLOCK_MONOTONIC))
         else {
             return None;
         };
-        self.note(all, awake)
+        self.update(boottime, monotonic)
     }
 
-    pub(super) fn note(&mut self, all: Duration, awake: Duration) -> Option<Duration> {
-        let ahead = all.saturating_sub(awake);
-        let before = self.ahead.replace(ahead)?;
-        Some(ahead.saturating_sub(before)).filter(|it| *it >= NOTICED)
+    pub(super) fn update(&mut self, boottime: Duration, monotonic: Duration) -> Option<Duration> {
+        let lead = boottime.saturating_sub(monotonic);
+        let former_lead = self.lead.replace(lead)?;
+        Some(lead.saturating_sub(former_lead)).filter(|it| *it >= SUSPENSION_MIN)
     }
 }
 
--- a/crates/agent/src/control/tests/documents.rs
+++ b/crates/agent/src/control/tests/documents.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     control::{
-        calls::Age,
-        documents::{Documents, Raised},
+        calls::Consistency,
+        documents::{Documents, RaiseOutcome},
         foreign::ForeignRoutes,
     },
     tests::fakes,
@@ -18,7 +18,7 @@
     "classes": [{ "name": "lap", "weight": 1 }]
 }"#;
 
-fn check(versions: &[u64], expected: &[Raised]) {
+fn check(versions: &[u64], expected: &[RaiseOutcome]) {
     let service = ServiceName::new("standings").unwrap();
     let mut documents = Documents::default();
     let mut highest = 0;
@@ -31,8 +31,8 @@
 
 #[test]
 fn versions_only_rise() {
-    use Raised::{Known, Yes};
-    check(&[3, 5, 4, 5, 9], &[Yes, Yes, Known, Known, Yes]);
+    use RaiseOutcome::{Raised, Unchanged};
+    check(&[3, 5, 4, 5, 9], &[Raised, Raised, Unchanged, Unchanged, Raised]);
 }
 
 #[test]
@@ -41,8 +41,8 @@
     let mut documents = Documents::default();
     documents.raise(&service, ConfigVersion(1), DOCUMENT);
     let broken = DOCUMENT.replace("standings", "other");
-    assert_eq!(documents.raise(&service, ConfigVersion(2), &broken), Raised::Invalid);
-    assert_eq!(documents.raise(&service, ConfigVersion(3), "{"), Raised::Invalid);
+    assert_eq!(documents.raise(&service, ConfigVersion(2), &broken), RaiseOutcome::Invalid);
+    assert_eq!(documents.raise(&service, ConfigVersion(3), "{"), RaiseOutcome::Invalid);
     assert_eq!(documents.version(&service), ConfigVersion(1));
 }
 
@@ -66,9 +66,9 @@
 fn routes_are_taken_from_members_first() {
     let service = ServiceName::new("standings").unwrap();
     let mut foreign = ForeignRoutes::default();
-    foreign.want(&service);
+    foreign.add(&service);
     let mut check = |from: &str, table, members| {
-        foreign.hear(&instance(from), table);
+        foreign.update(&instance(from), table);
         assert_eq!(foreign.member_count(&service), members);
     };
     // A group that nobody has joined yet, as passed on by an agent of another service.
@@ -85,12 +85,12 @@
 fn the_platform_is_asked_while_routes_turn_out_stale_all_the_time() {
     let service = ServiceName::new("standings").unwrap();
     let mut foreign = ForeignRoutes::default();
-    foreign.want(&service);
-    foreign.hear(&instance("a"), routes(1, &["a"]));
+    foreign.add(&service);
+    foreign.update(&instance("a"), routes(1, &["a"]));
     // All members that are known have gone, and each tenth of a second a request says so.
     let asked = (0..30).map(|it| Timestamp::from_ms(1_000 + it * 100));
     let platform: Vec<u64> = asked
-        .filter(|it| foreign.ask(*it, &service).is_some_and(|it| it.platform.is_some()))
+        .filter(|it| foreign.begin_query(*it, &service).is_some_and(|it| it.platform.is_some()))
         .map(|it| it.ns / 1_000_000)
         .collect();
     assert_eq!(platform, [1_300, 2_300, 3_300]);
@@ -100,17 +100,17 @@
 fn the_platform_is_asked_by_age_until_there_is_a_group() {
     let service = ServiceName::new("standings").unwrap();
     let mut foreign = ForeignRoutes::default();
-    foreign.want(&service);
-    let ask = |foreign: &mut ForeignRoutes, s: u64| {
-        foreign.ask(Timestamp::from_ms(1_000 * s), &service).and_then(|it| it.platform)
+    foreign.add(&service);
+    let begin_query = |foreign: &mut ForeignRoutes, s: u64| {
+        foreign.begin_query(Timestamp::from_ms(1_000 * s), &service).and_then(|it| it.platform)
     };
-    assert_eq!(ask(&mut foreign, 1), Some(Age::Any));
-    assert!(!foreign.is_heard(&service));
-    foreign.hear(&instance("a"), routes(1, &["a"]));
-    assert!(foreign.is_heard(&service));
-    assert_eq!(ask(&mut foreign, 3), None);
+    assert_eq!(begin_query(&mut foreign, 1), Some(Consistency::Stale));
+    assert!(!foreign.has_responsive_members(&service));
+    foreign.update(&instance("a"), routes(1, &["a"]));
+    assert!(foreign.has_responsive_members(&service));
+    assert_eq!(begin_query(&mut foreign, 3), None);
     // Its members have fallen silent: what is known is from before a loss, and an older state would name it again.
-    let later: Vec<_> = (4..9).filter_map(|it| ask(&mut foreign, it)).collect();
-    assert_eq!(later.first(), Some(&Age::Latest));
-    assert!(!foreign.is_heard(&service));
+    let later: Vec<_> = (4..9).filter_map(|it| begin_query(&mut foreign, it)).collect();
+    assert_eq!(later.first(), Some(&Consistency::Latest));
+    assert!(!foreign.has_responsive_members(&service));
 }
--- a/crates/agent/src/control/tests/mod.rs
+++ b/crates/agent/src/control/tests/mod.rs
@@ -4,7 +4,7 @@
 mod documents;
 mod fleet;
 mod leaving;
-mod pace;
+mod status_schedule;
 pub(crate) mod platform;
 mod suspension;
 mod upstream;
--- a/crates/agent/src/control/tests/pace.rs
+++ b/crates/agent/src/control/tests/status_schedule.rs
@@ -3,7 +3,7 @@
 use model::{ConfigVersion, GroupId, InstanceName, ServiceName, Term, Timestamp, Zone};
 use settings::{CoordinatorStatus, InForce, Measures, MoveStatus, Status};
 
-use crate::control::pace::Pace;
+use crate::control::status_schedule::StatusSchedule;
 
 const TICK_MS: u64 = 25;
 
@@ -41,12 +41,12 @@
 
 /// The times in milliseconds at which a status is written, of which there is one each tick.
 fn check(end_ms: u64, jitter: f64, status_at: impl Fn(u64) -> Status, expected: &[u64]) {
-    let mut pace = Pace::default();
+    let mut schedule = StatusSchedule::default();
     let mut writes = Vec::new();
     for at_ms in (0..end_ms).step_by(TICK_MS as usize) {
         let (now, status) = (Timestamp::from_ms(at_ms), status_at(at_ms));
-        if pace.is_due(now, &status) {
-            pace.written(now, status, jitter);
+        if schedule.is_due(now, &status) {
+            schedule.record_write(now, status, jitter);
             writes.push(at_ms);
         }
     }
@@ -99,9 +99,9 @@
 
 #[test]
 fn a_failed_write_is_made_up_for_after_a_pause() {
-    let mut pace = Pace::default();
-    pace.written(Timestamp::from_ms(0), status(1, 25, 0), 0.0);
-    pace.failed(Timestamp::from_ms(10));
-    assert!(!pace.is_due(Timestamp::from_ms(1_000), &status(1, 25, 0)));
-    assert!(pace.is_due(Timestamp::from_ms(1_010), &status(1, 25, 0)));
+    let mut schedule = StatusSchedule::default();
+    schedule.record_write(Timestamp::from_ms(0), status(1, 25, 0), 0.0);
+    schedule.record_failure(Timestamp::from_ms(10));
+    assert!(!schedule.is_due(Timestamp::from_ms(1_000), &status(1, 25, 0)));
+    assert!(schedule.is_due(Timestamp::from_ms(1_010), &status(1, 25, 0)));
 }
--- a/crates/agent/src/control/tests/watch.rs
+++ b/crates/agent/src/control/tests/watch.rs
@@ -24,12 +24,12 @@
         if ends_at.is_some_and(|it| at_ms >= it) {
             ends_at = None;
             match platform {
-                Platform::Answers(_) => watch.answered(ObjectVersion(1)),
-                Platform::Fails(_) => watch.failed(now, 1.5),
+                Platform::Answers(_) => watch.on_answer(ObjectVersion(1)),
+                Platform::Fails(_) => watch.on_failure(now, 1.5),
                 Platform::Silent => {}
             }
         }
-        if watch.begin(now) {
+        if watch.try_start(now) {
             begun += 1;
             ends_at = match platform {
                 Platform::Answers(after_ms) | Platform::Fails(after_ms) => Some(at_ms + after_ms),
--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -14,24 +14,24 @@
 };
 
 /// Silence after which an upstream that announced itself each second counts as lost.
-const SILENCE_MAX: Duration = Duration::from_secs(4);
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 /// The same in announcements, where these grant it its keys: what it holds runs out without them, within 2.5 s
 /// where requests take up to 1.5 s, and until it counts as lost nobody else is granted its keys.
-const SILENCE_MAX_ANNOUNCEMENTS: f64 = 1.5;
+const ANNOUNCEMENT_TIMEOUT_INTERVALS: f64 = 1.5;
 /// An upstream that has been silent for this many of its announcements may have been followed by
 /// another at its address; one that announces itself goes on within one and some jitter.
-const ANOTHER_LIFE_AFTER: f64 = 1.5;
+const REPLACEABLE_AFTER_INTERVALS: f64 = 1.5;
 /// How often the load goes to the coordinator.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
 
 /// The local upstream: what it says of itself, and what the gate sees.
 #[derive(Debug, Default)]
-pub(crate) struct LocalState {
+pub(crate) struct UpstreamMonitor {
     pub(crate) announcement: Option<Announcement>,
-    pub(super) heard_at: Timestamp,
+    pub(super) announced_at: Timestamp,
     /// What the gate last said; it knows of hangs that the upstream itself can't tell.
-    seen_by_gate: Option<UpstreamState>,
-    told: Option<UpstreamState>,
+    gate_state: Option<UpstreamState>,
+    reported_state: Option<UpstreamState>,
     load_reported_at: Timestamp,
     /// The upstream has said that it leaves for good.
     is_leaving: bool,
@@ -41,18 +41,18 @@
 
 /// How an announcement stands to what is known of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Place {
-    Same,
-    NewLife,
+pub(super) enum AnnouncementKind {
+    SameIncarnation,
+    NewIncarnation,
     /// It has been on the way for so long that it says nothing about now.
-    Late,
+    Stale,
 }
 
-impl LocalState {
+impl UpstreamMonitor {
     /// The worse of the two views. One in a closed zone is not leaving, but gives up all that it has as one
     /// that is.
     pub(crate) fn state(&self) -> UpstreamState {
-        match (&self.announcement, self.seen_by_gate) {
+        match (&self.announcement, self.gate_state) {
             (_, Some(UpstreamState::Lost)) => UpstreamState::Lost,
             (Some(it), _) if it.state == UpstreamState::Ready && self.zone_is_closed => {
                 UpstreamState::Draining
@@ -63,28 +63,28 @@
     }
 }
 
-impl LocalState {
-    pub(super) fn place_of(
+impl UpstreamMonitor {
+    pub(super) fn classify(
         &self,
         now: Timestamp,
         every: Duration,
         announcement: &Announcement,
-    ) -> Place {
-        let Some(known) = &self.announcement else { return Place::Same };
-        let alive = now.since(self.heard_at) < every.mul_f64(ANOTHER_LIFE_AFTER)
-            && self.seen_by_gate != Some(UpstreamState::Lost);
+    ) -> AnnouncementKind {
+        let Some(known) = &self.announcement else { return AnnouncementKind::SameIncarnation };
+        let is_alive = now.since(self.announced_at) < every.mul_f64(REPLACEABLE_AFTER_INTERVALS)
+            && self.gate_state != Some(UpstreamState::Lost);
         match (known.born_ms, announcement.born_ms) {
             _ if known.is_of_same_life(announcement) => {
-                let numbered = announcement.sequence > 0;
-                let late = numbered && announcement.sequence <= known.sequence;
-                if late { Place::Late } else { Place::Same }
+                let is_numbered = announcement.sequence > 0;
+                let is_stale = is_numbered && announcement.sequence <= known.sequence;
+                if is_stale { AnnouncementKind::Stale } else { AnnouncementKind::SameIncarnation }
             }
             // The upstream says when it began, so one that does not is of another writer.
-            (Some(_), None) => Place::Late,
-            (Some(known), Some(born)) if born > known => Place::NewLife,
+            (Some(_), None) => AnnouncementKind::Stale,
+            (Some(known), Some(born)) if born > known => AnnouncementKind::NewIncarnation,
             // Of two lives at one address the one that goes on announcing itself is there.
-            _ if alive => Place::Late,
-            _ => Place::NewLife,
+            _ if is_alive => AnnouncementKind::Stale,
+            _ => AnnouncementKind::NewIncarnation,
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// One that has said that it leaves for good does not come back in the same life.
-    fn as_it_leaves(&self, announcement: Announcement) -> Announcement {
+    fn with_leaving_state(&self, announcement: Announcement) -> Announcement {
         match self.is_leaving {
             true => Announcement { state: UpstreamState::Draining, ..announcement },
             false => announcement,
@@ -107,17 +107,17 @@
 }
 
 /// Silence after which an upstream counts as lost.
-pub(super) fn silence_max(key_grants: KeyGrants, announced_every: Duration) -> Duration {
+pub(super) fn announcement_timeout(key_grants: KeyGrants, announced_every: Duration) -> Duration {
     match key_grants {
-        KeyGrants::Calls => SILENCE_MAX,
+        KeyGrants::Calls => ANNOUNCEMENT_TIMEOUT,
         KeyGrants::Announcements => {
-            SILENCE_MAX.min(announced_every.mul_f64(SILENCE_MAX_ANNOUNCEMENTS))
+            ANNOUNCEMENT_TIMEOUT.min(announced_every.mul_f64(ANNOUNCEMENT_TIMEOUT_INTERVALS))
         }
     }
 }
 
 impl Control {
-    pub(super) fn announced(&mut self, announcement: Announcement) {
+    pub(super) fn on_announcement(&mut self, announcement: Announcement) {
         if announcement.service != *self.service() {
             log::warn!(
                 target: "control",
@@ -127,57 +127,58 @@
             return;
         }
         let now = self.now();
-        match self.local.place_of(now, self.parts.settings.announced_every, &announcement) {
-            Place::Late => {
+        match self.upstream.classify(now, self.parts.settings.announced_every, &announcement) {
+            AnnouncementKind::Stale => {
                 log::debug!(target: "control", "An announcement of the upstream came late.");
                 return;
             }
-            Place::NewLife => {
+            AnnouncementKind::NewIncarnation => {
                 log::info!(
                     target: "control",
                     "Another life of the upstream, {:?}, is at {}.",
                     announcement.upstream_id, announcement.address,
                 );
-                self.local.is_leaving = false;
+                self.upstream.is_leaving = false;
                 self.step(now, Input::DropSession { reason: "upstream replaced" });
             }
-            Place::Same => {}
+            AnnouncementKind::SameIncarnation => {}
         }
-        let announcement = self.local.as_it_leaves(announcement);
+        let announcement = self.upstream.with_leaving_state(announcement);
         self.parts.gate.update_cold_for(announcement.cold_for);
-        self.local.heard_at = now;
+        self.upstream.announced_at = now;
         // It lives, whatever became of a connection.
-        self.local.seen_by_gate.take_if(|_| announcement.upstream_id.is_some());
-        let news = self.local.announcement.as_ref().is_none_or(|it| !it.is_like(&announcement));
-        if news {
+        self.upstream.gate_state.take_if(|_| announcement.upstream_id.is_some());
+        let is_changed =
+            self.upstream.announcement.as_ref().is_none_or(|it| !it.is_like(&announcement));
+        if is_changed {
             log::info!(
                 target: "control",
                 "The upstream at {} is {:?}.", announcement.address, announcement.state,
             );
             self.dirty = true;
         }
-        self.local.announcement = Some(announcement);
-        self.tell_upstream_state();
+        self.upstream.announcement = Some(announcement);
+        self.report_upstream_state();
     }
 
     /// The upstream has said that it leaves for good.
-    pub(super) fn upstream_leaves(&mut self, upstream_id: &UpstreamId, born_ms: Option<u64>) {
-        let Some(announcement) = &mut self.local.announcement else { return };
-        let other_life = born_ms.is_some() && born_ms != announcement.born_ms;
-        if announcement.upstream_id.as_ref() != Some(upstream_id) || other_life {
+    pub(super) fn on_upstream_leaving(&mut self, upstream_id: &UpstreamId, born_ms: Option<u64>) {
+        let Some(announcement) = &mut self.upstream.announcement else { return };
+        let is_other_incarnation = born_ms.is_some() && born_ms != announcement.born_ms;
+        if announcement.upstream_id.as_ref() != Some(upstream_id) || is_other_incarnation {
             return;
         }
         log::info!(target: "control", "The upstream {upstream_id} leaves.");
         announcement.state = UpstreamState::Draining;
-        self.local.is_leaving = true;
+        self.upstream.is_leaving = true;
         self.dirty = true;
-        self.tell_upstream_state();
+        self.report_upstream_state();
     }
 
     /// The operators have closed or opened zones.
-    pub(super) fn closed_zones_changed(&mut self, closed: &ClosedZones) {
+    pub(super) fn on_closed_zones(&mut self, closed: &ClosedZones) {
         let is_closed = closed.contains(&self.parts.own.zone);
-        if std::mem::replace(&mut self.local.zone_is_closed, is_closed) == is_closed {
+        if std::mem::replace(&mut self.upstream.zone_is_closed, is_closed) == is_closed {
             return;
         }
         let zone = &self.parts.own.zone;
@@ -189,55 +190,56 @@
             }
         }
         self.dirty = true;
-        self.tell_upstream_state();
+        self.report_upstream_state();
     }
 
     /// The upstream has seen a higher token than one it was granted under: another coordinator has
     /// been at work, or this one's tokens are not the newest. A new session gets new ones.
-    pub(super) fn grant_outdated(&mut self, now: Timestamp, token: Token) {
+    pub(super) fn on_grant_outdated(&mut self, now: Timestamp, token: Token) {
         log::warn!(target: "control", "The upstream refuses grants of token {token}.");
         self.step(now, Input::DropSession { reason: "token outdated" });
     }
 
-    pub(super) fn seen_by_gate(&mut self, state: UpstreamState) {
-        if self.local.seen_by_gate != Some(state) {
+    pub(super) fn on_gate_state(&mut self, state: UpstreamState) {
+        if self.upstream.gate_state != Some(state) {
             log::info!(target: "control", "The gate sees its upstream as {state:?}.");
         }
-        self.local.seen_by_gate = Some(state);
-        self.tell_upstream_state();
+        self.upstream.gate_state = Some(state);
+        self.report_upstream_state();
     }
 
     /// An upstream that has gone silent is lost.
-    pub(super) fn watch_upstream(&mut self, now: Timestamp) {
-        let document = self.documents.of(self.service()).map(|it| &it.document.upstream);
+    pub(super) fn check_upstream_timeout(&mut self, now: Timestamp) {
+        let document = self.documents.in_force(self.service()).map(|it| &it.document.upstream);
         let key_grants = document.map_or(KeyGrants::Calls, |it| it.key_grants);
-        let silence_max = silence_max(key_grants, self.parts.settings.announced_every);
-        let silent = now.since(self.local.heard_at) > silence_max;
-        match &mut self.local.announcement {
-            Some(announcement) if silent && announcement.state != UpstreamState::Lost => {
+        let announcement_timeout =
+            announcement_timeout(key_grants, self.parts.settings.announced_every);
+        let has_timed_out = now.since(self.upstream.announced_at) > announcement_timeout;
+        match &mut self.upstream.announcement {
+            Some(announcement) if has_timed_out && announcement.state != UpstreamState::Lost => {
                 log::warn!(target: "control", "The upstream has gone silent.");
                 announcement.state = UpstreamState::Lost;
                 self.dirty = true;
-                self.tell_upstream_state();
+                self.report_upstream_state();
             }
             _ => {}
         }
     }
 
-    fn tell_upstream_state(&mut self) {
-        let state = self.local.state();
-        if self.local.told != Some(state) {
-            self.local.told = Some(state);
+    fn report_upstream_state(&mut self) {
+        let state = self.upstream.state();
+        if self.upstream.reported_state != Some(state) {
+            self.upstream.reported_state = Some(state);
             let now = self.now();
             self.step(now, Input::Upstream(state));
         }
     }
 
     pub(super) fn report_load(&mut self, now: Timestamp) {
-        if self.group.is_none() || now.since(self.local.load_reported_at) < LOAD_PERIOD {
+        if self.group.is_none() || now.since(self.upstream.load_reported_at) < LOAD_PERIOD {
             return;
         }
-        self.local.load_reported_at = now;
+        self.upstream.load_reported_at = now;
         let load = self.parts.gate.take_load();
         self.step(now, Input::Load(load));
     }
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -11,17 +11,17 @@
 use settings::{Accepted, service_path};
 
 use crate::control::{
-    calls::{ACCEPTED_PREFIX, WATCH_WAIT, WatchPrefix},
+    calls::{ACCEPTED_PATH_PREFIX, WATCH_WAIT, WatchPrefix},
     state::Control,
 };
 
 /// After a failed watch, the next one starts after one to two of the first; the pause doubles with
 /// each further failure up to the second, so that an outage is no rush.
-const RETRY_AFTER: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(2)];
+const RETRY_BACKOFF: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(2)];
 /// The least time between the starts of two watches, even if the platform ends each at once.
-const WATCH_EVERY_MIN: Duration = Duration::from_millis(100);
+const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(100);
 /// A watch that is silent for this much longer than it may wait is given up and renewed.
-const SILENCE_MARGIN: Duration = Duration::from_secs(5);
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Default)]
 pub(crate) struct Watches {
@@ -33,109 +33,114 @@
 #[derive(Debug, Default)]
 pub(super) struct Watch {
     /// What the platform last said; none: list first.
-    after: Option<ObjectVersion>,
+    revision: Option<ObjectVersion>,
     /// Waiting since.
-    running: Option<Timestamp>,
+    started_at: Option<Timestamp>,
     not_before: Timestamp,
     /// The pause after the next failure.
-    pause: Duration,
+    backoff: Duration,
 }
 
 impl Watch {
     /// Whether a call is to be made now; notes that it is.
-    pub(super) fn begin(&mut self, now: Timestamp) -> bool {
-        let silent = |it: &Timestamp| now.since(*it) > WATCH_WAIT + SILENCE_MARGIN;
-        if self.running.is_some_and(|it| !silent(&it)) || now < self.not_before {
+    pub(super) fn try_start(&mut self, now: Timestamp) -> bool {
+        let silent = |it: &Timestamp| now.since(*it) > WATCH_WAIT + TIMEOUT_MARGIN;
+        if self.started_at.is_some_and(|it| !silent(&it)) || now < self.not_before {
             return false;
         }
-        self.running = Some(now);
-        self.not_before = now + WATCH_EVERY_MIN;
+        self.started_at = Some(now);
+        self.not_before = now + WATCH_INTERVAL_MIN;
         true
     }
 
-    pub(super) fn answered(&mut self, revision: ObjectVersion) {
-        self.running = None;
-        self.after = Some(self.after.map_or(revision, |it| it.max(revision)));
-        self.pause = RETRY_AFTER[0];
+    pub(super) fn on_answer(&mut self, revision: ObjectVersion) {
+        self.started_at = None;
+        self.revision = Some(self.revision.map_or(revision, |it| it.max(revision)));
+        self.backoff = RETRY_BACKOFF[0];
     }
 
     /// Changes may have been missed.
-    pub(super) fn lists_next(&mut self) {
-        self.after = None;
+    pub(super) fn require_list(&mut self) {
+        self.revision = None;
     }
 
     /// `jitter` is drawn from 1 to 2.
-    pub(super) fn failed(&mut self, now: Timestamp, jitter: f64) {
-        self.running = None;
-        let [least, most] = RETRY_AFTER;
-        let pause = self.pause.clamp(least, most);
-        self.not_before = now + pause.mul_f64(jitter);
-        self.pause = pause * 2;
+    pub(super) fn on_failure(&mut self, now: Timestamp, jitter: f64) {
+        self.started_at = None;
+        let [least, most] = RETRY_BACKOFF;
+        let backoff = self.backoff.clamp(least, most);
+        self.not_before = now + backoff.mul_f64(jitter);
+        self.backoff = backoff * 2;
     }
 }
 
 impl Control {
-    pub(super) fn watch_platform(&mut self, now: Timestamp) {
+    pub(super) fn start_watches(&mut self, now: Timestamp) {
         let coordinates = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
         if !coordinates {
             return;
         }
         for prefix in [WatchPrefix::Document(self.service().clone()), WatchPrefix::Accepted] {
-            let watch = self.watch_of(&prefix);
-            if !watch.begin(now) {
+            let watch = self.watch_mut(&prefix);
+            if !watch.try_start(now) {
                 continue;
             }
-            match watch.after {
+            match watch.revision {
                 Some(after) => self.parts.calls.watch(prefix, after),
                 None => self.parts.calls.list(prefix),
             }
         }
     }
 
-    pub(super) fn watched(&mut self, prefix: WatchPrefix, result: Result<Changes, StoreError>) {
+    pub(super) fn on_watch_result(
+        &mut self,
+        prefix: WatchPrefix,
+        result: Result<Changes, StoreError>,
+    ) {
         let now = self.now();
         let jitter = self.rng.random_range(1.0..2.0);
-        let watch = self.watch_of(&prefix);
+        let watch = self.watch_mut(&prefix);
         match result {
             Ok(changes) => {
-                watch.answered(changes.revision);
+                watch.on_answer(changes.revision);
                 match prefix {
-                    WatchPrefix::Document(service) => self.document_changed(&service, &changes),
-                    WatchPrefix::Accepted => self.accepted_changed(&changes),
+                    WatchPrefix::Document(service) => self.on_document_changes(&service, &changes),
+                    WatchPrefix::Accepted => self.on_accepted_changes(&changes),
                 }
             }
             Err(error) => {
                 log::debug!(target: "config", "{error}.");
-                watch.failed(now, jitter);
+                watch.on_failure(now, jitter);
                 if matches!(error, StoreError::HistoryGone { .. }) {
-                    watch.lists_next();
+                    watch.require_list();
                 }
             }
         }
     }
 
-    fn watch_of(&mut self, prefix: &WatchPrefix) -> &mut Watch {
+    fn watch_mut(&mut self, prefix: &WatchPrefix) -> &mut Watch {
         match prefix {
             WatchPrefix::Document(_) => &mut self.watches.document,
             WatchPrefix::Accepted => &mut self.watches.accepted,
         }
     }
 
-    fn document_changed(&mut self, service: &ServiceName, changes: &Changes) {
+    fn on_document_changes(&mut self, service: &ServiceName, changes: &Changes) {
         let path = service_path(service);
         if changes.changes.iter().any(|it| it.path == path) {
             self.parts.calls.read_accepted(service);
         }
     }
 
-    fn accepted_changed(&mut self, changes: &Changes) {
+    fn on_accepted_changes(&mut self, changes: &Changes) {
         for change in &changes.changes {
             let Some(body) = &change.body else { continue };
             match serde_json::from_slice::<Accepted>(body) {
                 Ok(it)
-                    if change.path.strip_prefix(ACCEPTED_PREFIX) == Some(it.service.as_str()) =>
+                    if change.path.strip_prefix(ACCEPTED_PATH_PREFIX)
+                        == Some(it.service.as_str()) =>
                 {
-                    self.offer_document(&it.service, it.version, &it.document);
+                    self.apply_document(&it.service, it.version, &it.document);
                     self.announce_version(it.service, it.version);
                 }
                 Ok(it) => log::error!(target: "config", "{} names {}.", change.path, it.service),
--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -32,7 +32,7 @@
 pub(crate) use selector::designated_member;
 
 /// The shortest time after which a caller comes back to a key that nobody serves, before jitter.
-const COME_BACK_MIN: Duration = Duration::from_millis(30);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(30);
 
 /// What a forwarder is made from.
 pub(crate) struct ForwardParts {
@@ -69,9 +69,9 @@
 
 /// Where to send a request next, beside the snapshot's routes.
 #[derive(Debug, Default)]
-struct Trail {
+struct AttemptHistory {
     /// A peer named this owner.
-    hint: Option<Instance>,
+    owner_hint: Option<Instance>,
     /// Those that did not take the request.
     tried: Vec<Instance>,
 }
@@ -96,68 +96,69 @@
     /// Sends a request until it has its end. Dropping the future cancels it.
     pub(crate) async fn send(&self, request: GateRequest, team: &TeamName) -> FinalReply {
         let mut underway = self.parts.log.start(request);
-        let ending = self.place(&mut underway, team).await;
+        let ending = self.forward(&mut underway, team).await;
         underway.end(&ending);
         ending
     }
 
-    async fn place(&self, underway: &mut Underway<'_>, team: &TeamName) -> FinalReply {
+    async fn forward(&self, underway: &mut Underway<'_>, team: &TeamName) -> FinalReply {
         let useful_until = underway.useful_until;
         let Underway { request, placing, .. } = underway;
         let clock = self.parts.clock;
         let started = clock.now();
         let deadline = started + request.remaining;
         let mut attempts = Attempts::new(request.attempts);
-        let mut trail = Trail::default();
-        let mut fresh = true;
-        let mut sent_before = false;
+        let mut history = AttemptHistory::default();
+        let mut is_first_attempt = true;
+        let mut was_sent = false;
         // An earlier try, or an earlier sending of the caller's, may have run, whatever the later
         // ones say.
-        let earlier = (!request.age.is_zero()).then_some(UnknownReason::NoRecord);
-        let mut unknown: Option<UnknownReason> = earlier;
+        let earlier_unknown = (!request.age.is_zero()).then_some(UnknownReason::NoRecord);
+        let mut unknown: Option<UnknownReason> = earlier_unknown;
         let content = request.content;
         loop {
             if self.parts.quarantine.is_quarantined(content) {
                 let reply = GateReply::not_run(NotRunReason::Quarantined);
-                return FinalReply::given_up(final_reply(reply, unknown));
+                return FinalReply::without_retry_after(overall_reply(reply, unknown));
             }
             let Some(routes) = self.routes(&request.service) else {
                 let reply = GateReply::not_run(NotRunReason::Unreachable);
-                return FinalReply::given_up(final_reply(reply, unknown));
+                return FinalReply::without_retry_after(overall_reply(reply, unknown));
             };
             let state = self.state(&routes);
-            if std::mem::take(&mut fresh) {
+            if std::mem::take(&mut is_first_attempt) {
                 state.retries().add_request();
             }
             let now = clock.now();
             request.remaining = deadline.since(now);
             request.objective = useful_until.map(|it| it.since(now));
-            if std::mem::replace(&mut sent_before, true) {
+            if std::mem::replace(&mut was_sent, true) {
                 // The caller may have sent it again elsewhere while it was held here.
                 request.held = now.since(started);
             }
             placing.config = Some(routes.version);
             placing.route_version = routes.routes.version();
-            let reply = self.attempt(&state, &routes, request, placing, &mut trail).await;
+            let reply = self.attempt(&state, &routes, request, placing, &mut history).await;
             let retry_after = match &reply {
                 GateReply::Failed { retry_after, .. } => *retry_after,
                 _ => None,
             };
-            let ended = EndedAttempt {
+            let attempt = EndedAttempt {
                 outcome: reply.outcome(),
                 retry_after,
-                is_redirect: trail.hint.is_some(),
-                has_untried_target: has_untried_target(&routes, &trail),
+                is_redirect: history.owner_hint.is_some(),
+                has_untried_target: has_untried_target(&routes, &history),
             };
-            if ended.outcome == Outcome::Answered {
+            if attempt.outcome == Outcome::Answered {
                 self.parts.quarantine.record_answer(content);
                 return FinalReply { reply, retry_after: None };
             }
-            if let Outcome::Unknown(reason) = ended.outcome {
+            if let Outcome::Unknown(reason) = attempt.outcome {
                 unknown = Some(reason);
             }
             let idempotent = request.idempotent;
-            let verdict = state.decide(clock.now(), deadline, idempotent, &mut attempts, &ended);
+            let verdict =
+                state.decide_retry(clock.now(), deadline, idempotent, &mut attempts, &attempt);
             match verdict {
                 RetryVerdict::FollowRedirect => self.parts.metrics.again(team, "redirect"),
                 RetryVerdict::Retry { after } => {
@@ -165,8 +166,9 @@
                     sleep(after).await;
                 }
                 RetryVerdict::GiveUp { retry_after } => {
-                    let retry_after = retry_after.map(|it| come_back(it, ended.outcome));
-                    return FinalReply { reply: final_reply(reply, unknown), retry_after };
+                    let retry_after =
+                        retry_after.map(|it| unowned_retry_after(it, attempt.outcome));
+                    return FinalReply { reply: overall_reply(reply, unknown), retry_after };
                 }
             }
         }
@@ -182,42 +184,44 @@
         routes: &ServiceRoutes,
         request: &GateRequest,
         placing: &mut Placing,
-        trail: &mut Trail,
+        history: &mut AttemptHistory,
     ) -> GateReply {
         let now = self.parts.clock.now();
-        let hint = trail.hint.take();
-        let Some(picked) = state.selector.target(now, routes, request, hint, &trail.tried) else {
-            trail.tried.clear();
+        let owner_hint = history.owner_hint.take();
+        let Some(picked) =
+            state.selector.select_target(now, routes, request, owner_hint, &history.tried)
+        else {
+            history.tried.clear();
             return GateReply::not_run(NotRunReason::NoOwner);
         };
         let target = picked.instance;
         placing.tries += 1;
         placing.sent_to = Some(target.clone());
         placing.weighed = picked.comparison;
-        let asking = state.selector.start(now, self.parts.clock, &target, routes, request);
-        let Replied { reply, load } = self.ask(&target, request).await;
+        let in_flight = state.selector.start(now, self.parts.clock, &target, routes, request);
+        let Replied { reply, load } = self.send_to(&target, request).await;
         if let Some(load) = load {
             state.selector.report(self.parts.clock.now(), &target, request.kind, load);
         }
-        asking.finish(reply.outcome());
+        in_flight.finish(reply.outcome());
         match &reply {
             GateReply::NotOwner { owner, route_version } => {
-                trail.hint = owner.clone().filter(|it| *it != target);
-                self.report_stale(request, owner, *route_version);
+                history.owner_hint = owner.clone().filter(|it| *it != target);
+                self.report_stale_route(request, owner, *route_version);
             }
             GateReply::Failed { outcome: Outcome::NotRun(reason), .. } => {
                 if matches!(reason, NotRunReason::Unreachable | NotRunReason::Draining) {
                     state.selector.avoid(self.parts.clock.now(), &target, *reason);
-                    self.report_stale(request, &None, 0);
+                    self.report_stale_route(request, &None, 0);
                 }
-                trail.tried.push(target);
+                history.tried.push(target);
             }
             _ => {}
         }
         reply
     }
 
-    async fn ask(&self, target: &Instance, request: &GateRequest) -> Replied {
+    async fn send_to(&self, target: &Instance, request: &GateRequest) -> Replied {
         if *target != self.parts.own {
             return self.parts.links.ask(target, request).await;
         }
@@ -225,7 +229,12 @@
         self.parts.gate.serve(request.clone()).await
     }
 
-    fn report_stale(&self, request: &GateRequest, owner: &Option<Instance>, route_version: u64) {
+    fn report_stale_route(
+        &self,
+        request: &GateRequest,
+        owner: &Option<Instance>,
+        route_version: u64,
+    ) {
         let key_hash = request.key_hash;
         let (service, owner) = (request.service.clone(), owner.clone());
         self.parts.reporter.hint(Report::StaleRoute { service, key_hash, owner, route_version });
@@ -233,10 +242,10 @@
 }
 
 /// Whether a member may take the request that has not been asked yet.
-fn has_untried_target(routes: &ServiceRoutes, trail: &Trail) -> bool {
+fn has_untried_target(routes: &ServiceRoutes, history: &AttemptHistory) -> bool {
     let Routes::Any(members) = &routes.routes else { return false };
-    let fresh = |it: &&MemberRoute| !trail.tried.contains(&it.instance);
-    members.iter().filter(|it| it.state == UpstreamState::Ready).any(|it| fresh(&it))
+    let is_untried = |it: &&MemberRoute| !history.tried.contains(&it.instance);
+    members.iter().filter(|it| it.state == UpstreamState::Ready).any(|it| is_untried(&it))
 }
 
 fn retry_config(limits: &TrafficLimits) -> RetryConfig {
@@ -253,7 +262,7 @@
 }
 
 /// The worst of all tries. A caller has no use for the name of an owner.
-fn final_reply(reply: GateReply, unknown: Option<UnknownReason>) -> GateReply {
+fn overall_reply(reply: GateReply, unknown: Option<UnknownReason>) -> GateReply {
     match (reply, unknown) {
         (reply @ GateReply::Answered(_), _) => reply,
         (_, Some(reason)) => GateReply::unknown(reason),
@@ -263,18 +272,18 @@
 }
 
 /// Where nobody serves a key, coming back within a few milliseconds is of no use to anyone.
-fn come_back(retry_after: Duration, outcome: Outcome) -> Duration {
+fn unowned_retry_after(retry_after: Duration, outcome: Outcome) -> Duration {
     use NotRunReason::{Draining, NoOwner, NotOwner, Unreachable};
     match outcome {
         Outcome::NotRun(NoOwner | NotOwner | Unreachable | Draining) => {
-            retry_after.max(rand::rng().random_range(COME_BACK_MIN..=COME_BACK_MIN * 3))
+            retry_after.max(rand::rng().random_range(RETRY_AFTER_MIN..=RETRY_AFTER_MIN * 3))
         }
         _ => retry_after,
     }
 }
 
 impl FinalReply {
-    pub(crate) fn given_up(reply: GateReply) -> FinalReply {
+    pub(crate) fn without_retry_after(reply: GateReply) -> FinalReply {
         FinalReply { reply, retry_after: None }
     }
 }
@@ -284,14 +293,14 @@
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn decide(
+    fn decide_retry(
         &self,
         now: Timestamp,
         deadline: Timestamp,
         idempotent: bool,
         attempts: &mut Attempts,
-        ended: &EndedAttempt,
+        attempt: &EndedAttempt,
     ) -> RetryVerdict {
-        self.retries().decide(now, deadline, idempotent, attempts, ended, &mut rand::rng())
+        self.retries().decide(now, deadline, idempotent, attempts, attempt, &mut rand::rng())
     }
 }
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -21,27 +21,27 @@
 };
 
 /// How long one that is leaving is avoided: longer than its leaving takes to spread.
-const AVOID_LEAVING: Duration = Duration::from_secs(3);
+const AVOID_DRAINING_FOR: Duration = Duration::from_secs(3);
 /// How long one that can't be reached is avoided.
-const AVOID_UNREACHABLE: Duration = Duration::from_millis(300);
+const AVOID_UNREACHABLE_FOR: Duration = Duration::from_millis(300);
 
 /// The targets of one service.
 pub(super) struct Selector {
     own: Instance,
-    selection: Arc<Mutex<Option<Selecting>>>,
+    selection: Arc<Mutex<Option<MemberSelection>>>,
     /// Instances that take no requests for now, and until when, beside what the snapshot says.
     avoided: Mutex<HashMap<Instance, Timestamp>>,
 }
 
 /// The selection for one list of members.
-struct Selecting {
+struct MemberSelection {
     selection: Selection,
     members: Vec<MemberRoute>,
 }
 
 /// A request counted as in flight at a target; dropped unfinished, it was cancelled.
-pub(super) struct Asking {
-    selection: Option<Arc<Mutex<Option<Selecting>>>>,
+pub(super) struct InFlight {
+    selection: Option<Arc<Mutex<Option<MemberSelection>>>>,
     clock: Clock,
     target: Instance,
     started: Timestamp,
@@ -54,7 +54,7 @@
 
     /// The next target, and what it was weighed by where there was a choice; none: nobody may take the
     /// request at the moment.
-    pub(super) fn target(
+    pub(super) fn select_target(
         &self,
         now: Timestamp,
         routes: &ServiceRoutes,
@@ -65,13 +65,15 @@
         let only = |instance| PickedTarget { instance, comparison: None };
         match (&routes.routes, request.key_hash) {
             _ if hint.is_some() => hint.map(only),
-            (Routes::ByKey(routes), Some(key_hash)) => by_key(routes, key_hash, tried).map(only),
+            (Routes::ByKey(routes), Some(key_hash)) => {
+                owner_or_successor(routes, key_hash, tried).map(only)
+            }
             (Routes::Any(members), None) if request.idempotent || !routes.document.resends => {
                 self.pick(now, routes, request, members, tried)
             }
             // Whether another member may stand in for the home is for that member to say.
             (Routes::Any(members), None) => {
-                let avoided = self.avoided(now);
+                let avoided = self.avoided_names(now);
                 designated_member(
                     members.iter().filter(|it| !avoided.contains(&it.instance.name)),
                     request.id,
@@ -86,15 +88,15 @@
     /// Sends nothing more to an instance for a while, if there are others.
     pub(super) fn avoid(&self, now: Timestamp, target: &Instance, reason: NotRunReason) {
         let time = match reason {
-            NotRunReason::Draining => AVOID_LEAVING,
-            _ => AVOID_UNREACHABLE,
+            NotRunReason::Draining => AVOID_DRAINING_FOR,
+            _ => AVOID_UNREACHABLE_FOR,
         };
         let mut avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
         avoided.retain(|_, until| now < *until);
         avoided.insert(target.clone(), now + time);
     }
 
-    fn avoided(&self, now: Timestamp) -> Vec<InstanceName> {
+    fn avoided_names(&self, now: Timestamp) -> Vec<InstanceName> {
         let avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
         let current = avoided.iter().filter(|(_, until)| now < **until);
         current.map(|(instance, _)| instance.name.clone()).collect()
@@ -109,23 +111,23 @@
         members: &[MemberRoute],
         tried: &[Instance],
     ) -> Option<PickedTarget> {
-        let mut lock = lock(&self.selection);
-        let selecting = lock.get_or_insert_with(|| {
+        let mut guard = lock_selection(&self.selection);
+        let state = guard.get_or_insert_with(|| {
             let slow_start = routes.document.upstream.warmup;
             let zone_penalty = routes.document.limits.zone_penalty;
             let config = SelectionConfig { slow_start, zone_penalty, ..SelectionConfig::default() };
             let selection = Selection::new(config, self.own.zone.clone());
-            Selecting { selection, members: Vec::new() }
+            MemberSelection { selection, members: Vec::new() }
         });
-        if !same_members(&selecting.members, members) {
-            let specs: Vec<TargetSpec> = members.iter().map(spec).collect();
-            selecting.selection.update(now, &specs);
-            selecting.members = members.to_vec();
+        if !same_members(&state.members, members) {
+            let specs: Vec<TargetSpec> = members.iter().map(target_spec).collect();
+            state.selection.update(now, &specs);
+            state.members = members.to_vec();
         }
         let mut tried: Vec<InstanceName> = tried.iter().map(|it| it.name.clone()).collect();
-        tried.extend(self.avoided(now));
+        tried.extend(self.avoided_names(now));
         let profile = RequestProfile { kind: request.kind, objective: request.objective };
-        selecting.selection.pick(now, profile, &tried, &mut rand::rng())
+        state.selection.pick(now, profile, &tried, &mut rand::rng())
     }
 
     /// Takes in what a gate says of its load.
@@ -142,8 +144,8 @@
             service_time: Duration::from_micros(load.service_us),
             kind_service_time: kind.zip(load.kind_us.map(Duration::from_micros)),
         };
-        if let Some(selecting) = &mut *lock(&self.selection) {
-            selecting.selection.report(now, target, report);
+        if let Some(state) = &mut *lock_selection(&self.selection) {
+            state.selection.report(now, target, report);
         }
     }
 
@@ -154,10 +156,10 @@
         target: &Instance,
         routes: &ServiceRoutes,
         request: &GateRequest,
-    ) -> Asking {
-        let free = request.idempotent || !routes.document.resends;
-        let picked = matches!(routes.routes, Routes::Any(_)) && free;
-        Asking {
+    ) -> InFlight {
+        let may_run_anywhere = request.idempotent || !routes.document.resends;
+        let picked = matches!(routes.routes, Routes::Any(_)) && may_run_anywhere;
+        InFlight {
             selection: picked.then(|| Arc::clone(&self.selection)),
             clock,
             target: target.clone(),
@@ -166,7 +168,7 @@
     }
 }
 
-impl Asking {
+impl InFlight {
     pub(super) fn finish(mut self, outcome: Outcome) {
         let result = match outcome {
             Outcome::Answered => TargetResult::Answered,
@@ -182,20 +184,22 @@
     fn end(&mut self, result: TargetResult) {
         let Some(selection) = self.selection.take() else { return };
         let now = self.clock.now();
-        if let Some(selecting) = &mut *lock(&selection) {
+        if let Some(state) = &mut *lock_selection(&selection) {
             let taken = now.since(self.started);
-            selecting.selection.finish(now, &self.target, taken, result);
+            state.selection.finish(now, &self.target, taken, result);
         }
     }
 }
 
-impl Drop for Asking {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.end(TargetResult::Cancelled);
     }
 }
 
-fn lock(selection: &Mutex<Option<Selecting>>) -> MutexGuard<'_, Option<Selecting>> {
+fn lock_selection(
+    selection: &Mutex<Option<MemberSelection>>,
+) -> MutexGuard<'_, Option<MemberSelection>> {
     selection.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -204,7 +208,7 @@
         && a.iter().zip(b).all(|(a, b)| a.instance == b.instance && a.state == b.state)
 }
 
-fn spec(member: &MemberRoute) -> TargetSpec {
+fn target_spec(member: &MemberRoute) -> TargetSpec {
     let state = match member.state {
         UpstreamState::Ready => TargetState::Ready,
         _ => TargetState::Closed,
@@ -213,7 +217,11 @@
 }
 
 /// The owner, or whoever follows it once it could not be reached.
-fn by_key(routes: &KeyRoutes, key_hash: KeyHash, tried: &[Instance]) -> Option<Instance> {
+fn owner_or_successor(
+    routes: &KeyRoutes,
+    key_hash: KeyHash,
+    tried: &[Instance],
+) -> Option<Instance> {
     let route = routes.route(key_hash);
     let mut all = route.owner.iter().chain(&route.successors);
     all.find(|it| !tried.contains(it)).or(route.owner.as_ref()).cloned()
