--- a/crates/agent/src/control/foreign.rs
+++ b/crates/agent/src/control/foreign.rs
@@ -1,8 +1,9 @@
-//! Routes of the services that this instance serves callers for but is no member of.
+//! Routes of foreign services: services that this instance forwards requests to without being a
+//! member of their group.
 //!
-//! They are learned when a caller first asks, and refreshed from any one member: never from the
-//! platform while a member answers, and never from the coordinator by preference. A stale route
-//! costs a redirect, no more.
+//! Routes are fetched on the first request of a caller and refreshed from one random member at a
+//! time. The platform is only read while no member answers, and the coordinator is not preferred
+//! over other members. A stale route costs one redirect.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,72 +18,78 @@
     state::{Control, DocumentSource, ONLY_GROUP},
 };
 
-/// How many services' routes are kept; callers could name any number of services.
+/// The most services whose routes are kept, since callers can name any number of services.
 const SERVICES_MAX: usize = 1024;
-/// How many names without a document are looked for at a time.
+/// The most service names without a document that are looked up at the same time.
 const LOOKUPS_MAX: usize = 16;
-/// How long a name is known not to be a service before it is looked for again.
+/// How long a service name counts as absent before it may be looked up again.
 const ABSENT_TTL: Duration = Duration::from_secs(5);
-/// How often the routes of a service are asked for anew.
+/// The interval between two refreshes of a service's routes.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// The shortest time between two questions for one service, however stale its routes are.
+/// The shortest interval between two queries for one service, even if its routes are stale.
 const QUERY_INTERVAL_MIN: Duration = Duration::from_millis(100);
-/// Questions without an answer after which the platform is asked.
+/// The number of consecutive unanswered queries above which the platform is read.
 const UNANSWERED_MAX: u32 = 3;
-/// How many members are asked at once while answers stay out.
+/// The number of members that are queried at the same time while queries stay unanswered.
 const PARALLEL_QUERIES: usize = 2;
 
+/// The routes of all foreign services that callers have requested.
 #[derive(Debug, Default)]
 pub(crate) struct ForeignRoutes {
     table: BTreeMap<ServiceName, ForeignService>,
 }
 
+/// One foreign service: its routes and the state of the queries for them.
 #[derive(Debug, Default)]
 struct ForeignService {
+    /// The newest known routes, `None` until a member or the platform has supplied some.
     routes: Option<RouteTable>,
     queried_at: Timestamp,
+    /// The number of queries since a member last answered.
     unanswered: u32,
-    /// When the platform was last asked.
+    /// When the platform was last read for this service's group.
     platform_queried_at: Option<Timestamp>,
-    /// Since when the platform has been known to have no such service.
+    /// When a read of the platform first found no such service.
     absent_since: Option<Timestamp>,
 }
 
-/// Who is asked for routes this time.
+/// The recipients of one query for routes.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct RouteQuery {
+    /// The number of members to query.
     pub(super) members: usize,
-    /// None: the platform is not asked.
+    /// The consistency of the platform read, or `None` if the platform is not read.
     pub(super) platform: Option<Consistency>,
 }
 
 impl ForeignService {
-    /// Whether its members tell of their routes.
+    /// Returns whether members of the service answer queries for its routes.
     fn has_responsive_members(&self) -> bool {
         self.routes.is_some() && self.unanswered <= UNANSWERED_MAX
     }
 
-    /// Notes one more question. The platform is asked once members have been silent for a while,
-    /// however often routes turn out stale meanwhile.
+    /// Records one more query and returns its recipients. The platform is included if no routes are
+    /// known or more than [`UNANSWERED_MAX`] queries are unanswered. It is read at most once per
+    /// [`REFRESH_INTERVAL`], however often stale routes are reported.
     fn begin_query(&mut self, now: Timestamp) -> RouteQuery {
         self.queried_at = now;
         self.unanswered += 1;
-        let silent = self.unanswered > UNANSWERED_MAX || self.routes.is_none();
+        let is_unresponsive = self.unanswered > UNANSWERED_MAX || self.routes.is_none();
         let due = self.platform_queried_at.is_none_or(|it| now.since(it) >= REFRESH_INTERVAL);
-        // While there is no group yet, which lasts for seconds, an older state does as well.
+        // A group takes seconds to form; until then a stale read is good enough.
         let consistency =
             if self.routes.is_some() { Consistency::Latest } else { Consistency::Stale };
-        let platform = (silent && due).then_some(consistency);
+        let platform = (is_unresponsive && due).then_some(consistency);
         if platform.is_some() {
             self.platform_queried_at = Some(now);
         }
-        RouteQuery { members: if silent { PARALLEL_QUERIES } else { 1 }, platform }
+        RouteQuery { members: if is_unresponsive { PARALLEL_QUERIES } else { 1 }, platform }
     }
 
-    /// Takes over what a peer says; whether that changed anything. Agents of other services pass on
-    /// what they have heard, so only the word of a member ends a silence or replaces routes of the
-    /// same version. A table without members is of no use, and would go round among such agents
-    /// for ever.
+    /// Updates the routes from a peer's table and returns whether they changed. Agents of other
+    /// services forward tables that they have received, so only a table from a member resets the
+    /// count of unanswered queries or replaces routes of the same version. A table without members
+    /// is useless, and such agents would forward it to each other for ever.
     fn update(&mut self, from: &Instance, table: RouteTable) -> bool {
         if table.members.is_empty() {
             return false;
@@ -91,9 +98,9 @@
         let version = current.map_or(0, |it| it.version);
         let is_newer = current.is_none() || table.version > version;
         let is_member = table.members.iter().any(|it| it.instance == *from);
-        // After long silence whatever a member says is better than what is known.
-        let is_better = table.version >= version || self.unanswered > UNANSWERED_MAX;
-        if !(is_newer || is_member && is_better) {
+        // While queries stay unanswered, a member's table replaces even routes of a higher version.
+        let is_current = table.version >= version || self.unanswered > UNANSWERED_MAX;
+        if !(is_newer || is_member && is_current) {
             return false;
         }
         let changed = current != Some(&table);
@@ -104,7 +111,7 @@
         changed
     }
 
-    /// Notes that a member knows of nothing newer.
+    /// Resets the count of unanswered queries if `from` is a member and has the same route version.
     fn confirm_unchanged(&mut self, from: &Instance, version: u64) {
         let Some(routes) = &self.routes else { return };
         let is_member = routes.members.iter().any(|it| it.instance == *from);
@@ -115,13 +122,13 @@
 }
 
 impl ForeignRoutes {
-    /// A service that callers have asked for.
+    /// Adds a service that callers have requested.
     #[cfg(test)]
     pub(super) fn add(&mut self, service: &ServiceName) {
         self.table.entry(service.clone()).or_default();
     }
 
-    /// Asks once for the routes of a wanted service.
+    /// Begins a query for the routes of a service, or returns `None` if the service is not listed.
     #[cfg(test)]
     pub(super) fn begin_query(
         &mut self,
@@ -131,12 +138,12 @@
         self.table.get_mut(service).map(|it| it.begin_query(now))
     }
 
-    /// Takes over what a peer says; whether that changed anything.
+    /// Updates a service's routes from a peer's table and returns whether they changed.
     pub(super) fn update(&mut self, from: &Instance, table: RouteTable) -> bool {
         self.table.get_mut(&table.service).is_some_and(|it| it.update(from, table))
     }
 
-    /// Whether members of a service tell of its routes.
+    /// Returns whether members of a service answer queries for its routes.
     #[cfg(test)]
     pub(super) fn has_responsive_members(&self, service: &ServiceName) -> bool {
         self.table.get(service).is_some_and(ForeignService::has_responsive_members)
@@ -147,14 +154,14 @@
         Some(self.table.get(service)?.routes.as_ref()?.members.len())
     }
 
-    /// The platform has no such service.
+    /// Marks a service as absent, since the platform has no accepted document of it.
     pub(super) fn mark_absent(&mut self, now: Timestamp, service: &ServiceName) {
         if let Some(foreign) = self.table.get_mut(service) {
             foreign.absent_since.get_or_insert(now);
         }
     }
 
-    /// A document has come into force: its routes are due at once.
+    /// Makes a refresh of a service's routes due at once, since its document has come into force.
     pub(super) fn mark_due(&mut self, service: &ServiceName) {
         if let Some(foreign) = self.table.get_mut(service) {
             foreign.queried_at = Timestamp::ZERO;
@@ -168,33 +175,36 @@
 }
 
 impl Control {
-    /// A caller asked for a service that is not known here.
+    /// Looks up the document and the routes of a service, unless it is this instance's own, was
+    /// queried recently, or would exceed the limits on listed and looked-up services.
     pub(super) fn look_up_service(&mut self, now: Timestamp, service: ServiceName) {
-        let full = self.foreign.table.len() >= SERVICES_MAX;
-        let known = self.foreign.table.contains_key(&service);
+        let is_full = self.foreign.table.len() >= SERVICES_MAX;
+        let is_known = self.foreign.table.contains_key(&service);
         let lookups =
             self.foreign.table.keys().filter(|it| self.documents.in_force(it).is_none()).count();
-        if service == *self.service() || (!known && (full || lookups >= LOOKUPS_MAX)) {
+        if service == *self.service() || (!is_known && (is_full || lookups >= LOOKUPS_MAX)) {
             return;
         }
         let foreign = self.foreign.table.entry(service.clone()).or_default();
-        let asked_before = foreign.queried_at != Timestamp::ZERO;
-        if asked_before && now.since(foreign.queried_at) < REFRESH_INTERVAL {
+        let was_queried = foreign.queried_at != Timestamp::ZERO;
+        if was_queried && now.since(foreign.queried_at) < REFRESH_INTERVAL {
             return;
         }
         foreign.queried_at = now;
-        let heard = foreign.has_responsive_members();
+        let is_responsive = foreign.has_responsive_members();
         self.read_accepted(&service);
-        // Members that answer know it better: each new configuration names all services again, and two reads for
-        // each in each process were a third of all calls.
-        if !heard {
+        // Responsive members supply newer routes than the platform. Each central configuration looks
+        // up all services again; reading the group here too made up a third of all platform calls.
+        if !is_responsive {
             self.parts.calls.read_group(&service, ONLY_GROUP, Consistency::Latest);
             self.query_peers(&service);
         }
-        // The document may be known already, from a watch.
+        // The document may already be in force, from a watch.
         self.dirty = true;
     }
 
+    /// Queries the routes of a service after a request was sent by a stale route. `owner` is the
+    /// owner that a peer named.
     pub(super) fn on_stale_route(
         &mut self,
         now: Timestamp,
@@ -208,6 +218,8 @@
         self.query_routes(now, service, owner);
     }
 
+    /// Queries the routes that are due for a refresh, and drops services that have been absent for
+    /// [`ABSENT_TTL`].
     pub(super) fn refresh_foreign_routes(&mut self, now: Timestamp) {
         self.foreign
             .table
@@ -231,7 +243,8 @@
         }
     }
 
-    /// Asks a few members, and the platform where they stay silent.
+    /// Queries the routes of a service from some of its members and from `hint`, and also from the
+    /// platform and the configured peers if members do not answer.
     fn query_routes(&mut self, now: Timestamp, service: &ServiceName, hint: Option<Instance>) {
         let Some(foreign) = self.foreign.table.get_mut(service) else { return };
         let query = foreign.begin_query(now);
@@ -257,15 +270,15 @@
         let known = routes.map_or(0, |it| it.version);
         for target in targets {
             let envelope = Envelope::FetchRoutes { service: service.clone(), known };
-            // Whichever life of it is there by now: the store may name the one before.
+            // Sent to the address, since the known incarnation may be older than the running one.
             self.parts.links.send_to_address(target.control, envelope.encode());
         }
     }
 
-    /// Answers a question for routes: of the own group, or of another as last heard. Once this instance
-    /// has left its group it hears of no change there: its silence sends those who ask to the others. With
-    /// an answer, callers of a service that was restarted one instance after another were sent to the one
-    /// that had left last until its process ended, for up to 5 s.
+    /// Answers a query for routes, either of the own group or of a foreign service as last received.
+    /// An instance that has left its group no longer receives route changes and does not answer, so
+    /// that the peer queries other members. If it answered, a rolling restart would send callers to
+    /// the instance that left last until its process ends, for up to 5 s.
     pub(super) fn send_routes(&self, to: &Instance, service: &ServiceName, known: u64) {
         let is_member = service == self.service() && !self.is_handed_over();
         let own = is_member.then(|| self.own_routes()).flatten();
@@ -279,6 +292,7 @@
         self.parts.links.send(to, answer.encode());
     }
 
+    /// Handles a peer's answer that its routes still have the queried version.
     pub(super) fn on_routes_unchanged(
         &mut self,
         from: &Instance,
@@ -292,6 +306,7 @@
         self.on_version_announced(from, service, config);
     }
 
+    /// Handles a route table from a peer.
     pub(super) fn on_routes(&mut self, from: Instance, table: RouteTable) {
         let service = table.service.clone();
         let config = table.config;
@@ -302,7 +317,7 @@
         self.on_version_announced(&from, service, config);
     }
 
-    /// What the platform knows of a group, for want of a member that answers.
+    /// Handles the stored state of a foreign group, which was read because no member answered.
     pub(super) fn on_group_read(
         &mut self,
         service: ServiceName,
@@ -311,7 +326,7 @@
         let read = match result {
             Ok(read) => read,
             Err(error) => {
-                log::debug!(target: "control", "{error}.");
+                log::debug!(target: "control", "Cannot read a group from the platform: {error}.");
                 return;
             }
         };
@@ -329,7 +344,7 @@
         self.fetch_routes(&service, targets);
     }
 
-    /// The own group's routes as its node sees them.
+    /// Builds the own group's route table from the node's view.
     fn own_routes(&self) -> Option<RouteTable> {
         let view = &self.group.as_ref()?.view;
         let in_force = self.documents.in_force(self.service())?;
@@ -369,7 +384,8 @@
     }
 }
 
-/// The index of an instance, which is added if it is new; such a one is no live member.
+/// Returns the index of an instance in `members`. A missing instance is not a live member and is
+/// added as not ready.
 fn member_index(members: &mut Vec<RouteMember>, instance: &Instance) -> u16 {
     let index = members.iter().position(|it| it.instance == *instance).unwrap_or_else(|| {
         members.push(RouteMember { instance: instance.clone(), ready: false });
@@ -378,7 +394,8 @@
     index as u16
 }
 
-/// What the plan says; its version is not one of routes, so any member's word replaces it.
+/// Builds a route table from a stored plan. Plans have no route version, so the table gets version
+/// 0 and any member's table replaces it.
 fn routes_from_plan(plan: Plan) -> RouteTable {
     let slots = plan.slots.into_iter().map(|it| RouteOwner {
         slot: it.slot,
