--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -1,4 +1,4 @@
-//! What control knows of the upstream beside this agent.
+//! The state of the local upstream, from its announcements and from the gate.
 
 use std::time::Duration;
 
@@ -13,44 +13,48 @@
     zones::ClosedZones,
 };
 
-/// Silence after which an upstream that announced itself each second counts as lost.
+/// The time since the last announcement after which an upstream counts as lost.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(4);
-/// The same in announcements, where these grant it its keys: what it holds runs out without them, within 2.5 s
-/// where requests take up to 1.5 s, and until it counts as lost nobody else is granted its keys.
+/// The same timeout in announcement intervals, for upstreams whose keys are granted in answers to
+/// announcements. Their grants expire without announcements, within 2.5 s if requests take up to
+/// 1.5 s, and no other upstream is granted their keys until they count as lost.
 const ANNOUNCEMENT_TIMEOUT_INTERVALS: f64 = 1.5;
-/// An upstream that has been silent for this many of its announcements may have been followed by
-/// another at its address; one that announces itself goes on within one and some jitter.
+/// The time since the last announcement, in announcement intervals, after which an announcement of
+/// another incarnation may replace the known one. A live upstream announces itself within one
+/// interval plus jitter.
 const REPLACEABLE_AFTER_INTERVALS: f64 = 1.5;
-/// How often the load goes to the coordinator.
+/// The interval between two load reports to the coordinator.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
 
-/// The local upstream: what it says of itself, and what the gate sees.
+/// The local upstream's state as announced by itself and as observed by the gate.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamMonitor {
+    /// The last announcement, with the state that is in effect since then.
     pub(crate) announcement: Option<Announcement>,
     pub(super) announced_at: Timestamp,
-    /// What the gate last said; it knows of hangs that the upstream itself can't tell.
+    /// The state last reported by the gate, which also detects a hung upstream.
     gate_state: Option<UpstreamState>,
+    /// The state last passed to the group's node.
     reported_state: Option<UpstreamState>,
     load_reported_at: Timestamp,
-    /// The upstream has said that it leaves for good.
+    /// Whether this incarnation of the upstream has announced that it leaves for good.
     is_leaving: bool,
-    /// The own availability zone is closed.
+    /// Whether the own availability zone is closed.
     zone_is_closed: bool,
 }
 
-/// How an announcement stands to what is known of the upstream.
+/// The relation of an announcement to the last accepted one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnnouncementKind {
     SameIncarnation,
     NewIncarnation,
-    /// It has been on the way for so long that it says nothing about now.
+    /// The announcement is out of order or comes from another incarnation than the running one.
     Stale,
 }
 
 impl UpstreamMonitor {
-    /// The worse of the two views. One in a closed zone is not leaving, but gives up all that it has as one
-    /// that is.
+    /// Returns the worse of the announced state and the gate's. A ready upstream in a closed zone
+    /// counts as draining, so that its keys move to other instances.
     pub(crate) fn state(&self) -> UpstreamState {
         match (&self.announcement, self.gate_state) {
             (_, Some(UpstreamState::Lost)) => UpstreamState::Lost,
@@ -64,14 +68,15 @@
 }
 
 impl UpstreamMonitor {
+    /// Compares an announcement with the last accepted one. `interval` is the time between two announcements.
     pub(super) fn classify(
         &self,
         now: Timestamp,
-        every: Duration,
+        interval: Duration,
         announcement: &Announcement,
     ) -> AnnouncementKind {
         let Some(known) = &self.announcement else { return AnnouncementKind::SameIncarnation };
-        let is_alive = now.since(self.announced_at) < every.mul_f64(REPLACEABLE_AFTER_INTERVALS)
+        let is_alive = now.since(self.announced_at) < interval.mul_f64(REPLACEABLE_AFTER_INTERVALS)
             && self.gate_state != Some(UpstreamState::Lost);
         match (known.born_ms, announcement.born_ms) {
             _ if known.is_of_same_life(announcement) => {
@@ -79,16 +84,18 @@
                 let is_stale = is_numbered && announcement.sequence <= known.sequence;
                 if is_stale { AnnouncementKind::Stale } else { AnnouncementKind::SameIncarnation }
             }
-            // The upstream says when it began, so one that does not is of another writer.
+            // The known upstream announces its start time, so an announcement without one has
+            // another sender.
             (Some(_), None) => AnnouncementKind::Stale,
             (Some(known), Some(born)) if born > known => AnnouncementKind::NewIncarnation,
-            // Of two lives at one address the one that goes on announcing itself is there.
+            // While the known incarnation keeps announcing itself, another one at its address is
+            // not the running one.
             _ if is_alive => AnnouncementKind::Stale,
             _ => AnnouncementKind::NewIncarnation,
         }
     }
 
-    /// Why the upstream is to get no new work.
+    /// Returns the reason for sending the upstream no new work, if there is one.
     pub(super) fn leaving(&self) -> Option<Leaving> {
         match &self.announcement {
             Some(it) if it.state == UpstreamState::Draining => Some(Leaving::ForGood),
@@ -97,7 +104,8 @@
         }
     }
 
-    /// One that has said that it leaves for good does not come back in the same life.
+    /// Replaces the announced state by draining if this incarnation has announced that it leaves for
+    /// good, since it cannot become ready again.
     fn with_leaving_state(&self, announcement: Announcement) -> Announcement {
         match self.is_leaving {
             true => Announcement { state: UpstreamState::Draining, ..announcement },
@@ -106,7 +114,7 @@
     }
 }
 
-/// Silence after which an upstream counts as lost.
+/// Returns the time since the last announcement after which an upstream counts as lost.
 pub(super) fn announcement_timeout(key_grants: KeyGrants, announced_every: Duration) -> Duration {
     match key_grants {
         KeyGrants::Calls => ANNOUNCEMENT_TIMEOUT,
@@ -117,11 +125,12 @@
 }
 
 impl Control {
+    /// Handles an announcement of the local upstream.
     pub(super) fn on_announcement(&mut self, announcement: Announcement) {
         if announcement.service != *self.service() {
             log::warn!(
                 target: "control",
-                "The upstream at {} announced itself for {}, not for {}.",
+                "Ignored an announcement of the upstream at {}: it serves {}, but this agent serves {}.",
                 announcement.address, announcement.service, self.service(),
             );
             return;
@@ -129,13 +138,13 @@
         let now = self.now();
         match self.upstream.classify(now, self.parts.settings.announced_every, &announcement) {
             AnnouncementKind::Stale => {
-                log::debug!(target: "control", "An announcement of the upstream came late.");
+                log::debug!(target: "control", "Ignored a stale announcement of the upstream.");
                 return;
             }
             AnnouncementKind::NewIncarnation => {
                 log::info!(
                     target: "control",
-                    "Another life of the upstream, {:?}, is at {}.",
+                    "A new incarnation of the upstream, {:?}, runs at {}; starting a new session.",
                     announcement.upstream_id, announcement.address,
                 );
                 self.upstream.is_leaving = false;
@@ -146,14 +155,14 @@
         let announcement = self.upstream.with_leaving_state(announcement);
         self.parts.gate.update_cold_for(announcement.cold_for);
         self.upstream.announced_at = now;
-        // It lives, whatever became of a connection.
+        // The announcement proves that the upstream runs, even if a connection to it was lost.
         self.upstream.gate_state.take_if(|_| announcement.upstream_id.is_some());
         let is_changed =
             self.upstream.announcement.as_ref().is_none_or(|it| !it.is_like(&announcement));
         if is_changed {
             log::info!(
                 target: "control",
-                "The upstream at {} is {:?}.", announcement.address, announcement.state,
+                "The announced state of the upstream at {} is now {:?}.", announcement.address, announcement.state,
             );
             self.dirty = true;
         }
@@ -161,21 +170,22 @@
         self.report_upstream_state();
     }
 
-    /// The upstream has said that it leaves for good.
+    /// Marks the upstream as draining, since it has announced that it leaves for good.
     pub(super) fn on_upstream_leaving(&mut self, upstream_id: &UpstreamId, born_ms: Option<u64>) {
         let Some(announcement) = &mut self.upstream.announcement else { return };
         let is_other_incarnation = born_ms.is_some() && born_ms != announcement.born_ms;
         if announcement.upstream_id.as_ref() != Some(upstream_id) || is_other_incarnation {
             return;
         }
-        log::info!(target: "control", "The upstream {upstream_id} leaves.");
+        log::info!(target: "control", "The upstream {upstream_id} is leaving; its state is now draining.");
         announcement.state = UpstreamState::Draining;
         self.upstream.is_leaving = true;
         self.dirty = true;
         self.report_upstream_state();
     }
 
-    /// The operators have closed or opened zones.
+    /// Releases all keys if the operators have closed the own zone, and accepts keys again if they
+    /// have opened it.
     pub(super) fn on_closed_zones(&mut self, closed: &ClosedZones) {
         let is_closed = closed.contains(&self.parts.own.zone);
         if std::mem::replace(&mut self.upstream.zone_is_closed, is_closed) == is_closed {
@@ -183,9 +193,9 @@
         }
         let zone = &self.parts.own.zone;
         match is_closed {
-            true => log::info!(target: "control", "Zone {zone} is closed: giving up all keys."),
+            true => log::info!(target: "control", "Zone {zone} is closed; releasing all keys."),
             false => {
-                log::info!(target: "control", "Zone {zone} is open again.");
+                log::info!(target: "control", "Zone {zone} is open again; accepting keys.");
                 self.parts.gate.mark_possibly_cold();
             }
         }
@@ -193,31 +203,32 @@
         self.report_upstream_state();
     }
 
-    /// The upstream has seen a higher token than one it was granted under: another coordinator has
-    /// been at work, or this one's tokens are not the newest. A new session gets new ones.
+    /// Drops the session, since the upstream has seen a higher fence token than the granted one:
+    /// another coordinator has granted keys, or this group's tokens are outdated. A new session
+    /// gets new tokens.
     pub(super) fn on_grant_outdated(&mut self, now: Timestamp, token: Token) {
-        log::warn!(target: "control", "The upstream refuses grants of token {token}.");
+        log::warn!(target: "control", "The upstream refused grants with token {token} as outdated; starting a new session.");
         self.step(now, Input::DropSession { reason: "token outdated" });
     }
 
+    /// Handles the upstream's state as observed by the gate.
     pub(super) fn on_gate_state(&mut self, state: UpstreamState) {
         if self.upstream.gate_state != Some(state) {
-            log::info!(target: "control", "The gate sees its upstream as {state:?}.");
+            log::info!(target: "control", "The gate reports the upstream as {state:?}.");
         }
         self.upstream.gate_state = Some(state);
         self.report_upstream_state();
     }
 
-    /// An upstream that has gone silent is lost.
+    /// Marks the upstream as lost if it has not announced itself within the timeout.
     pub(super) fn check_upstream_timeout(&mut self, now: Timestamp) {
         let document = self.documents.in_force(self.service()).map(|it| &it.document.upstream);
         let key_grants = document.map_or(KeyGrants::Calls, |it| it.key_grants);
-        let announcement_timeout =
-            announcement_timeout(key_grants, self.parts.settings.announced_every);
-        let has_timed_out = now.since(self.upstream.announced_at) > announcement_timeout;
+        let timeout = announcement_timeout(key_grants, self.parts.settings.announced_every);
+        let has_timed_out = now.since(self.upstream.announced_at) > timeout;
         match &mut self.upstream.announcement {
             Some(announcement) if has_timed_out && announcement.state != UpstreamState::Lost => {
-                log::warn!(target: "control", "The upstream has gone silent.");
+                log::warn!(target: "control", "The upstream has stopped announcing itself; it counts as lost.");
                 announcement.state = UpstreamState::Lost;
                 self.dirty = true;
                 self.report_upstream_state();
@@ -226,6 +237,7 @@
         }
     }
 
+    /// Passes the upstream's state to the group's node if it has changed.
     fn report_upstream_state(&mut self) {
         let state = self.upstream.state();
         if self.upstream.reported_state != Some(state) {
@@ -235,6 +247,7 @@
         }
     }
 
+    /// Passes the gate's load to the group's node once per [`LOAD_PERIOD`].
     pub(super) fn report_load(&mut self, now: Timestamp) {
         if self.group.is_none() || now.since(self.upstream.load_reported_at) < LOAD_PERIOD {
             return;
