--- a/crates/agent/src/control/accept.rs
+++ b/crates/agent/src/control/accept.rs
@@ -1,7 +1,9 @@
-//! Acceptance: from the document that a team wrote to the one that is in force.
+//! Acceptance of service documents: checks the document that a team wrote and stores it in
+//! `accepted/S`, from where all agents put it in force.
 //!
-//! `accepted/S` only rises, by conditional updates. The coordinator does it; the very first time,
-//! when there is no group yet, any agent of the service may, and the condition lets one succeed.
+//! The version in `accepted/S` only increases, by conditional updates. The group's coordinator
+//! writes them. While there is no group, any agent of the service may write the first one, and the
+//! condition lets only one update succeed.
 
 use std::time::Duration;
 
@@ -12,34 +14,37 @@
 
 use crate::control::{documents::RaiseOutcome, state::Control};
 
-/// How often the document is looked for while none is in force.
+/// The interval between two lookups of the document while none is in force, before jitter.
 const LOOKUP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the coordinator reads the document even if its watch says nothing.
+/// The interval at which the coordinator rereads the document even if its watch reports no change.
 const READ_INTERVAL: Duration = Duration::from_secs(15);
 
-/// What is known of the own service's document and its acceptance.
+/// The state of the acceptance of the own service's document.
 #[derive(Debug, Default)]
 pub(crate) struct Acceptor {
-    /// `accepted/S` as last read; none: not read yet, or in doubt after a lost answer.
+    /// `accepted/S` as last read or written; `None` until it is read, and after a failed update.
     accepted: Option<AcceptedState>,
-    /// The document as last read, until it has been dealt with.
+    /// The document as last read, until it has been judged.
     pending_document: Option<(ObjectVersion, String)>,
-    /// An update is on its way.
-    updating: bool,
+    /// Whether an update of `accepted/S` is in flight.
+    is_updating: bool,
     looked_up_at: Option<Timestamp>,
     read_at: Option<Timestamp>,
+    /// The last refused version, until it is superseded.
     pub(crate) refused: Option<Refused>,
 }
 
+/// The stored object `accepted/S`.
 #[derive(Debug, Clone)]
 struct AcceptedState {
-    /// 0: it does not exist.
-    object: ObjectVersion,
+    /// The object's version, or 0 if the object does not exist.
+    object_version: ObjectVersion,
     accepted: Option<Accepted>,
 }
 
 impl Control {
-    /// While no document is in force: look in the platform, and ask the peers.
+    /// Looks up the own service's document in the platform and at the configured peers until one is
+    /// in force and the group's node has started.
     pub(super) fn look_up_document(&mut self, now: Timestamp) {
         let due = self.acceptor.looked_up_at.is_none_or(|it| now.since(it) >= LOOKUP_INTERVAL);
         if self.group.is_some() || !due {
@@ -52,10 +57,11 @@
         self.query_peers(&service);
     }
 
-    /// The coordinator's part: deal with what was read, and read once in a while.
+    /// Rereads `accepted/S` and the document once per [`READ_INTERVAL`] if this instance is the
+    /// coordinator.
     pub(super) fn reread_accepted(&mut self, now: Timestamp) {
-        let coordinates = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
-        if !coordinates {
+        let is_coordinator = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
+        if !is_coordinator {
             return;
         }
         if self.acceptor.read_at.is_none_or(|it| now.since(it) >= READ_INTERVAL) {
@@ -65,6 +71,8 @@
         }
     }
 
+    /// Handles a read of `accepted/S`: puts its document in force. For the own service, the document
+    /// is read next.
     pub(super) fn on_accepted_read(
         &mut self,
         service: ServiceName,
@@ -73,7 +81,7 @@
         let read = match result {
             Ok(read) => read,
             Err(error) => {
-                log::debug!(target: "config", "{error}.");
+                log::debug!(target: "config", "Cannot read an accepted document: {error}.");
                 return;
             }
         };
@@ -90,26 +98,27 @@
         if service != *self.service() {
             return;
         }
-        let object = read.as_ref().map_or(ObjectVersion(0), |(version, _)| *version);
-        self.acceptor.accepted = Some(AcceptedState { object, accepted: read.map(|(_, it)| it) });
+        let object_version = read.as_ref().map_or(ObjectVersion(0), |(version, _)| *version);
+        self.acceptor.accepted = Some(AcceptedState { object_version, accepted: read.map(|(_, it)| it) });
         self.parts.calls.read_document(&service);
     }
 
+    /// Handles a read of the own service's document and judges it.
     pub(super) fn on_document_read(
         &mut self,
         result: Result<Option<(ObjectVersion, String)>, StoreError>,
     ) {
         match result {
             Ok(Some(read)) => self.acceptor.pending_document = Some(read),
-            Ok(None) => log::warn!(target: "config", "There is no document of {}.", self.service()),
-            Err(error) => log::debug!(target: "config", "{error}."),
+            Ok(None) => log::warn!(target: "config", "The platform has no document of {}.", self.service()),
+            Err(error) => log::debug!(target: "config", "Cannot read the document: {error}."),
         }
         self.raise_accepted();
     }
 
-    /// Raises `accepted/S` to the pending document if that holds and is newer.
+    /// Judges the pending document and updates `accepted/S` if it is valid and newer.
     pub(super) fn raise_accepted(&mut self) {
-        if self.acceptor.updating {
+        if self.acceptor.is_updating {
             return;
         }
         let Some(state) = self.acceptor.accepted.clone() else { return };
@@ -117,7 +126,7 @@
         let service = self.service().clone();
         let accepted = match judge(&service, state.accepted.as_ref(), version, text.as_bytes()) {
             Judgement::Keep => {
-                // What was refused has been overtaken.
+                // The refused version is superseded by an equal or later one in force.
                 self.acceptor.refused.take_if(|it| it.version <= self.documents.version(&service));
                 return;
             }
@@ -132,33 +141,34 @@
             Judgement::Raise(accepted) => accepted,
         };
         self.acceptor.refused = None;
-        self.acceptor.updating = true;
-        self.parts.calls.update_accepted(state.object, accepted);
+        self.acceptor.is_updating = true;
+        self.parts.calls.update_accepted(state.object_version, accepted);
     }
 
+    /// Handles the result of an update of `accepted/S`.
     pub(super) fn on_accept_result(
         &mut self,
         accepted: Accepted,
         result: Result<ObjectVersion, StoreError>,
     ) {
-        self.acceptor.updating = false;
+        self.acceptor.is_updating = false;
         match result {
-            Ok(object) => {
+            Ok(object_version) => {
                 log::info!(target: "config", "Accepted version {} of {}.", accepted.version, accepted.service);
                 self.apply_document(&accepted.service, accepted.version, &accepted.document);
-                self.acceptor.accepted = Some(AcceptedState { object, accepted: Some(accepted) });
+                self.acceptor.accepted = Some(AcceptedState { object_version, accepted: Some(accepted) });
                 self.raise_accepted();
             }
             Err(error) => {
-                // Whether it took effect is settled by reading.
-                log::info!(target: "config", "{error}; reading again.");
+                // The update may have taken effect although its answer was lost.
+                log::info!(target: "config", "Updating the accepted document failed: {error}; reading it again.");
                 self.acceptor.accepted = None;
                 self.parts.calls.read_accepted(&accepted.service);
             }
         }
     }
 
-    /// Puts a document in force if it is newer, whoever it came from.
+    /// Puts an accepted document in force if it is newer than the current one, whatever its source.
     pub(super) fn apply_document(
         &mut self,
         service: &ServiceName,
--- a/crates/agent/src/control/documents.rs
+++ b/crates/agent/src/control/documents.rs
@@ -1,4 +1,4 @@
-//! The table of documents in force: the highest version seen of each, never an older one.
+//! The table of documents in force, each at the highest valid version received so far.
 
 use model::{ConfigVersion, ServiceName};
 use settings::DocumentTable;
@@ -6,24 +6,25 @@
 /// A document in force on this instance.
 pub(crate) use settings::VersionedDocument as InForce;
 
-/// What came of an offered document.
+/// The outcome of raising a document to a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RaiseOutcome {
-    /// It is in force now.
+    /// The version is now in force.
     Raised,
-    /// This version, or a later one, already was.
+    /// This version or a later one was already in force.
     Unchanged,
-    /// It doesn't hold; the former one stays in force.
+    /// The document is invalid for this agent; the former version stays in force.
     Invalid,
 }
 
+/// The documents in force on this instance, by service.
 #[derive(Debug, Default)]
 pub(crate) struct Documents {
     table: DocumentTable,
 }
 
 impl Documents {
-    /// Puts an accepted document in force unless a later one is.
+    /// Puts an accepted document in force unless the same or a later version already is.
     pub(crate) fn raise(
         &mut self,
         service: &ServiceName,
@@ -35,25 +36,26 @@
             Ok(true) => RaiseOutcome::Raised,
             Ok(false) => return RaiseOutcome::Unchanged,
             Err(problems) => {
-                log::error!(target: "config", "Version {version} of {service} doesn't hold: {problems}");
+                log::error!(target: "config", "Version {version} of {service} is invalid and not put in force: {problems}");
                 return RaiseOutcome::Invalid;
             }
         };
-        assert!(self.version(service) > former, "a document in force only rises");
+        assert!(self.version(service) > former, "the version in force must increase");
         log::info!(target: "config", "Version {version} of {service} is in force.");
         raised
     }
 
-    /// Whether the text of a version that a peer knows of is worth fetching.
+    /// Returns whether a version that a peer announced is newer than all versions tried here.
     pub(crate) fn should_fetch(&self, service: &ServiceName, version: ConfigVersion) -> bool {
         self.table.wants(service, version)
     }
 
+    /// Returns the document in force of a service.
     pub(crate) fn in_force(&self, service: &ServiceName) -> Option<&InForce> {
         self.table.of(service)
     }
 
-    /// The version in force; 0 if there is none.
+    /// Returns the version in force, or 0 if there is none.
     pub(crate) fn version(&self, service: &ServiceName) -> ConfigVersion {
         self.table.version(service)
     }
--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -109,8 +109,8 @@
     }
 
     pub(super) fn broadcast_versions(&mut self, now: Timestamp) {
-        let coordinates = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
-        if !coordinates || !self.status.take_versions_due(now, VERSIONS_INTERVAL) {
+        let is_coordinator = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
+        if !is_coordinator || !self.status.take_versions_due(now, VERSIONS_INTERVAL) {
             return;
         }
         let versions: Vec<_> =
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -76,8 +76,8 @@
 
 impl Control {
     pub(super) fn start_watches(&mut self, now: Timestamp) {
-        let coordinates = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
-        if !coordinates {
+        let is_coordinator = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
+        if !is_coordinator {
             return;
         }
         for prefix in [WatchPrefix::Document(self.service().clone()), WatchPrefix::Accepted] {
