--- a/crates/agent/src/control/accept.rs
+++ b/crates/agent/src/control/accept.rs
@@ -99,7 +99,8 @@
             return;
         }
         let object_version = read.as_ref().map_or(ObjectVersion(0), |(version, _)| *version);
-        self.acceptor.accepted = Some(AcceptedState { object_version, accepted: read.map(|(_, it)| it) });
+        self.acceptor.accepted =
+            Some(AcceptedState { object_version, accepted: read.map(|(_, it)| it) });
         self.parts.calls.read_document(&service);
     }
 
@@ -110,7 +111,9 @@
     ) {
         match result {
             Ok(Some(read)) => self.acceptor.pending_document = Some(read),
-            Ok(None) => log::warn!(target: "config", "The platform has no document of {}.", self.service()),
+            Ok(None) => {
+                log::warn!(target: "config", "The platform has no document of {}.", self.service())
+            }
             Err(error) => log::debug!(target: "config", "Cannot read the document: {error}."),
         }
         self.raise_accepted();
@@ -156,7 +159,8 @@
             Ok(object_version) => {
                 log::info!(target: "config", "Accepted version {} of {}.", accepted.version, accepted.service);
                 self.apply_document(&accepted.service, accepted.version, &accepted.document);
-                self.acceptor.accepted = Some(AcceptedState { object_version, accepted: Some(accepted) });
+                self.acceptor.accepted =
+                    Some(AcceptedState { object_version, accepted: Some(accepted) });
                 self.raise_accepted();
             }
             Err(error) => {
--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the platform: started here, run as tasks, come back as [`CallResult`].
+//! Asynchronous calls to the platform's object store. Each call runs as a task, whose result is
+//! sent to the control thread as a [`CallResult`].
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -10,12 +11,13 @@
 use settings::{Accepted, Status, accepted_path, service_path, status_path};
 use tokio::sync::mpsc;
 
-/// How long one watch waits before it is renewed.
+/// How long the platform holds a watch without changes before it answers.
 pub(crate) const WATCH_WAIT: Duration = Duration::from_secs(10);
 
-/// The end of a call.
+/// The result of a platform call.
 #[derive(Debug)]
 pub(crate) enum CallResult {
+    /// The reply to a call that the group's node requested.
     Node {
         call: CallId,
         reply: PlatformReply,
@@ -27,15 +29,17 @@
     DocumentRead {
         result: Result<Option<(ObjectVersion, String)>, StoreError>,
     },
-    /// An update of `accepted/S`; what it was to become, and the version that it has now.
+    /// The result of an update of `accepted/S` to `accepted`: the object's new version.
     AcceptedUpdated {
         accepted: Accepted,
         result: Result<ObjectVersion, StoreError>,
     },
+    /// The stored state of another service's group.
     GroupRead {
         service: ServiceName,
         result: Result<StoredGroup, StoreError>,
     },
+    /// The changes that a watch or a list returned.
     WatchEnded {
         prefix: WatchPrefix,
         result: Result<Changes, StoreError>,
@@ -48,22 +52,23 @@
     },
 }
 
-/// What the platform knows of a group. A service that is not divided by key has no plan.
+/// The state of a group that is stored in the platform. A service that is not divided by key has
+/// no plan.
 #[derive(Debug, Default)]
 pub(crate) struct StoredGroup {
     pub(crate) coordinator: Option<Coordinator>,
     pub(crate) plan: Option<Plan>,
 }
 
-/// Which state of an object is asked for.
+/// The consistency of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Consistency {
     Latest,
-    /// Perhaps seconds old, and cheaper.
+    /// The object may be seconds old; the read costs less.
     Stale,
 }
 
-/// What a coordinator watches.
+/// The objects that a coordinator watches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum WatchPrefix {
     /// The document of the own service.
@@ -81,10 +86,10 @@
     }
 }
 
-/// What the paths of all accepted documents begin with.
+/// The common path prefix of all accepted documents.
 pub(crate) const ACCEPTED_PATH_PREFIX: &str = "accepted/";
 
-/// Starts calls on the runtime of the control thread.
+/// Starts calls to the platform on the runtime of the control thread.
 #[derive(Clone)]
 pub(crate) struct PlatformCalls {
     platform: Arc<dyn ObjectStore>,
@@ -99,7 +104,7 @@
         PlatformCalls { platform, done }
     }
 
-    /// A call that a group's node asked for.
+    /// Starts a call that the group's node requested.
     pub(crate) fn start_node_call(
         &self,
         service: &ServiceName,
@@ -164,7 +169,7 @@
         });
     }
 
-    /// Reads what the platform knows of another service's group, for its routes.
+    /// Reads the stored state of another service's group, for its routes.
     pub(crate) fn read_group(
         &self,
         service: &ServiceName,
@@ -178,6 +183,7 @@
         });
     }
 
+    /// Waits for changes under a prefix since the revision `after`.
     pub(crate) fn watch(&self, prefix: WatchPrefix, after: ObjectVersion) {
         self.spawn(move |platform| async move {
             let result = platform.watch(&prefix.path(), after, WATCH_WAIT).await;
@@ -185,7 +191,7 @@
         });
     }
 
-    /// Lists what a watch is to go on from.
+    /// Lists all objects under a prefix; the next watch continues from the list's revision.
     pub(crate) fn list(&self, prefix: WatchPrefix) {
         self.spawn(move |platform| async move {
             let result = platform.list(&prefix.path()).await;
@@ -216,13 +222,13 @@
         let call = call(Arc::clone(&self.platform));
         let done = self.done.clone();
         tokio::spawn(async move {
-            // Control may have ended meanwhile.
+            // The receiver is closed if the control thread has ended.
             _ = done.send(call.await);
         });
     }
 }
 
-/// The version of what does not exist has no revision.
+/// Splits a read into version and object. An absent object has revision 0 of the current era.
 fn version_and_object<T>(
     platform: &dyn ObjectStore,
     read: Option<(ObjectVersion, T)>,
@@ -247,14 +253,14 @@
         StoreError::Refused { .. }
         | StoreError::HistoryGone { .. }
         | StoreError::Unavailable { .. } => {
-            log::debug!(target: "platform", "{error}.");
+            log::debug!(target: "platform", "A platform call of the group's node failed: {error}.");
             PlatformReply::Failed
         }
     }
 }
 
 fn to_json(value: &impl Serialize) -> Bytes {
-    Bytes::from(serde_json::to_vec(value).expect("objects of the platform have a JSON form"))
+    Bytes::from(serde_json::to_vec(value).expect("platform objects serialize to JSON"))
 }
 
 fn body_text(object: &Object) -> String {
@@ -273,7 +279,7 @@
     Ok(StoredGroup { coordinator: coordinator.map(|(_, it)| it), plan: plan.map(|(_, it)| it) })
 }
 
-/// Reads an object of our own kinds. One that can't be understood counts as not read.
+/// Reads the latest state of a JSON object. An object that cannot be parsed is an error.
 async fn read_json<T: DeserializeOwned>(
     platform: &dyn ObjectStore,
     path: &str,
@@ -281,6 +287,7 @@
     read_json_with(platform, path, Consistency::Latest).await
 }
 
+/// Reads a JSON object with the given consistency.
 async fn read_json_with<T: DeserializeOwned>(
     platform: &dyn ObjectStore,
     path: &str,
@@ -294,7 +301,7 @@
     match serde_json::from_slice(&object.body) {
         Ok(value) => Ok(Some((object.version, value))),
         Err(error) => {
-            log::error!(target: "platform", "The object {path} can't be understood: {error}.");
+            log::error!(target: "platform", "Cannot parse the object {path} as JSON of the expected type: {error}.");
             Err(StoreError::Refused {
                 step: format!("reading {path}"),
                 peer: std::net::SocketAddr::from(([0, 0, 0, 0], 0)),
--- a/crates/agent/src/control/central_config.rs
+++ b/crates/agent/src/control/central_config.rs
@@ -1,4 +1,4 @@
-//! Configurations of the whole fleet: all documents and host routes under one version.
+//! Central configurations: the documents of all services and all host routes under one version.
 
 use std::sync::Arc;
 
@@ -8,17 +8,18 @@
 use crate::control::state::Control;
 
 impl Control {
-    /// Puts a configuration in force; the versions that come here only rise.
+    /// Puts a configuration in force. The source only supplies increasing versions.
     pub(super) fn on_central_config(&mut self, config: &FleetConfig) {
         log::info!(
             target: "config",
-            "Version {} of the fleet's configuration is in force: {} services, {} routes.",
+            "Version {} of the central configuration is in force: {} services, {} host routes.",
             config.version, config.documents.len(), config.routing.routes().count(),
         );
         for (service, text) in &config.documents {
-            // Most versions change routes only: a document that stays keeps its queue and connections.
-            let same = self.documents.in_force(service).is_some_and(|it| it.text == *text);
-            if !same {
+            // Most versions only change routes. A service whose document is unchanged keeps its
+            // queue and connections.
+            let is_unchanged = self.documents.in_force(service).is_some_and(|it| it.text == *text);
+            if !is_unchanged {
                 self.apply_document(service, config.version.max(ConfigVersion(1)), text);
             }
         }
