--- a/crates/agent/src/control/group.rs
+++ b/crates/agent/src/control/group.rs
@@ -1,4 +1,4 @@
-//! Drives the `ownership` node of the own service's group.
+//! Runs the `ownership` node of the own service's group and executes its outputs.
 
 use std::collections::VecDeque;
 
@@ -12,24 +12,26 @@
     status::unix_ms,
 };
 
-/// How many past moves the status tells.
+/// The number of recent moves that the status lists.
 const MOVES_MAX: usize = 32;
 
-/// The node, what it last showed, and what is kept for the status.
+/// The group's node, its last view, and the moves listed in the status.
 pub(crate) struct Group {
     node: Node,
     service: ServiceName,
     outputs: Vec<Output>,
     pub(crate) view: NodeView,
-    /// The newest first.
+    /// The recent moves, the newest first.
     pub(crate) moves: VecDeque<MoveStatus>,
+    /// Whether the node has stopped and holds no slots or leases.
     pub(crate) stopped: bool,
-    /// Grants of the step that runs, for the log.
+    /// Slot ranges granted by the current step, for the log.
     granted_ranges: Vec<GrantedRange>,
 }
 
 impl Group {
-    /// `peers` are members to ask for the coordinator where the platform does not answer.
+    /// Creates the node. `peers` are members that it asks for the coordinator if the platform does
+    /// not answer.
     pub(crate) fn new(
         now: Timestamp,
         parts: &Parts,
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Gives the node one input and carries out its outputs in order. True if the routes changed.
+    /// Passes one input to the node and executes its outputs in order. Returns whether the routes
+    /// changed.
     pub(crate) fn step(&mut self, now: Timestamp, input: Input, parts: &Parts) -> bool {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.node.step(now, input, &mut outputs);
@@ -69,7 +72,7 @@
             match output {
                 Output::Gate(command) => gate.push(command),
                 other => {
-                    // What the gate was told before holds before anybody hears of it.
+                    // Earlier gate commands take effect before any later output is sent to a peer.
                     parts.gate.apply(&gate);
                     gate.clear();
                     self.execute(other, parts);
@@ -82,7 +85,7 @@
         self.refresh_view()
     }
 
-    /// Whether the routes have changed.
+    /// Updates the view from the node and returns whether the routes changed.
     fn refresh_view(&mut self) -> bool {
         let (route_version, term) = (self.view.route_version, self.view.term);
         self.node.refresh(&mut self.view);
@@ -100,7 +103,7 @@
             Output::Platform { call, request } => {
                 parts.calls.start_node_call(&self.service, ONLY_GROUP, call, request);
             }
-            Output::Gate(_) => unreachable!("the gate's commands are taken out before"),
+            Output::Gate(_) => unreachable!("the caller applies gate commands itself"),
             Output::Event(event) => self.record_event(event),
             Output::Stopped => self.stopped = true,
         }
@@ -134,16 +137,16 @@
         self.moves.truncate(MOVES_MAX);
     }
 
-    /// One line for each run of neighbouring slots: a move can be of a thousand.
+    /// Logs one line per range of consecutive slots, since one step can grant thousands of slots.
     fn log_grants(&mut self) {
         for GrantedRange { first, last, token, to, reason } in self.granted_ranges.drain(..) {
             let reason = reason_name(reason);
-            log::info!(target: "ownership", "Slots {first} to {last} go to {to}, token {token}: {reason}.");
+            log::info!(target: "ownership", "Granted slots {first} to {last} to {to}, token {token}, reason: {reason}.");
         }
     }
 }
 
-/// Neighbouring slots that were granted in one step.
+/// Consecutive slots granted in one step to the same instance with the same token.
 struct GrantedRange {
     first: Slot,
     last: Slot,
@@ -153,6 +156,7 @@
 }
 
 impl GrantedRange {
+    /// Returns whether a grant of `slot` continues this range.
     fn is_extended_by(&self, slot: Slot, token: Token, to: &Instance, reason: MoveReason) -> bool {
         self.last.0 + 1 == slot.0 && self.token == token && self.to == *to && self.reason == reason
     }
@@ -161,27 +165,33 @@
 fn log_event(event: &Event) {
     match event {
         Event::BecameCoordinator { term } => {
-            log::info!(target: "ownership", "This instance coordinates, term {term}.");
+            log::info!(target: "ownership", "This instance is now the coordinator, term {term}.");
         }
         Event::LostCoordination { term } => {
-            log::warn!(target: "ownership", "This instance coordinates no more, term {term}.");
+            log::warn!(target: "ownership", "This instance is no longer the coordinator, term {term}.");
+        }
+        Event::SessionOpened => {
+            log::info!(target: "ownership", "The session with the coordinator was opened.")
         }
-        Event::SessionOpened => log::info!(target: "ownership", "A session has begun."),
         Event::SessionEnded { reason } => {
-            log::warn!(target: "ownership", "The session has ended: {reason}.");
+            log::warn!(target: "ownership", "The session with the coordinator ended: {reason}.");
+        }
+        Event::MemberJoined { member } => {
+            log::info!(target: "ownership", "Member {member} joined the group.")
         }
-        Event::MemberJoined { member } => log::info!(target: "ownership", "{member} has joined."),
-        Event::MemberLost { member } => log::warn!(target: "ownership", "{member} is lost."),
+        Event::MemberLost { member } => log::warn!(target: "ownership", "Member {member} is lost."),
         Event::JoinRefused { member } => {
-            log::error!(target: "ownership", "{member} can't join: the group is full.");
+            log::error!(target: "ownership", "Refused {member}: the group has the maximum number of members.");
         }
         Event::ConfirmationChanged { confirmation, witnesses } => {
-            log::info!(target: "ownership", "Confirmed by {confirmation:?}, {witnesses} witnesses.");
+            log::info!(target: "ownership", "The term is now confirmed by {confirmation:?} with {witnesses} witnesses.");
+        }
+        Event::Settled { term } => {
+            log::info!(target: "ownership", "Term {term} is settled: no earlier term can renew or grant leases.")
         }
-        Event::Settled { term } => log::info!(target: "ownership", "Term {term} is settled."),
         Event::Granted { .. } => {}
         Event::PlanWritten { version } => {
-            log::info!(target: "ownership", "Plan {version} is written.");
+            log::info!(target: "ownership", "Wrote version {version} of the plan to the platform.");
         }
     }
 }
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -1,7 +1,7 @@
-//! The coordinator's watches: the own document, and all accepted ones.
+//! The coordinator's watches: one of the own service's document and one of all accepted documents.
 //!
-//! Members watch nothing; versions reach them along the links of their group. So the platform sees
-//! two waiting watches a group, whatever the size of the fleet.
+//! Other members do not watch: the coordinator sends them new versions over the links of the group.
+//! The platform thus holds two watches per group, however many members there are.
 
 use std::time::Duration;
 
@@ -15,37 +15,39 @@
     state::Control,
 };
 
-/// After a failed watch, the next one starts after one to two of the first; the pause doubles with
-/// each further failure up to the second, so that an outage is no rush.
+/// The least and the greatest backoff after a failed watch, before jitter of 1 to 2. The backoff
+/// doubles with each further failure, which limits the load on the platform during an outage.
 const RETRY_BACKOFF: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(2)];
-/// The least time between the starts of two watches, even if the platform ends each at once.
+/// The least time between the starts of two watches, even if the platform answers each at once.
 const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(100);
-/// A watch that is silent for this much longer than it may wait is given up and renewed.
+/// A watch without an answer is abandoned and restarted this long after [`WATCH_WAIT`].
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
+/// The watches of one coordinator.
 #[derive(Debug, Default)]
 pub(crate) struct Watches {
     document: Watch,
     accepted: Watch,
 }
 
-/// One watch after another of one prefix.
+/// The state of the consecutive watches of one prefix.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
-    /// What the platform last said; none: list first.
+    /// The revision that the next watch continues from, or `None` if the prefix must be listed.
     revision: Option<ObjectVersion>,
-    /// Waiting since.
+    /// When the watch in flight was started.
     started_at: Option<Timestamp>,
+    /// The earliest start of the next watch.
     not_before: Timestamp,
-    /// The pause after the next failure.
+    /// The backoff after the next failure.
     backoff: Duration,
 }
 
 impl Watch {
-    /// Whether a call is to be made now; notes that it is.
+    /// Returns whether a call is due, and records its start if so.
     pub(super) fn try_start(&mut self, now: Timestamp) -> bool {
-        let silent = |it: &Timestamp| now.since(*it) > WATCH_WAIT + TIMEOUT_MARGIN;
-        if self.started_at.is_some_and(|it| !silent(&it)) || now < self.not_before {
+        let has_timed_out = |it: &Timestamp| now.since(*it) > WATCH_WAIT + TIMEOUT_MARGIN;
+        if self.started_at.is_some_and(|it| !has_timed_out(&it)) || now < self.not_before {
             return false;
         }
         self.started_at = Some(now);
@@ -53,18 +55,20 @@
         true
     }
 
+    /// Records an answer with the platform's revision and resets the backoff.
     pub(super) fn on_answer(&mut self, revision: ObjectVersion) {
         self.started_at = None;
         self.revision = Some(self.revision.map_or(revision, |it| it.max(revision)));
         self.backoff = RETRY_BACKOFF[0];
     }
 
-    /// Changes may have been missed.
+    /// Makes the next call a list, since changes may have been missed.
     pub(super) fn require_list(&mut self) {
         self.revision = None;
     }
 
-    /// `jitter` is drawn from 1 to 2.
+    /// Schedules the next watch after the backoff multiplied by `jitter`, a random number from 1
+    /// to 2.
     pub(super) fn on_failure(&mut self, now: Timestamp, jitter: f64) {
         self.started_at = None;
         let [least, most] = RETRY_BACKOFF;
@@ -75,6 +79,7 @@
 }
 
 impl Control {
+    /// Starts the watches that are due, if this instance is the coordinator.
     pub(super) fn start_watches(&mut self, now: Timestamp) {
         let is_coordinator = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
         if !is_coordinator {
@@ -92,6 +97,7 @@
         }
     }
 
+    /// Handles the answer of a watch or a list.
     pub(super) fn on_watch_result(
         &mut self,
         prefix: WatchPrefix,
@@ -109,7 +115,7 @@
                 }
             }
             Err(error) => {
-                log::debug!(target: "config", "{error}.");
+                log::debug!(target: "config", "A watch failed and is retried: {error}.");
                 watch.on_failure(now, jitter);
                 if matches!(error, StoreError::HistoryGone { .. }) {
                     watch.require_list();
@@ -143,15 +149,17 @@
                     self.apply_document(&it.service, it.version, &it.document);
                     self.announce_version(it.service, it.version);
                 }
-                Ok(it) => log::error!(target: "config", "{} names {}.", change.path, it.service),
+                Ok(it) => {
+                    log::error!(target: "config", "Ignored {}: its accepted document names service {}.", change.path, it.service)
+                }
                 Err(error) => {
-                    log::error!(target: "config", "{} can't be understood: {error}.", change.path);
+                    log::error!(target: "config", "Cannot parse {} as an accepted document: {error}.", change.path);
                 }
             }
         }
     }
 
-    /// Tells the members of a version at once; they fetch the document if they have use for it.
+    /// Sends a version to all members at once; a member that uses the service fetches the document.
     fn announce_version(&mut self, service: ServiceName, version: ConfigVersion) {
         self.send_to_members(&[(service, version)]);
     }
