--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The tables of control, and the systems that run over them.
+//! The state of the control thread and the periodic tasks that run over it.
 
 use std::sync::Arc;
 
@@ -20,11 +20,11 @@
     snapshot::SnapshotCell,
 };
 
-/// The one group that the keys of a service form; larger services are refused at the join of the
-/// 33rd member.
+/// The only group of a service. Services are limited to one group of 32 members; the join of the
+/// 33rd member is refused.
 pub(crate) const ONLY_GROUP: GroupId = GroupId(0);
 
-/// What control works with.
+/// The settings and handles that the control thread uses.
 pub(crate) struct Parts {
     pub(crate) settings: Arc<AgentSettings>,
     pub(crate) own: Instance,
@@ -34,16 +34,15 @@
     pub(crate) gate: GateHandle,
     pub(crate) snapshots: Arc<SnapshotCell>,
     pub(crate) seed: u64,
-    /// Where documents come from.
     pub(crate) documents_from: DocumentSource,
 }
 
-/// Where the documents in force come from.
+/// The source of the documents in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DocumentSource {
-    /// From the object store, where coordinators accept what teams write.
+    /// The object store, where coordinators accept the documents that teams write.
     ObjectStore,
-    /// From one configuration of the whole fleet, which is accepted already.
+    /// A central configuration with the documents of all services, which needs no acceptance.
     CentralConfig,
 }
 
@@ -52,26 +51,27 @@
     pub(super) parts: Parts,
     pub(super) rng: Pcg64Mcg,
     pub(super) documents: Documents,
-    /// None until the own service's document is known.
+    /// The own service's group, or `None` until its document is in force.
     pub(super) group: Option<Group>,
-    /// Members of the own group that peers told of before this instance was one.
+    /// Members of the own group that peers reported before this instance joined it.
     pub(super) reported_members: Vec<Instance>,
     pub(super) foreign: ForeignRoutes,
     pub(super) acceptor: Acceptor,
     pub(super) watches: Watches,
     pub(super) status: StatusWriter,
     pub(super) upstream: UpstreamMonitor,
-    /// Routes by host, where there is a configuration of the whole fleet.
+    /// Routes by host, if documents come from a central configuration.
     pub(super) routing: Option<Arc<RoutingTable>>,
     suspension: SuspensionDetector,
-    /// Something that traffic should see has changed.
+    /// Whether the snapshot for the traffic threads is outdated.
     pub(super) dirty: bool,
+    /// Whether the graceful stop has begun.
     pub(super) is_stopping: bool,
 }
 
 impl Control {
     pub(crate) fn new(parts: Parts) -> Control {
-        log::info!(target: "control", "{} of {} starts.", parts.own, parts.settings.service);
+        log::info!(target: "control", "Control of instance {} of {} starts.", parts.own, parts.settings.service);
         Control {
             rng: Pcg64Mcg::seed_from_u64(parts.seed),
             documents: Documents::default(),
@@ -98,14 +98,14 @@
         &self.parts.settings.service
     }
 
-    /// Runs every system once.
+    /// Runs all periodic tasks once.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
-        if let Some(take_suspended) = self.suspension.take_suspended() {
-            log::warn!(target: "control", "The instance was suspended for {take_suspended:?}.");
+        if let Some(suspended) = self.suspension.take_suspended() {
+            log::warn!(target: "control", "The instance was suspended for {suspended:?}; leases may have expired.");
             self.step(now, Input::Suspended);
         }
-        // First of all: after a pause the node drops the lease before anything else runs.
+        // Runs first, so that after a pause the node drops an expired lease before other tasks run.
         self.step(now, Input::Tick);
         self.check_upstream_timeout(now);
         self.report_load(now);
@@ -119,30 +119,31 @@
         }
     }
 
-    /// Begins the graceful stop.
+    /// Begins the graceful stop: the group's node hands over all slots.
     pub(crate) fn stop(&mut self) {
         if self.is_stopping {
             return;
         }
-        log::info!(target: "control", "Stopping: handing over.");
+        log::info!(target: "control", "Stopping; handing over all slots.");
         self.is_stopping = true;
         self.dirty = true;
         let now = self.now();
         self.step(now, Input::Stop);
     }
 
-    /// The stop was asked for, and nothing is held any more.
+    /// Returns whether the graceful stop has begun and this instance no longer holds any slots.
     pub(crate) fn is_handed_over(&self) -> bool {
         self.is_stopping && self.group.as_ref().is_none_or(|it| it.stopped)
     }
 
-    /// Gives the group's node one input and carries out what it asks for.
+    /// Passes one input to the group's node and executes its outputs.
     pub(super) fn step(&mut self, now: Timestamp, input: Input) {
         let Some(group) = &mut self.group else { return };
         self.dirty |= group.step(now, input, &self.parts);
     }
 
-    /// The own service's document has come into force, first or anew.
+    /// Applies the own service's document after its first or a later version came into force. The
+    /// first one creates the group.
     pub(super) fn on_own_document_changed(&mut self) {
         let now = self.now();
         let service = self.service().clone();
@@ -163,7 +164,7 @@
     }
 }
 
-/// What a document says of ownership, as the core takes it.
+/// Returns a document's ownership limits in the form that the `ownership` crate uses.
 pub(super) fn limits(document: &ServiceDocument) -> Limits {
     let it = &document.ownership;
     Limits {
--- a/crates/agent/src/control/status.rs
+++ b/crates/agent/src/control/status.rs
@@ -1,4 +1,4 @@
-//! The status of the group, written by its coordinator: when it changes, and seldom.
+//! The group's status object, which the coordinator writes to the platform.
 
 use std::{
     collections::VecDeque,
@@ -19,42 +19,48 @@
     status_schedule::StatusSchedule,
 };
 
-/// The period over which the measures look back.
+/// The period that the measures of the status cover.
 const MEASURE_WINDOW: Duration = Duration::from_secs(60);
 
+/// The state of writing the status object.
 #[derive(Debug, Default)]
 pub(crate) struct StatusWriter {
-    /// The object's version; none: to be read first.
+    /// The object's version, or `None` if it must be read before the next write.
     object_version: Option<ObjectVersion>,
+    /// Whether a read or write of the object is in flight.
     in_flight: bool,
     schedule: StatusSchedule,
+    /// When the accepted version was first in force on all members, in milliseconds since 1970.
     in_force_since_unix_ms: Option<u64>,
+    /// When the coordinator last sent all versions to its members.
     versions_sent_at: Option<Timestamp>,
     unowned: UnownedPeriods,
 }
 
-/// When some slot had no owner, within the measured period; the time before the first grants is
-/// none of these.
+/// The periods within [`MEASURE_WINDOW`] in which some slot had no owner. The time before all slots
+/// were first owned does not count.
 #[derive(Debug, Default)]
 struct UnownedPeriods {
+    /// Whether all slots have been owned at some time.
     was_owned: bool,
+    /// The start of the current period.
     since: Option<Timestamp>,
-    /// When each ended, and how long it had lasted.
+    /// The end and the duration of each past period.
     ended: VecDeque<(Timestamp, Duration)>,
 }
 
 impl UnownedPeriods {
-    fn record(&mut self, now: Timestamp, unowned: bool) {
+    fn record(&mut self, now: Timestamp, has_unowned: bool) {
         self.ended.retain(|(at, _)| now.since(*at) <= MEASURE_WINDOW);
         match self.since {
-            None if unowned && self.was_owned => self.since = Some(now),
-            Some(since) if !unowned => {
+            None if has_unowned && self.was_owned => self.since = Some(now),
+            Some(since) if !has_unowned => {
                 self.ended.push_back((now, now.since(since)));
                 self.since = None;
             }
             _ => {}
         }
-        self.was_owned |= !unowned;
+        self.was_owned |= !has_unowned;
     }
 
     fn longest_duration(&self, now: Timestamp) -> Duration {
@@ -64,7 +70,8 @@
 }
 
 impl StatusWriter {
-    /// Whether versions are due to be spread again; notes that they are.
+    /// Returns whether all versions are due to be sent to the members again, and records that they
+    /// are sent.
     pub(super) fn take_versions_due(&mut self, now: Timestamp, every: Duration) -> bool {
         let due = self.versions_sent_at.is_none_or(|it| now.since(it) >= every);
         if due {
@@ -74,19 +81,20 @@
     }
 }
 
-/// Wall-clock milliseconds since 1970, for people to read.
+/// Returns the wall-clock time in milliseconds since 1970, for use in the status.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |it| it.as_millis() as u64)
 }
 
 impl Control {
+    /// Writes the status if this instance is the coordinator and a write is due.
     pub(super) fn write_status(&mut self, now: Timestamp) {
         let Some(group) = &self.group else { return };
-        let unowned = group.view.owners.iter().any(|it| it.owner.is_none());
-        self.status.unowned.record(now, unowned);
+        let has_unowned = group.view.owners.iter().any(|it| it.owner.is_none());
+        self.status.unowned.record(now, has_unowned);
         if !group.view.is_coordinator {
-            // Another's writes are unknown here: read before the next one.
+            // Another coordinator may write the object, so read its version before the next write.
             self.status.object_version = None;
             self.status.schedule = StatusSchedule::default();
             return;
@@ -126,7 +134,7 @@
     }
 
     fn on_status_failure(&mut self, error: &StoreError) {
-        log::debug!(target: "status", "{error}.");
+        log::debug!(target: "status", "Reading or writing the status failed and is retried: {error}.");
         self.status.object_version = None;
         let now = self.now();
         self.status.schedule.record_failure(now);
@@ -134,7 +142,9 @@
 
     fn build_status(&mut self) -> Status {
         let in_force = self.in_force();
-        let Some(group) = &self.group else { unreachable!("a coordinator has a group") };
+        let Some(group) = &self.group else {
+            unreachable!("only a member of a group is its coordinator")
+        };
         let view = &group.view;
         let accepted = self.documents.version(self.service());
         Status {
@@ -226,7 +236,8 @@
     Some(HotKeyStatus { key_hash, owner: name })
 }
 
-/// The grants of all slots in order; none if there are too many.
+/// Returns the grants of all slots in order, or an empty list if there are more than
+/// [`GRANTS_MAX`].
 fn grants(view: &NodeView) -> Vec<GrantStatus> {
     let slots = || view.owners.iter().filter(|it| it.key_hash.is_none());
     if slots().count() > GRANTS_MAX {
--- a/crates/agent/src/control/status_schedule.rs
+++ b/crates/agent/src/control/status_schedule.rs
@@ -1,39 +1,44 @@
-//! When a status is worth a write: soon for documents, seldom for moves.
+//! Schedules the writes of the group's status: soon after changes of documents, rarely for changes
+//! of ownership.
 //!
-//! The platform takes several hundred writes a second for the whole fleet. When a zone goes, every
-//! group has news in the same second in which coordinators need the platform for terms and plans,
-//! so news of ownership waits, and waits longer each time; news of documents is rare and does not.
+//! The platform handles several hundred writes per second for all groups together. When a zone
+//! fails, ownership changes in every group within the same second in which coordinators need the
+//! platform for terms and plans. Writes about ownership are therefore delayed, with increasing
+//! intervals. Changes of documents are rare and written without that delay.
 
 use std::time::Duration;
 
 use model::Timestamp;
 use settings::Status;
 
-/// The shortest time between two writes.
+/// The shortest interval between two writes about documents.
 const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(250);
-/// How long a document may be on its way to the members before that is worth a write.
+/// How long a write waits for an accepted document to be in force on all members.
 const ROLLOUT_WAIT_MAX: Duration = Duration::from_millis(500);
-/// News of ownership wait up to this long, by a draw, so that groups do not write all at once.
+/// The greatest random delay of a write about ownership, which spreads the writes of all groups.
 const OWNERSHIP_DELAY_MAX: Duration = Duration::from_millis(2_000);
-/// The time between two writes about ownership; doubles with each one up to the second.
+/// The first and the greatest interval between writes about ownership. The interval doubles with
+/// each consecutive one.
 const OWNERSHIP_INTERVALS: [Duration; 2] = [Duration::from_secs(1), Duration::from_secs(8)];
-/// A status without news is written again after this, so that a reader sees its age.
+/// An unchanged status is rewritten after this time, so that readers can tell it from an outdated
+/// one.
 const REFRESH_AFTER: Duration = Duration::from_secs(30);
-/// The pause after a write that failed.
+/// The pause after a failed read or write.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// What was written when, and how long the next news wait.
+/// The last written status and the delays of the next write.
 #[derive(Debug, Default)]
 pub(crate) struct StatusSchedule {
+    /// The last written status and when it was written, or `None` if a write is due at once.
     written: Option<(Timestamp, Status)>,
     failed_at: Option<Timestamp>,
-    /// Since when there are news.
+    /// When the status first differed from the written one.
     changed_since: Option<Timestamp>,
     ownership_interval: Duration,
     ownership_delay: Duration,
 }
 
-/// What a status tells that the one before did not.
+/// The kind of change between two statuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StatusChange {
     None,
@@ -42,7 +47,7 @@
 }
 
 impl StatusSchedule {
-    /// Whether a status is to be written now.
+    /// Returns whether a write of `status` is due.
     pub(crate) fn is_due(&mut self, now: Timestamp, status: &Status) -> bool {
         if self.failed_at.is_some_and(|it| now.since(it) < RETRY_PAUSE) {
             return false;
@@ -62,7 +67,7 @@
         }
     }
 
-    /// Notes that a status is being written; `jitter` is drawn from 0 to 1.
+    /// Records the write of a status. `jitter` is a random number from 0 to 1.
     pub(crate) fn record_write(&mut self, now: Timestamp, status: Status, jitter: f64) {
         let [least, most] = OWNERSHIP_INTERVALS;
         self.ownership_interval = match &self.written {
@@ -78,18 +83,19 @@
         self.failed_at = None;
     }
 
-    /// Notes that a write failed: all is news again.
+    /// Records a failed read or write, after which the whole status is written again.
     pub(crate) fn record_failure(&mut self, now: Timestamp) {
         self.written = None;
         self.failed_at = Some(now);
     }
 }
 
-/// The accepted version is not yet in force on all members.
+/// Returns whether the accepted version is not yet in force on all members.
 fn is_rolling_out(status: &Status) -> bool {
     status.in_force.instances < status.in_force.of
 }
 
+/// Returns the kind of change from the written status to the current one.
 fn diff(written: &Status, status: &Status) -> StatusChange {
     let documents =
         |it: &Status| (it.accepted, is_rolling_out(it), it.refused.as_ref().map(|it| it.version));
