--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -93,15 +93,15 @@
 #[derive(Clone)]
 pub(crate) struct PlatformCalls {
     platform: Arc<dyn ObjectStore>,
-    done: mpsc::UnboundedSender<CallResult>,
+    results: mpsc::UnboundedSender<CallResult>,
 }
 
 impl PlatformCalls {
     pub(crate) fn new(
         platform: Arc<dyn ObjectStore>,
-        done: mpsc::UnboundedSender<CallResult>,
+        results: mpsc::UnboundedSender<CallResult>,
     ) -> PlatformCalls {
-        PlatformCalls { platform, done }
+        PlatformCalls { platform, results }
     }
 
     /// Starts a call that the group's node requested.
@@ -220,10 +220,10 @@
         F: Future<Output = CallResult> + Send + 'static,
     {
         let call = call(Arc::clone(&self.platform));
-        let done = self.done.clone();
+        let results = self.results.clone();
         tokio::spawn(async move {
             // The receiver is closed if the control thread has ended.
-            _ = done.send(call.await);
+            _ = results.send(call.await);
         });
     }
 }
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control thread: membership, leases, documents, routes and the status.
 //!
-//! All state of control lives here, on one thread, in tables that systems run over each tick.
-//! Calls to the object store run as tasks of the same thread's runtime and come back as `calls::CallResult`.
+//! One thread owns all state and processes it on each tick and event. Calls to the object store run
+//! as tasks on the same thread's runtime and return a `calls::CallResult`.
 
 mod accept;
 mod calls;
@@ -45,20 +45,20 @@
 
 use self::state::Control;
 
-/// How often the systems run over the tables.
+/// The interval between two runs of the periodic tasks.
 const TICK: Duration = Duration::from_millis(25);
 
-/// How far this process is on its way out.
+/// The phase of the process's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Running,
-    /// Hand over everything, then say so.
+    /// Control hands over all slots, then notifies `handed_over`.
     Stopping,
-    /// End the thread.
+    /// The control thread ends.
     Exiting,
 }
 
-/// What the control thread is made from.
+/// The parts from which the control thread is started.
 pub struct ControlParts {
     pub settings: Arc<AgentSettings>,
     pub own: Instance,
@@ -70,27 +70,27 @@
     pub snapshots: Arc<SnapshotCell>,
     pub reports: mpsc::Receiver<Report>,
     pub phase: watch_channel::Receiver<Phase>,
-    /// Told once everything has been handed over.
+    /// Notified once all slots have been handed over.
     pub handed_over: oneshot::Sender<()>,
-    /// Seeds nonces and jitter.
+    /// The seed of nonces and jitter.
     pub seed: u64,
-    /// Configurations of the whole fleet; none: teams write documents of their own.
+    /// Central configurations, or `None` if teams write a document for each service.
     pub central_config: Option<CentralConfigSource>,
     pub closed_zones: ClosedZonesSource,
 }
 
-/// The newest configuration of the whole fleet; none until the first is known.
+/// The newest central configuration, or `None` until the first is received.
 pub type CentralConfigSource = watch_channel::Receiver<Option<Arc<FleetConfig>>>;
 
-/// Runs control until [`Phase::Exiting`]. To be called on a current-thread runtime of its own.
+/// Runs control until [`Phase::Exiting`]. Must be called on a separate current-thread runtime.
 pub async fn run(parts: ControlParts) {
     let ControlParts {
         listener, key, mut reports, mut phase, handed_over, mut central_config, ..
     } = parts;
     let mut closed_zones = Some(parts.closed_zones);
     let (links, mut events) = ControlLinks::start(parts.own.clone(), listener, key);
-    let (done_sender, mut done) = mpsc::unbounded_channel();
-    let calls = calls::PlatformCalls::new(parts.platform, done_sender);
+    let (result_sender, mut call_results) = mpsc::unbounded_channel();
+    let calls = calls::PlatformCalls::new(parts.platform, result_sender);
     let mut control = Control::new(state::Parts {
         settings: parts.settings,
         own: parts.own,
@@ -113,7 +113,7 @@
             biased;
             _ = ticks.tick() => control.tick(),
             Some(event) = events.recv() => control.on_peer_event(event),
-            Some(it) = done.recv() => control.on_call_result(it),
+            Some(it) = call_results.recv() => control.on_call_result(it),
             Some(it) = next_central_config(&mut central_config) => control.on_central_config(&it),
             Some(it) = next_closed_zones(&mut closed_zones) => control.on_closed_zones(&it),
             Some(report) = reports.recv() => control.on_report(report),
@@ -127,29 +127,29 @@
         control.publish();
         if control.is_handed_over() {
             if let Some(sender) = handed_over.take() {
-                // The other side may have given up waiting.
+                // The receiver is closed if the wait for the handover timed out.
                 _ = sender.send(());
             }
         }
     }
 }
 
-/// The next configuration of the whole fleet.
+/// Waits for the next central configuration.
 async fn next_central_config(config: &mut Option<CentralConfigSource>) -> Option<Arc<FleetConfig>> {
     let Some(source) = config else { return std::future::pending().await };
     if source.changed().await.is_err() {
-        log::error!(target: "config", "Nobody tells of configurations any more.");
+        log::error!(target: "config", "The source of central configurations has closed; the current configuration stays in force.");
         *config = None;
         return None;
     }
     source.borrow_and_update().clone()
 }
 
-/// The zones that are closed once these have changed.
+/// Waits for the next change of the closed zones and returns all closed zones.
 async fn next_closed_zones(zones: &mut Option<ClosedZonesSource>) -> Option<ClosedZones> {
     let Some(source) = zones else { return std::future::pending().await };
     if source.changed().await.is_err() {
-        log::error!(target: "zones", "Nobody tells of closed zones any more.");
+        log::error!(target: "zones", "The source of closed zones has closed; the current closed zones stay in effect.");
         *zones = None;
         return None;
     }
--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of other control threads, and what this one tells them.
+//! Messages from and to other control threads, and the dispatch of call results and gate reports.
 
 use std::time::Duration;
 
@@ -15,16 +15,17 @@
     report::Report,
 };
 
-/// How often a coordinator repeats all versions to its members, for those that missed one.
+/// The interval at which a coordinator resends all versions to its members, in case one was lost.
 const VERSIONS_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Control {
+    /// Handles an event of a control link.
     pub(crate) fn on_peer_event(&mut self, event: ControlEvent) {
         let ControlEvent::Message { from, payload } = event;
         match Envelope::decode(&payload) {
             Ok(envelope) => self.on_envelope(from, envelope),
             Err(error) => {
-                log::warn!(target: "control", "A message of {from} is malformed: {error}.")
+                log::warn!(target: "control", "Ignored a malformed message of {from}: {error}.")
             }
         }
     }
@@ -37,10 +38,10 @@
                 self.on_group_message(from, &payload);
             }
             Envelope::Group { service, .. } => {
-                log::debug!(target: "control", "{from} took this for a member of {service}.");
+                log::debug!(target: "control", "Ignored a group message of {from} for {service}, which this instance is no member of.");
             }
             Envelope::FetchDocument { service } => self.send_document(&from, service),
-            // What comes as a whole is not taken apart again.
+            // Documents of a central configuration are not replaced one by one.
             Envelope::Document { .. }
                 if self.parts.documents_from == DocumentSource::CentralConfig => {}
             Envelope::Document { service, version, text } => {
@@ -63,7 +64,7 @@
         let message = match wire::control::decode(payload) {
             Ok(message) => message,
             Err(error) => {
-                log::warn!(target: "control", "A message of {from} is malformed: {error}.");
+                log::warn!(target: "control", "Ignored a malformed group message of {from}: {error}.");
                 return;
             }
         };
@@ -83,24 +84,27 @@
         self.parts.links.send(to, Envelope::Document { service, version, text }.encode());
     }
 
-    /// A peer knows of a version: fetch it if this instance has use for the service.
+    /// Fetches a document from the peer that announced a version of it, if this instance uses the
+    /// service and the version is newer than its own.
     pub(super) fn on_version_announced(
         &mut self,
         from: &Instance,
         service: ServiceName,
         version: ConfigVersion,
     ) {
-        let used = self.documents.in_force(&service).is_some() || service == *self.service();
-        let fetched = self.parts.documents_from == DocumentSource::ObjectStore;
-        if fetched && used && self.documents.should_fetch(&service, version) {
+        let is_used = self.documents.in_force(&service).is_some() || service == *self.service();
+        let is_fetched = self.parts.documents_from == DocumentSource::ObjectStore;
+        if is_fetched && is_used && self.documents.should_fetch(&service, version) {
             self.parts.links.send(from, Envelope::FetchDocument { service }.encode());
         }
     }
 
-    /// Asks the peers of the settings, while the platform may be down.
+    /// Queries the peers from the settings for a service's routes and document, in case the platform
+    /// is unavailable.
     pub(super) fn query_peers(&mut self, service: &ServiceName) {
         for address in &self.parts.settings.peers {
-            // The routes first: with the document comes the group, and its members are to be known.
+            // Routes are queried first: the document creates the group, which needs the members that
+            // the routes list.
             let routes = Envelope::FetchRoutes { service: service.clone(), known: 0 };
             self.parts.links.send_to_address(*address, routes.encode());
             let document = Envelope::FetchDocument { service: service.clone() };
@@ -108,6 +112,8 @@
         }
     }
 
+    /// Sends all versions to the members once per [`VERSIONS_INTERVAL`], if this instance is the
+    /// coordinator.
     pub(super) fn broadcast_versions(&mut self, now: Timestamp) {
         let is_coordinator = self.group.as_ref().is_some_and(|it| it.view.is_coordinator);
         if !is_coordinator || !self.status.take_versions_due(now, VERSIONS_INTERVAL) {
@@ -115,10 +121,11 @@
         }
         let versions: Vec<_> =
             self.documents.iter().map(|(service, it)| (service.clone(), it.version)).collect();
-        self.send_to_members(&versions);
+        self.send_versions(&versions);
     }
 
-    pub(super) fn send_to_members(&self, versions: &[(ServiceName, ConfigVersion)]) {
+    /// Sends versions to all other members of the group.
+    pub(super) fn send_versions(&self, versions: &[(ServiceName, ConfigVersion)]) {
         let Some(group) = &self.group else { return };
         let payload = Envelope::Versions(versions.to_vec()).encode();
         let others = group.view.members.iter().filter(|it| it.instance != self.parts.own);
@@ -127,6 +134,7 @@
         }
     }
 
+    /// Handles the result of a platform call.
     pub(crate) fn on_call_result(&mut self, done: CallResult) {
         let now = self.now();
         match done {
@@ -143,6 +151,7 @@
         }
     }
 
+    /// Handles a report of the traffic threads.
     pub(crate) fn on_report(&mut self, report: Report) {
         let now = self.now();
         match report {
--- a/crates/agent/src/control/publish.rs
+++ b/crates/agent/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes what traffic needs, whole, whenever something of it has changed.
+//! Publishes a complete snapshot for the traffic threads whenever part of it has changed.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -14,6 +14,7 @@
 };
 
 impl Control {
+    /// Publishes a new snapshot if the last one is outdated.
     pub(crate) fn publish(&mut self) {
         if !self.dirty {
             return;
@@ -76,6 +77,7 @@
     MemberRoute { instance: member.instance.clone(), state }
 }
 
+/// Builds the routes of a service that is divided by key. Without a table, no slot has an owner.
 fn key_routes(in_force: &InForce, table: Option<&RouteTable>) -> KeyRoutes {
     let slot_count = in_force.document.slot_count;
     let mut slots = vec![OwnerRoute::default(); usize::from(slot_count.count())];
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -161,6 +161,6 @@
 
     /// Sends a version to all members at once; a member that uses the service fetches the document.
     fn announce_version(&mut self, service: ServiceName, version: ConfigVersion) {
-        self.send_to_members(&[(service, version)]);
+        self.send_versions(&[(service, version)]);
     }
 }
