--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! Brings a request to a gate that may take it: picks targets, follows stale routes, retries.
+//! Forwards a request to a gate that may run it: selects targets, follows redirects and retries.
 
 mod selector;
 
@@ -31,10 +31,10 @@
 
 pub(crate) use selector::designated_member;
 
-/// The shortest time after which a caller comes back to a key that nobody serves, before jitter.
+/// The shortest `retry_after`, before jitter, for a request that no instance could serve.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(30);
 
-/// What a forwarder is made from.
+/// The parts from which a forwarder is created.
 pub(crate) struct ForwardParts {
     pub(crate) own: Instance,
     pub(crate) clock: Clock,
@@ -47,32 +47,32 @@
     pub(crate) quarantine: Arc<SharedQuarantine>,
 }
 
-/// Sends requests of callers on.
+/// Forwards requests of callers to gates.
 pub(crate) struct Forwarder {
     parts: ForwardParts,
     services: Mutex<HashMap<ServiceName, Arc<ServiceState>>>,
 }
 
-/// What this agent remembers of a service over requests.
+/// The state of a service that is shared by its requests.
 struct ServiceState {
     retries: Mutex<Retries>,
     selector: Selector,
 }
 
-/// The final answer for a caller.
+/// The reply to a caller after all attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinalReply {
     pub reply: GateReply,
-    /// When the caller may come back.
+    /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// Where to send a request next, beside the snapshot's routes.
+/// The results of earlier attempts that determine the next target of a request.
 #[derive(Debug, Default)]
 struct AttemptHistory {
-    /// A peer named this owner.
+    /// The owner that a peer named in its reply to the last attempt.
     owner_hint: Option<Instance>,
-    /// Those that did not take the request.
+    /// Instances that did not run the request.
     tried: Vec<Instance>,
 }
 
@@ -81,6 +81,7 @@
         Forwarder { parts, services: Mutex::default() }
     }
 
+    /// Returns the state of a service, which is created on its first request.
     fn state(&self, routes: &ServiceRoutes) -> Arc<ServiceState> {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         let new = || {
@@ -93,7 +94,7 @@
         Arc::clone(services.entry(routes.service.clone()).or_insert_with(new))
     }
 
-    /// Sends a request until it has its end. Dropping the future cancels it.
+    /// Forwards a request until it has a final reply. Dropping the future cancels the request.
     pub(crate) async fn send(&self, request: GateRequest, team: &TeamName) -> FinalReply {
         let mut underway = self.parts.log.start(request);
         let ending = self.forward(&mut underway, team).await;
@@ -101,6 +102,7 @@
         ending
     }
 
+    /// Attempts a request until it is answered or may not be retried.
     async fn forward(&self, underway: &mut Underway<'_>, team: &TeamName) -> FinalReply {
         let useful_until = underway.useful_until;
         let Underway { request, placing, .. } = underway;
@@ -111,8 +113,8 @@
         let mut history = AttemptHistory::default();
         let mut is_first_attempt = true;
         let mut was_sent = false;
-        // An earlier try, or an earlier sending of the caller's, may have run, whatever the later
-        // ones say.
+        // An earlier attempt, or an earlier sending by the caller, may have run the request. Replies
+        // of later attempts cannot rule that out.
         let earlier_unknown = (!request.age.is_zero()).then_some(UnknownReason::NoRecord);
         let mut unknown: Option<UnknownReason> = earlier_unknown;
         let content = request.content;
@@ -133,7 +135,7 @@
             request.remaining = deadline.since(now);
             request.objective = useful_until.map(|it| it.since(now));
             if std::mem::replace(&mut was_sent, true) {
-                // The caller may have sent it again elsewhere while it was held here.
+                // The caller may have resent the request to another agent in the meantime.
                 request.held = now.since(started);
             }
             placing.config = Some(routes.version);
@@ -178,6 +180,7 @@
         self.parts.snapshots.load().services.get(service).cloned()
     }
 
+    /// Sends the request to one target and returns its reply.
     async fn attempt(
         &self,
         state: &ServiceState,
@@ -225,10 +228,11 @@
         if *target != self.parts.own {
             return self.parts.links.ask(target, request).await;
         }
-        // The gate keeps to the deadline itself.
+        // The gate enforces the deadline.
         self.parts.gate.serve(request.clone()).await
     }
 
+    /// Reports to control that the routes of the request's service may be stale.
     fn report_stale_route(
         &self,
         request: &GateRequest,
@@ -241,7 +245,8 @@
     }
 }
 
-/// Whether a member may take the request that has not been asked yet.
+/// Returns whether a ready member has not been tried yet. Only services that are not divided by key
+/// have a choice of members.
 fn has_untried_target(routes: &ServiceRoutes, history: &AttemptHistory) -> bool {
     let Routes::Any(members) = &routes.routes else { return false };
     let is_untried = |it: &&MemberRoute| !history.tried.contains(&it.instance);
@@ -261,7 +266,8 @@
     }
 }
 
-/// The worst of all tries. A caller has no use for the name of an owner.
+/// Returns the reply for the caller: an answer if there is one, else an unknown outcome if any
+/// attempt had one. A named owner is not passed on to the caller.
 fn overall_reply(reply: GateReply, unknown: Option<UnknownReason>) -> GateReply {
     match (reply, unknown) {
         (reply @ GateReply::Answered(_), _) => reply,
@@ -271,7 +277,8 @@
     }
 }
 
-/// Where nobody serves a key, coming back within a few milliseconds is of no use to anyone.
+/// Increases `retry_after` to at least [`RETRY_AFTER_MIN`] if no instance could serve the request,
+/// since that state does not change within a few milliseconds.
 fn unowned_retry_after(retry_after: Duration, outcome: Outcome) -> Duration {
     use NotRunReason::{Draining, NoOwner, NotOwner, Unreachable};
     match outcome {
@@ -293,6 +300,7 @@
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Decides whether the request is attempted again after an attempt, and charges the retry budget.
     fn decide_retry(
         &self,
         now: Timestamp,
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -1,4 +1,4 @@
-//! Which instance a request is sent to.
+//! Selects the instance that a request is sent to.
 
 use std::{
     collections::HashMap,
@@ -20,16 +20,18 @@
     snapshot::{KeyRoutes, MemberRoute, Routes, ServiceRoutes},
 };
 
-/// How long one that is leaving is avoided: longer than its leaving takes to spread.
+/// How long a draining instance is avoided. Longer than its new state takes to reach the routes of
+/// all agents.
 const AVOID_DRAINING_FOR: Duration = Duration::from_secs(3);
-/// How long one that can't be reached is avoided.
+/// How long an unreachable instance is avoided.
 const AVOID_UNREACHABLE_FOR: Duration = Duration::from_millis(300);
 
-/// The targets of one service.
+/// Selects targets for the requests of one service.
 pub(super) struct Selector {
     own: Instance,
     selection: Arc<Mutex<Option<MemberSelection>>>,
-    /// Instances that take no requests for now, and until when, beside what the snapshot says.
+    /// Instances that refused requests, and until when they are avoided even if the snapshot lists
+    /// them as ready.
     avoided: Mutex<HashMap<Instance, Timestamp>>,
 }
 
@@ -39,7 +41,7 @@
     members: Vec<MemberRoute>,
 }
 
-/// A request counted as in flight at a target; dropped unfinished, it was cancelled.
+/// A request in flight at a target. Dropping it without [`InFlight::finish`] counts as cancelled.
 pub(super) struct InFlight {
     selection: Option<Arc<Mutex<Option<MemberSelection>>>>,
     clock: Clock,
@@ -52,8 +54,8 @@
         Selector { own, selection: Arc::default(), avoided: Mutex::default() }
     }
 
-    /// The next target, and what it was weighed by where there was a choice; none: nobody may take the
-    /// request at the moment.
+    /// Returns the next target, with the weights by which it was picked if there was a choice, or
+    /// `None` if no instance may currently run the request.
     pub(super) fn select_target(
         &self,
         now: Timestamp,
@@ -71,7 +73,8 @@
             (Routes::Any(members), None) if request.idempotent || !routes.document.resends => {
                 self.pick(now, routes, request, members, tried)
             }
-            // Whether another member may stand in for the home is for that member to say.
+            // If the designated member is avoided, another one is chosen, whose gate decides whether
+            // it may run the request.
             (Routes::Any(members), None) => {
                 let avoided = self.avoided_names(now);
                 designated_member(
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Sends nothing more to an instance for a while, if there are others.
+    /// Avoids an instance for a while if other instances can be picked.
     pub(super) fn avoid(&self, now: Timestamp, target: &Instance, reason: NotRunReason) {
         let time = match reason {
             NotRunReason::Draining => AVOID_DRAINING_FOR,
@@ -102,7 +105,8 @@
         current.map(|(instance, _)| instance.name.clone()).collect()
     }
 
-    /// Two choices among the members. Counted as in flight: [`Selector::start`] must follow.
+    /// Picks one of the members and counts the request as in flight there: [`Selector::start`] must
+    /// follow.
     fn pick(
         &self,
         now: Timestamp,
@@ -130,7 +134,7 @@
         state.selection.pick(now, profile, &tried, &mut rand::rng())
     }
 
-    /// Takes in what a gate says of its load.
+    /// Records the load that a gate reported with its reply.
     pub(super) fn report(
         &self,
         now: Timestamp,
@@ -149,6 +153,8 @@
         }
     }
 
+    /// Starts tracking a request that is sent to a target. Its result is recorded in the selection
+    /// if the target was picked from there.
     pub(super) fn start(
         &self,
         now: Timestamp,
@@ -158,9 +164,9 @@
         request: &GateRequest,
     ) -> InFlight {
         let may_run_anywhere = request.idempotent || !routes.document.resends;
-        let picked = matches!(routes.routes, Routes::Any(_)) && may_run_anywhere;
+        let is_picked = matches!(routes.routes, Routes::Any(_)) && may_run_anywhere;
         InFlight {
-            selection: picked.then(|| Arc::clone(&self.selection)),
+            selection: is_picked.then(|| Arc::clone(&self.selection)),
             clock,
             target: target.clone(),
             started: now,
@@ -169,6 +175,7 @@
 }
 
 impl InFlight {
+    /// Records the outcome of the request.
     pub(super) fn finish(mut self, outcome: Outcome) {
         let result = match outcome {
             Outcome::Answered => TargetResult::Answered,
@@ -216,7 +223,7 @@
     TargetSpec { instance: member.instance.clone(), state, hint: HealthHint::default() }
 }
 
-/// The owner, or whoever follows it once it could not be reached.
+/// Returns the owner of a key, or its first untried successor if the owner has been tried.
 fn owner_or_successor(
     routes: &KeyRoutes,
     key_hash: KeyHash,
@@ -227,8 +234,8 @@
     all.find(|it| !tried.contains(it)).or(route.owner.as_ref()).cloned()
 }
 
-/// The one member that may run a request that is not idempotent: the same for all agents that
-/// know the same members, so that a resend finds the record of its first sending.
+/// Returns the only member that may run a non-idempotent request. Agents with the same list of
+/// members choose the same one, so that a resend finds the record of the first sending there.
 pub(crate) fn designated_member<'a>(
     members: impl IntoIterator<Item = &'a MemberRoute>,
     id: RequestId,
