--- a/crates/agent/src/control/documents.rs
+++ b/crates/agent/src/control/documents.rs
@@ -45,7 +45,8 @@
         raised
     }
 
-    /// Returns whether a version that a peer announced is newer than all versions tried here.
+    /// Returns whether a version that a peer announced is newer than the one in force and all invalid
+    /// ones received so far.
     pub(crate) fn should_fetch(&self, service: &ServiceName, version: ConfigVersion) -> bool {
         self.table.wants(service, version)
     }
--- a/crates/agent/src/control/group.rs
+++ b/crates/agent/src/control/group.rs
@@ -137,7 +137,7 @@
         self.moves.truncate(MOVES_MAX);
     }
 
-    /// Logs one line per range of consecutive slots, since one step can grant thousands of slots.
+    /// Logs one line per range of consecutive slots, since one step can grant a thousand slots.
     fn log_grants(&mut self) {
         for GrantedRange { first, last, token, to, reason } in self.granted_ranges.drain(..) {
             let reason = reason_name(reason);
