--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -29,7 +29,8 @@
 /// The local upstream's state as announced by itself and as observed by the gate.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamMonitor {
-    /// The last announcement, with the state that is in effect since then.
+    /// The last accepted announcement. Its state also changes without a new announcement, when the
+    /// upstream leaves or is lost.
     pub(crate) announcement: Option<Announcement>,
     pub(super) announced_at: Timestamp,
     /// The state last reported by the gate, which also detects a hung upstream.
@@ -68,7 +69,8 @@
 }
 
 impl UpstreamMonitor {
-    /// Compares an announcement with the last accepted one. `interval` is the time between two announcements.
+    /// Compares an announcement with the last accepted one. `interval` is the time between two
+    /// announcements.
     pub(super) fn classify(
         &self,
         now: Timestamp,
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -30,8 +30,8 @@
 pub(super) struct Selector {
     own: Instance,
     selection: Arc<Mutex<Option<MemberSelection>>>,
-    /// Instances that refused requests, and until when they are avoided even if the snapshot lists
-    /// them as ready.
+    /// Draining and unreachable instances, and until when they are avoided even if the snapshot
+    /// lists them as ready.
     avoided: Mutex<HashMap<Instance, Timestamp>>,
 }
 
