--- a/crates/agent/src/control/tests/fleet.rs
+++ b/crates/agent/src/control/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Control threads of several instances on loopback, with a gate that has no traffic.
+//! The control thread of an instance on loopback, with a fake gate and upstream.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,11 +23,11 @@
     zones::{ClosedZones, follow_own_zones},
 };
 
-/// Far above what any step takes; no test passes by waiting this long.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The time limit of each wait, far above the duration of any step. Tests fail when it expires.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const KEY: &str = "a key for loopback only";
 
-/// One instance's control thread, as a task.
+/// One instance's control thread, which runs as a task.
 pub(super) struct Agent {
     pub(super) own: Instance,
     snapshots: Arc<SnapshotCell>,
@@ -35,7 +35,7 @@
     phase: watch::Sender<Phase>,
     handed_over: oneshot::Receiver<()>,
     control: JoinHandle<()>,
-    /// All versions that were ever published, in order.
+    /// All versions of the document that were published, in order.
     versions: JoinHandle<Vec<ConfigVersion>>,
 }
 
@@ -52,7 +52,7 @@
         Agent::start_of("standings", name, platform, peers).await
     }
 
-    /// An instance of another service than the one that these tests are about, or of that one.
+    /// Starts an instance of the given service.
     pub(super) async fn start_of(
         service_name: &str,
         name: &str,
@@ -62,7 +62,7 @@
         Agent::start_with(service_name, "pitlane", name, platform, peers).await
     }
 
-    /// An instance in another zone.
+    /// Starts an instance in the given zone.
     pub(super) async fn start_in(
         zone: &str,
         name: &str,
@@ -113,7 +113,7 @@
             central_config: None,
             closed_zones,
         }));
-        tokio::spawn(serve_gate(reporter.clone(), tasks));
+        tokio::spawn(run_fake_gate(reporter.clone(), tasks));
         let versions = tokio::spawn(record_versions(Arc::clone(&snapshots)));
         Agent { own, snapshots, reporter, phase, handed_over, control: task, versions }
     }
@@ -122,7 +122,7 @@
         self.snapshots.load().services.get(&service()).map_or(ConfigVersion(0), |it| it.version)
     }
 
-    /// How many slots have an owner, as this instance sees it.
+    /// Returns the number of slots with an owner in this instance's snapshot.
     fn owned_slots(&self) -> usize {
         let snapshot = self.snapshots.load();
         match snapshot.services.get(&service()).map(|it| &it.routes) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Who owns slots, as this instance sees it.
+    /// Returns the names of all owners of slots in this instance's snapshot.
     pub(super) fn owners_of_slots(&self) -> BTreeSet<InstanceName> {
         let snapshot = self.snapshots.load();
         match snapshot.services.get(&service()).map(|it| &it.routes) {
@@ -145,14 +145,14 @@
         }
     }
 
-    /// A caller asks for the service here.
-    pub(super) fn want_service(&self) {
+    /// Reports a caller's request for the tested service.
+    pub(super) fn request_service(&self) {
         self.reporter.hint(Report::UnknownService { service: service() });
     }
 
-    /// Waits until requests for the service may be sent to an instance.
+    /// Waits until this instance's routes of the tested service contain an instance.
     pub(super) async fn wait_routes_to(&self, instance: &Instance) {
-        wait("routes to an instance", || {
+        wait_until("routes to an instance", || {
             let snapshot = self.snapshots.load();
             let routes = snapshot.services.get(&service()).map(|it| &it.routes);
             routes.is_some_and(|it| it.instances().any(|it| it == instance))
@@ -160,45 +160,45 @@
         .await;
     }
 
-    /// Leaves its group, and goes on as a process that drains.
+    /// Leaves the group. The control thread keeps running, as in a process that drains.
     pub(super) async fn leave(&mut self) {
         self.phase.send_replace(Phase::Stopping);
-        timeout(PATIENCE, &mut self.handed_over).await.expect("a handover in time").unwrap();
+        timeout(WAIT_TIMEOUT, &mut self.handed_over).await.expect("handover timed out").unwrap();
     }
 
     pub(super) async fn wait_version(&self, version: ConfigVersion) {
-        wait("the version in force", || self.version() >= version).await;
+        wait_until("the version in force", || self.version() >= version).await;
     }
 
     pub(super) async fn wait_owned(&self, slots: usize) {
-        wait("owners of all slots", || self.owned_slots() == slots).await;
+        wait_until("owners of all slots", || self.owned_slots() == slots).await;
     }
 
-    /// Stops gracefully.
+    /// Stops gracefully and returns the published versions.
     pub(super) async fn stop(self) -> Vec<ConfigVersion> {
         self.phase.send_replace(Phase::Stopping);
-        timeout(PATIENCE, self.handed_over).await.expect("a handover in time").unwrap();
+        timeout(WAIT_TIMEOUT, self.handed_over).await.expect("handover timed out").unwrap();
         self.phase.send_replace(Phase::Exiting);
         self.control.await.unwrap();
         self.versions.abort();
         self.versions.await.unwrap_or_default()
     }
 
-    /// Ends at once, as a killed process does.
+    /// Ends the tasks at once, as a killed process would.
     pub(super) fn kill(self) {
         self.control.abort();
         self.versions.abort();
     }
 }
 
-/// Waits for a condition that must come about.
-pub(super) async fn wait(what: &str, condition: impl Fn() -> bool) {
+/// Waits until the condition holds and panics after [`WAIT_TIMEOUT`].
+pub(super) async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let waiting = async {
         while !condition() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, waiting).await.unwrap_or_else(|_| panic!("waited in vain for {what}"));
+    timeout(WAIT_TIMEOUT, waiting).await.unwrap_or_else(|_| panic!("timed out waiting for {what}"));
 }
 
 fn settings(service: &str, name: &str, control: SocketAddr, peers: &[SocketAddr]) -> AgentSettings {
@@ -215,8 +215,8 @@
     AgentSettings::parse(&text).unwrap()
 }
 
-/// An upstream that is ready at once, and a gate with nothing in flight.
-async fn serve_gate(reporter: Reporter, mut tasks: mpsc::UnboundedReceiver<GateTask>) {
+/// Runs a gate with nothing in flight, whose upstream is ready at once.
+async fn run_fake_gate(reporter: Reporter, mut tasks: mpsc::UnboundedReceiver<GateTask>) {
     let announcement = Announcement {
         service: service(),
         address: SocketAddr::from(([127, 0, 0, 1], 5)),
@@ -249,7 +249,7 @@
     }
 }
 
-/// Records each version that is published; a fall is found at once.
+/// Records each published version and panics if one is lower than the last.
 async fn record_versions(snapshots: Arc<SnapshotCell>) -> Vec<ConfigVersion> {
     let mut changes = snapshots.changes();
     let mut versions = Vec::new();
@@ -257,7 +257,11 @@
         let snapshot = snapshots.load();
         let Some(routes) = snapshot.services.get(&service()) else { continue };
         let last = versions.last().copied().unwrap_or_default();
-        assert!(routes.version >= last, "version {} after {last}", routes.version);
+        assert!(
+            routes.version >= last,
+            "published version {} after the higher version {last}",
+            routes.version
+        );
         if routes.version > last {
             versions.push(routes.version);
         }
--- a/crates/agent/src/control/tests/documents.rs
+++ b/crates/agent/src/control/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The table of documents in force.
+//! The table of documents in force and the routes of foreign services.
 
 use model::{ConfigVersion, Instance, ServiceName, SlotCount, Timestamp};
 use wire::exchange::{RouteMember, RouteTable};
@@ -18,6 +18,7 @@
     "classes": [{ "name": "lap", "weight": 1 }]
 }"#;
 
+/// Raises one document to each of the versions and checks the outcomes and the version in force.
 fn check(versions: &[u64], expected: &[RaiseOutcome]) {
     let service = ServiceName::new("standings").unwrap();
     let mut documents = Documents::default();
@@ -30,13 +31,13 @@
 }
 
 #[test]
-fn versions_only_rise() {
+fn only_later_versions_come_into_force() {
     use RaiseOutcome::{Raised, Unchanged};
     check(&[3, 5, 4, 5, 9], &[Raised, Raised, Unchanged, Unchanged, Raised]);
 }
 
 #[test]
-fn a_document_that_does_not_hold_leaves_the_former_in_force() {
+fn an_invalid_document_leaves_the_former_version_in_force() {
     let service = ServiceName::new("standings").unwrap();
     let mut documents = Documents::default();
     documents.raise(&service, ConfigVersion(1), DOCUMENT);
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn routes_are_taken_from_members_first() {
+fn routes_from_members_take_precedence() {
     let service = ServiceName::new("standings").unwrap();
     let mut foreign = ForeignRoutes::default();
     foreign.add(&service);
@@ -71,10 +72,10 @@
         foreign.update(&instance(from), table);
         assert_eq!(foreign.member_count(&service), members);
     };
-    // A group that nobody has joined yet, as passed on by an agent of another service.
+    // An agent of another service forwards the table of a group without members.
     check("lapboard-1", routes(0, &[]), None);
     check("lapboard-1", routes(0, &["a"]), Some(1));
-    // The same version from elsewhere is no news, from a member it is.
+    // A table of the same version is only accepted from a member.
     check("lapboard-1", routes(0, &["a", "b"]), Some(1));
     check("a", routes(0, &["a", "b"]), Some(2));
     check("lapboard-1", routes(1, &["a", "b", "c"]), Some(3));
@@ -82,12 +83,12 @@
 }
 
 #[test]
-fn the_platform_is_asked_while_routes_turn_out_stale_all_the_time() {
+fn the_platform_is_read_once_per_interval_while_stale_routes_are_reported() {
     let service = ServiceName::new("standings").unwrap();
     let mut foreign = ForeignRoutes::default();
     foreign.add(&service);
     foreign.update(&instance("a"), routes(1, &["a"]));
-    // All members that are known have gone, and each tenth of a second a request says so.
+    // All known members are unavailable, and a stale route is reported every 100 ms.
     let asked = (0..30).map(|it| Timestamp::from_ms(1_000 + it * 100));
     let platform: Vec<u64> = asked
         .filter(|it| foreign.begin_query(*it, &service).is_some_and(|it| it.platform.is_some()))
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn the_platform_is_asked_by_age_until_there_is_a_group() {
+fn stale_reads_are_used_only_until_the_first_routes_are_known() {
     let service = ServiceName::new("standings").unwrap();
     let mut foreign = ForeignRoutes::default();
     foreign.add(&service);
@@ -109,7 +110,8 @@
     foreign.update(&instance("a"), routes(1, &["a"]));
     assert!(foreign.has_responsive_members(&service));
     assert_eq!(begin_query(&mut foreign, 3), None);
-    // Its members have fallen silent: what is known is from before a loss, and an older state would name it again.
+    // The members stop answering. The known routes are older than their loss, and a stale read could
+    // return the lost members again.
     let later: Vec<_> = (4..9).filter_map(|it| begin_query(&mut foreign, it)).collect();
     assert_eq!(later.first(), Some(&Consistency::Latest));
     assert!(!foreign.has_responsive_members(&service));
--- a/crates/agent/src/control/tests/mod.rs
+++ b/crates/agent/src/control/tests/mod.rs
@@ -1,8 +1,8 @@
-//! Tests of the tables of control.
+//! Tests of the control thread and of its tables.
 
 mod config;
 mod documents;
-mod fleet;
+mod agent;
 mod leaving;
 mod status_schedule;
 pub(crate) mod platform;
--- a/crates/agent/src/control/tests/platform.rs
+++ b/crates/agent/src/control/tests/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, with the faults of the real one.
+//! An object store in memory that can simulate outages, lost answers and rollbacks.
 
 use std::{
     collections::BTreeMap,
@@ -15,7 +15,7 @@
 use object_store::{Change, Changes, Object, ObjectStore, StoreError, StoreResult};
 use tokio::{sync::watch, time::timeout};
 
-/// Objects with their versions; one counter for all.
+/// All objects, with one revision counter for the whole store.
 #[derive(Clone, Default)]
 struct Store {
     era: u64,
@@ -23,12 +23,14 @@
     objects: BTreeMap<String, Object>,
 }
 
+/// An object store whose faults are controlled by the test.
 pub(crate) struct FakeStore {
     store: Mutex<Store>,
-    copy: Mutex<Store>,
+    snapshot: Mutex<Store>,
     changed: watch::Sender<()>,
+    /// Whether all calls fail as unavailable.
     pub(crate) is_down: AtomicBool,
-    /// So many updates of `accepted/` take effect and then lose their answer.
+    /// The number of next updates under `accepted/` that take effect but whose answer is lost.
     pub(super) lost_answers: AtomicU32,
 }
 
@@ -36,23 +38,23 @@
     pub(crate) fn new() -> FakeStore {
         FakeStore {
             store: Mutex::default(),
-            copy: Mutex::default(),
+            snapshot: Mutex::default(),
             changed: watch::Sender::new(()),
             is_down: AtomicBool::new(false),
             lost_answers: AtomicU32::new(0),
         }
     }
 
-    /// Keeps a copy of all that there is now.
+    /// Saves the current state for a later [`FakeStore::roll_back`].
     pub(crate) fn take_snapshot(&self) {
-        *self.copy.lock().unwrap() = self.store.lock().unwrap().clone();
+        *self.snapshot.lock().unwrap() = self.store.lock().unwrap().clone();
     }
 
-    /// Comes back from the copy: revisions since are given out again, in the next era.
+    /// Restores the saved state. Later revisions are assigned again, in the next era.
     pub(crate) fn roll_back(&self) {
         let mut store = self.store.lock().unwrap();
         let era = store.era + 1;
-        *store = Store { era, ..self.copy.lock().unwrap().clone() };
+        *store = Store { era, ..self.snapshot.lock().unwrap().clone() };
         for object in store.objects.values_mut() {
             object.version = ObjectVersion::of(era, object.version.revision());
         }
@@ -60,7 +62,7 @@
         self.changed.send_replace(());
     }
 
-    /// Writes whatever the version, as an operator without care would.
+    /// Writes an object unconditionally and returns its version.
     pub(crate) fn put(&self, path: &str, body: &str) -> ObjectVersion {
         let version = self.store.lock().unwrap().put(path, Bytes::from(body.to_owned()));
         self.changed.send_replace(());
@@ -92,13 +94,13 @@
         Changes { revision, changes: changes.collect() }
     }
 
-    /// Whether what came after this is known.
+    /// Returns whether the changes after a revision are known, which a rollback discards.
     fn has_history(&self, after: ObjectVersion) -> bool {
         let store = self.store.lock().unwrap();
         after.era() == store.era && after.revision() <= store.revision
     }
 
-    /// Whether the answer of an update that has taken effect gets lost.
+    /// Returns whether the answer to an update that has taken effect is lost, and counts it.
     fn loses_answer(&self, path: &str) -> bool {
         let left = &self.lost_answers;
         path.starts_with("accepted/")
@@ -179,7 +181,7 @@
                     _ = changed.changed().await;
                 }
             };
-            // An end of the wait without a change is an empty answer.
+            // A wait that ends without a change returns an empty answer.
             _ = timeout(wait, waiting).await;
             self.check("watch")?;
             if !self.has_history(after) {
--- a/crates/agent/src/control/tests/status_schedule.rs
+++ b/crates/agent/src/control/tests/status_schedule.rs
@@ -1,4 +1,4 @@
-//! How often a status is written.
+//! The times at which a status is written.
 
 use model::{ConfigVersion, GroupId, InstanceName, ServiceName, Term, Timestamp, Zone};
 use settings::{CoordinatorStatus, InForce, Measures, MoveStatus, Status};
@@ -7,7 +7,7 @@
 
 const TICK_MS: u64 = 25;
 
-/// A status of a group of 25.
+/// Returns a status of a group of 25 members, whose version `accepted` is in force on `instances`.
 fn status(accepted: u64, instances: u32, last_move: u64) -> Status {
     let name = |it: &str| InstanceName::new(it).unwrap();
     let moved = MoveStatus {
@@ -39,7 +39,8 @@
     }
 }
 
-/// The times in milliseconds at which a status is written, of which there is one each tick.
+/// Checks the times in milliseconds at which the status is written. `status_at` returns the status
+/// of each tick.
 fn check(end_ms: u64, jitter: f64, status_at: impl Fn(u64) -> Status, expected: &[u64]) {
     let mut schedule = StatusSchedule::default();
     let mut writes = Vec::new();
@@ -54,34 +55,34 @@
 }
 
 #[test]
-fn a_quiet_group_writes_each_half_minute() {
+fn an_unchanged_status_is_written_every_30_s() {
     check(70_000, 0.5, |_| status(1, 25, 0), &[0, 30_000, 60_000]);
 }
 
 #[test]
-fn a_document_is_told_once_it_is_in_force_everywhere() {
-    let spread = |at_ms: u64| match at_ms {
+fn a_document_is_written_once_it_is_in_force_on_all_members() {
+    let rollout = |at_ms: u64| match at_ms {
         0..2_000 => status(1, 25, 0),
         2_000..2_300 => status(2, 8, 0),
         _ => status(2, 25, 0),
     };
-    check(4_000, 0.5, spread, &[0, 2_300]);
+    check(4_000, 0.5, rollout, &[0, 2_300]);
 }
 
 #[test]
-fn a_document_that_stays_behind_is_told_too() {
-    let spread = |at_ms: u64| if at_ms < 2_000 { status(1, 25, 0) } else { status(2, 24, 0) };
-    check(4_000, 0.5, spread, &[0, 2_500]);
+fn an_incomplete_rollout_is_written_after_the_longest_wait() {
+    let rollout = |at_ms: u64| if at_ms < 2_000 { status(1, 25, 0) } else { status(2, 24, 0) };
+    check(4_000, 0.5, rollout, &[0, 2_500]);
 }
 
 #[test]
-fn a_rush_of_moves_is_told_ever_less_often() {
-    let rush = |at_ms: u64| status(1, 25, at_ms);
-    check(45_000, 0.0, rush, &[0, 1_000, 3_000, 7_000, 15_000, 23_000, 31_000, 39_000]);
+fn continuous_moves_are_written_at_increasing_intervals() {
+    let moves = |at_ms: u64| status(1, 25, at_ms);
+    check(45_000, 0.0, moves, &[0, 1_000, 3_000, 7_000, 15_000, 23_000, 31_000, 39_000]);
 }
 
 #[test]
-fn documents_do_not_put_off_news_of_a_loss() {
+fn document_changes_do_not_delay_a_write_about_a_loss() {
     let edits = |at_ms: u64| match at_ms {
         0..8_000 => status(at_ms / 1_000, 25, 0),
         _ => status(7, 25, 1),
@@ -91,14 +92,14 @@
 }
 
 #[test]
-fn groups_draw_when_they_tell_of_a_lost_zone() {
+fn a_loss_is_written_after_a_random_delay() {
     let loss = |at_ms: u64| status(1, 25, u64::from(at_ms >= 10_000));
     check(20_000, 0.0, loss, &[0, 10_000]);
     check(20_000, 0.8, loss, &[0, 11_600]);
 }
 
 #[test]
-fn a_failed_write_is_made_up_for_after_a_pause() {
+fn a_failed_write_is_retried_after_a_pause() {
     let mut schedule = StatusSchedule::default();
     schedule.record_write(Timestamp::from_ms(0), status(1, 25, 0), 0.0);
     schedule.record_failure(Timestamp::from_ms(10));
--- a/crates/agent/src/control/tests/upstream.rs
+++ b/crates/agent/src/control/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Which life of the upstream an announcement comes from.
+//! The classification of announcements by incarnation, and the announcement timeout.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
     report::Announcement,
 };
 
-const EVERY: Duration = Duration::from_secs(1);
+const INTERVAL: Duration = Duration::from_secs(1);
 
 fn announcement(id: &str, born_ms: Option<u64>, sequence: u64) -> Announcement {
     Announcement {
@@ -27,7 +27,7 @@
     }
 }
 
-/// One that was heard at 10 s, and said that it began at 5,000.
+/// Returns a monitor whose upstream started at 5,000 ms and announced itself at 10 s.
 fn known() -> UpstreamMonitor {
     let mut state = UpstreamMonitor::default();
     state.announcement = Some(announcement("i-1", Some(5_000), 7));
@@ -36,11 +36,11 @@
 }
 
 fn kind_at(now_ms: u64, announcement: &Announcement) -> AnnouncementKind {
-    known().classify(Timestamp::from_ms(now_ms), EVERY, announcement)
+    known().classify(Timestamp::from_ms(now_ms), INTERVAL, announcement)
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_name_is_another_life() {
+fn a_restarted_upstream_with_the_same_name_is_a_new_incarnation() {
     assert_eq!(
         kind_at(10_100, &announcement("i-1", Some(5_000), 8)),
         AnnouncementKind::SameIncarnation
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn late_announcements_change_nothing() {
+fn announcements_out_of_order_or_of_earlier_incarnations_are_stale() {
     assert_eq!(kind_at(10_100, &announcement("i-1", Some(5_000), 7)), AnnouncementKind::Stale);
     assert_eq!(
         kind_at(10_100, &announcement("i-1", Some(1_000), 90)),
         AnnouncementKind::Stale,
-        "earlier life"
+        "an earlier incarnation"
     );
     assert_eq!(kind_at(10_100, &announcement("i-0", Some(1_000), 90)), AnnouncementKind::Stale);
 }
 
-/// Its time of day may have been put back between two lives.
+/// An upstream's wall clock may have been set back between two incarnations.
 #[test]
-fn after_silence_whoever_announces_itself_is_there() {
+fn an_announcement_after_the_timeout_is_a_new_incarnation() {
     assert_eq!(
         kind_at(12_000, &announcement("i-2", Some(1_000), 1)),
         AnnouncementKind::NewIncarnation
@@ -72,14 +72,14 @@
 }
 
 #[test]
-fn one_that_does_not_say_when_it_began_is_of_another_writer() {
+fn an_announcement_without_a_start_time_is_stale() {
     assert_eq!(kind_at(12_000, &announcement("i-1", None, 8)), AnnouncementKind::Stale);
     assert_eq!(kind_at(12_000, &announcement("i-2", None, 1)), AnnouncementKind::Stale);
 }
 
-/// Its keys run out without announcements, so nobody waits for it longer than for them.
+/// Its grants expire without announcements, so the timeout need not be longer than that.
 #[test]
-fn an_upstream_that_is_granted_keys_by_announcements_is_lost_sooner() {
+fn an_upstream_granted_keys_by_announcements_times_out_sooner() {
     let every = Duration::from_millis(1_500);
     assert_eq!(announcement_timeout(KeyGrants::Calls, every), Duration::from_secs(4));
     assert_eq!(announcement_timeout(KeyGrants::Announcements, every), Duration::from_millis(2_250));
--- a/crates/agent/src/control/tests/watch.rs
+++ b/crates/agent/src/control/tests/watch.rs
@@ -1,24 +1,24 @@
-//! How often a coordinator watches.
+//! The rate at which a coordinator starts watches.
 
 use model::{ObjectVersion, Timestamp};
 
 use crate::control::watch::Watch;
 
-/// What the platform does with a watch.
+/// The platform's response to each watch.
 #[derive(Clone, Copy)]
 enum Platform {
-    /// Answers after so many milliseconds.
+    /// An answer after this many milliseconds.
     Answers(u64),
-    /// Fails after so many milliseconds.
+    /// An error after this many milliseconds.
     Fails(u64),
-    Silent,
+    NoAnswer,
 }
 
-/// How many watches begin in a minute of ticks.
+/// Checks the number of watches started within a minute.
 fn check(platform: Platform, expected: usize) {
     let mut watch = Watch::default();
     let mut ends_at = None;
-    let mut begun = 0;
+    let mut started = 0;
     for at_ms in (0..60_000).step_by(25) {
         let now = Timestamp::from_ms(at_ms);
         if ends_at.is_some_and(|it| at_ms >= it) {
@@ -26,28 +26,28 @@
             match platform {
                 Platform::Answers(_) => watch.on_answer(ObjectVersion(1)),
                 Platform::Fails(_) => watch.on_failure(now, 1.5),
-                Platform::Silent => {}
+                Platform::NoAnswer => {}
             }
         }
         if watch.try_start(now) {
-            begun += 1;
+            started += 1;
             ends_at = match platform {
                 Platform::Answers(after_ms) | Platform::Fails(after_ms) => Some(at_ms + after_ms),
-                Platform::Silent => None,
+                Platform::NoAnswer => None,
             };
         }
     }
-    assert_eq!(begun, expected);
+    assert_eq!(started, expected);
 }
 
 #[test]
-fn the_cost_of_watches_is_bounded() {
-    // One after another.
+fn the_rate_of_watches_is_bounded() {
+    // Each watch is held for 10 s.
     check(Platform::Answers(10_000), 6);
-    // Ended at once: no more than ten a second.
+    // Each watch is answered at once: at most ten are started per second.
     check(Platform::Answers(0), 600);
-    // At 0, 0.75 and 2.25 s, then each 3 s.
+    // Started at 0, 0.75 and 2.25 s, then every 3 s.
     check(Platform::Fails(0), 3 + 19);
-    // Given up after 15 s.
-    check(Platform::Silent, 4);
+    // Each watch is abandoned after 15 s.
+    check(Platform::NoAnswer, 4);
 }
