--- a/crates/agent/src/control/group.rs
+++ b/crates/agent/src/control/group.rs
@@ -141,7 +141,7 @@
     fn log_grants(&mut self) {
         for GrantedRange { first, last, token, to, reason } in self.granted_ranges.drain(..) {
             let reason = reason_name(reason);
-            log::info!(target: "ownership", "Granted slots {first} to {last} to {to}, token {token}, reason: {reason}.");
+            log::info!(target: "ownership", "Granted slots {first}-{last} to {to}, token {token}, reason: {reason}.");
         }
     }
 }
@@ -171,7 +171,7 @@
             log::warn!(target: "ownership", "This instance is no longer the coordinator, term {term}.");
         }
         Event::SessionOpened => {
-            log::info!(target: "ownership", "The session with the coordinator was opened.")
+            log::info!(target: "ownership", "Opened a session with the coordinator.")
         }
         Event::SessionEnded { reason } => {
             log::warn!(target: "ownership", "The session with the coordinator ended: {reason}.");
--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -38,7 +38,7 @@
                 self.on_group_message(from, &payload);
             }
             Envelope::Group { service, .. } => {
-                log::debug!(target: "control", "Ignored a group message of {from} for {service}, which this instance is no member of.");
+                log::debug!(target: "control", "Ignored a group message of {from}: this instance is not a member of {service}.");
             }
             Envelope::FetchDocument { service } => self.send_document(&from, service),
             // Documents of a central configuration are not replaced one by one.
--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -71,7 +71,7 @@
 
 impl Control {
     pub(crate) fn new(parts: Parts) -> Control {
-        log::info!(target: "control", "Control of instance {} of {} starts.", parts.own, parts.settings.service);
+        log::info!(target: "control", "Starting control of instance {} of service {}.", parts.own, parts.settings.service);
         Control {
             rng: Pcg64Mcg::seed_from_u64(parts.seed),
             documents: Documents::default(),
--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -97,9 +97,9 @@
     /// Forwards a request until it has a final reply. Dropping the future cancels the request.
     pub(crate) async fn send(&self, request: GateRequest, team: &TeamName) -> FinalReply {
         let mut underway = self.parts.log.start(request);
-        let ending = self.forward(&mut underway, team).await;
-        underway.end(&ending);
-        ending
+        let final_reply = self.forward(&mut underway, team).await;
+        underway.end(&final_reply);
+        final_reply
     }
 
     /// Attempts a request until it is answered or may not be retried.
@@ -116,16 +116,16 @@
         // An earlier attempt, or an earlier sending by the caller, may have run the request. Replies
         // of later attempts cannot rule that out.
         let earlier_unknown = (!request.age.is_zero()).then_some(UnknownReason::NoRecord);
-        let mut unknown: Option<UnknownReason> = earlier_unknown;
+        let mut unknown_reason: Option<UnknownReason> = earlier_unknown;
         let content = request.content;
         loop {
             if self.parts.quarantine.is_quarantined(content) {
                 let reply = GateReply::not_run(NotRunReason::Quarantined);
-                return FinalReply::without_retry_after(overall_reply(reply, unknown));
+                return FinalReply::without_retry_after(overall_reply(reply, unknown_reason));
             }
             let Some(routes) = self.routes(&request.service) else {
                 let reply = GateReply::not_run(NotRunReason::Unreachable);
-                return FinalReply::without_retry_after(overall_reply(reply, unknown));
+                return FinalReply::without_retry_after(overall_reply(reply, unknown_reason));
             };
             let state = self.state(&routes);
             if std::mem::take(&mut is_first_attempt) {
@@ -156,7 +156,7 @@
                 return FinalReply { reply, retry_after: None };
             }
             if let Outcome::Unknown(reason) = attempt.outcome {
-                unknown = Some(reason);
+                unknown_reason = Some(reason);
             }
             let idempotent = request.idempotent;
             let verdict =
@@ -169,8 +169,8 @@
                 }
                 RetryVerdict::GiveUp { retry_after } => {
                     let retry_after =
-                        retry_after.map(|it| unowned_retry_after(it, attempt.outcome));
-                    return FinalReply { reply: overall_reply(reply, unknown), retry_after };
+                        retry_after.map(|it| unserved_retry_after(it, attempt.outcome));
+                    return FinalReply { reply: overall_reply(reply, unknown_reason), retry_after };
                 }
             }
         }
@@ -201,10 +201,10 @@
         placing.tries += 1;
         placing.sent_to = Some(target.clone());
         placing.weighed = picked.comparison;
-        let in_flight = state.selector.start(now, self.parts.clock, &target, routes, request);
+        let in_flight = state.selector.track(now, self.parts.clock, &target, routes, request);
         let Replied { reply, load } = self.send_to(&target, request).await;
         if let Some(load) = load {
-            state.selector.report(self.parts.clock.now(), &target, request.kind, load);
+            state.selector.record_load(self.parts.clock.now(), &target, request.kind, load);
         }
         in_flight.finish(reply.outcome());
         match &reply {
@@ -228,7 +228,7 @@
         if *target != self.parts.own {
             return self.parts.links.ask(target, request).await;
         }
-        // The gate enforces the deadline.
+        // The local gate enforces the deadline itself.
         self.parts.gate.serve(request.clone()).await
     }
 
@@ -268,8 +268,8 @@
 
 /// Returns the reply for the caller: an answer if there is one, else an unknown outcome if any
 /// attempt had one. A named owner is not passed on to the caller.
-fn overall_reply(reply: GateReply, unknown: Option<UnknownReason>) -> GateReply {
-    match (reply, unknown) {
+fn overall_reply(reply: GateReply, unknown_reason: Option<UnknownReason>) -> GateReply {
+    match (reply, unknown_reason) {
         (reply @ GateReply::Answered(_), _) => reply,
         (_, Some(reason)) => GateReply::unknown(reason),
         (GateReply::NotOwner { .. }, None) => GateReply::not_run(NotRunReason::NotOwner),
@@ -279,7 +279,7 @@
 
 /// Increases `retry_after` to at least [`RETRY_AFTER_MIN`] if no instance could serve the request,
 /// since that state does not change within a few milliseconds.
-fn unowned_retry_after(retry_after: Duration, outcome: Outcome) -> Duration {
+fn unserved_retry_after(retry_after: Duration, outcome: Outcome) -> Duration {
     use NotRunReason::{Draining, NoOwner, NotOwner, Unreachable};
     match outcome {
         Outcome::NotRun(NoOwner | NotOwner | Unreachable | Draining) => {
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -35,7 +35,7 @@
     avoided: Mutex<HashMap<Instance, Timestamp>>,
 }
 
-/// The selection for one list of members.
+/// A selection and the list of members that it was last updated with.
 struct MemberSelection {
     selection: Selection,
     members: Vec<MemberRoute>,
@@ -43,6 +43,8 @@
 
 /// A request in flight at a target. Dropping it without [`InFlight::finish`] counts as cancelled.
 pub(super) struct InFlight {
+    /// The selection that the target was picked from, `None` if there was no choice or the result is
+    /// recorded.
     selection: Option<Arc<Mutex<Option<MemberSelection>>>>,
     clock: Clock,
     target: Instance,
@@ -54,21 +56,21 @@
         Selector { own, selection: Arc::default(), avoided: Mutex::default() }
     }
 
-    /// Returns the next target, with the weights by which it was picked if there was a choice, or
-    /// `None` if no instance may currently run the request.
+    /// Returns the next target, with the comparison by which it was picked if there was a choice, or
+    /// `None` if no instance can currently run the request. A target named by a peer comes first.
     pub(super) fn select_target(
         &self,
         now: Timestamp,
         routes: &ServiceRoutes,
         request: &GateRequest,
-        hint: Option<Instance>,
+        owner_hint: Option<Instance>,
         tried: &[Instance],
     ) -> Option<PickedTarget> {
-        let only = |instance| PickedTarget { instance, comparison: None };
+        let without_comparison = |instance| PickedTarget { instance, comparison: None };
         match (&routes.routes, request.key_hash) {
-            _ if hint.is_some() => hint.map(only),
+            _ if owner_hint.is_some() => owner_hint.map(without_comparison),
             (Routes::ByKey(routes), Some(key_hash)) => {
-                owner_or_successor(routes, key_hash, tried).map(only)
+                owner_or_successor(routes, key_hash, tried).map(without_comparison)
             }
             (Routes::Any(members), None) if request.idempotent || !routes.document.resends => {
                 self.pick(now, routes, request, members, tried)
@@ -82,7 +84,7 @@
                     request.id,
                 )
                 .or_else(|| designated_member(members, request.id))
-                .map(only)
+                .map(without_comparison)
             }
             _ => None,
         }
@@ -105,7 +107,7 @@
         current.map(|(instance, _)| instance.name.clone()).collect()
     }
 
-    /// Picks one of the members and counts the request as in flight there: [`Selector::start`] must
+    /// Picks one of the members and counts the request as in flight there: [`Selector::track`] must
     /// follow.
     fn pick(
         &self,
@@ -123,7 +125,7 @@
             let selection = Selection::new(config, self.own.zone.clone());
             MemberSelection { selection, members: Vec::new() }
         });
-        if !same_members(&state.members, members) {
+        if !have_same_members(&state.members, members) {
             let specs: Vec<TargetSpec> = members.iter().map(target_spec).collect();
             state.selection.update(now, &specs);
             state.members = members.to_vec();
@@ -135,7 +137,7 @@
     }
 
     /// Records the load that a gate reported with its reply.
-    pub(super) fn report(
+    pub(super) fn record_load(
         &self,
         now: Timestamp,
         target: &Instance,
@@ -155,7 +157,7 @@
 
     /// Starts tracking a request that is sent to a target. Its result is recorded in the selection
     /// if the target was picked from there.
-    pub(super) fn start(
+    pub(super) fn track(
         &self,
         now: Timestamp,
         clock: Clock,
@@ -185,22 +187,22 @@
             Outcome::NotRun(NotRunReason::DeadlineExceeded) => TargetResult::Cancelled,
             Outcome::NotRun(_) => TargetResult::Shed,
         };
-        self.end(result);
+        self.record_result(result);
     }
 
-    fn end(&mut self, result: TargetResult) {
+    fn record_result(&mut self, result: TargetResult) {
         let Some(selection) = self.selection.take() else { return };
         let now = self.clock.now();
         if let Some(state) = &mut *lock_selection(&selection) {
-            let taken = now.since(self.started);
-            state.selection.finish(now, &self.target, taken, result);
+            let elapsed = now.since(self.started);
+            state.selection.finish(now, &self.target, elapsed, result);
         }
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.end(TargetResult::Cancelled);
+        self.record_result(TargetResult::Cancelled);
     }
 }
 
@@ -210,7 +212,8 @@
     selection.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn same_members(a: &[MemberRoute], b: &[MemberRoute]) -> bool {
+/// Returns whether both lists have the same members in the same states and order.
+fn have_same_members(a: &[MemberRoute], b: &[MemberRoute]) -> bool {
     a.len() == b.len()
         && a.iter().zip(b).all(|(a, b)| a.instance == b.instance && a.state == b.state)
 }
@@ -230,8 +233,8 @@
     tried: &[Instance],
 ) -> Option<Instance> {
     let route = routes.route(key_hash);
-    let mut all = route.owner.iter().chain(&route.successors);
-    all.find(|it| !tried.contains(it)).or(route.owner.as_ref()).cloned()
+    let mut candidates = route.owner.iter().chain(&route.successors);
+    candidates.find(|it| !tried.contains(it)).or(route.owner.as_ref()).cloned()
 }
 
 /// Returns the only member that may run a non-idempotent request. Agents with the same list of
