--- a/crates/agent/src/control/accept.rs
+++ b/crates/agent/src/control/accept.rs
@@ -183,7 +183,7 @@
             RaiseOutcome::Unchanged | RaiseOutcome::Invalid => {}
             RaiseOutcome::Raised if *service == *self.service() => self.on_own_document_changed(),
             RaiseOutcome::Raised => {
-                self.dirty = true;
+                self.is_dirty = true;
                 self.foreign.mark_due(service);
             }
         }
--- a/crates/agent/src/control/central_config.rs
+++ b/crates/agent/src/control/central_config.rs
@@ -24,7 +24,7 @@
             }
         }
         self.routing = Some(Arc::clone(&config.routing));
-        self.dirty = true;
+        self.is_dirty = true;
         let now = self.now();
         for (service, _) in &config.documents {
             self.look_up_service(now, service.clone());
--- a/crates/agent/src/control/foreign.rs
+++ b/crates/agent/src/control/foreign.rs
@@ -194,13 +194,14 @@
         let is_responsive = foreign.has_responsive_members();
         self.read_accepted(&service);
         // Responsive members supply newer routes than the platform. Each central configuration looks
-        // up all services again; reading the group here too made up a third of all platform calls.
+        // up all services again; without this condition, the two reads of the group for each service
+        // in each process were a third of all platform calls.
         if !is_responsive {
             self.parts.calls.read_group(&service, ONLY_GROUP, Consistency::Latest);
             self.query_peers(&service);
         }
         // The document may already be in force, from a watch.
-        self.dirty = true;
+        self.is_dirty = true;
     }
 
     /// Queries the routes of a service after a request was sent by a stale route. `owner` is the
@@ -313,7 +314,7 @@
         if service == *self.service() && self.group.is_none() {
             self.reported_members = table.members.iter().map(|it| it.instance.clone()).collect();
         }
-        self.dirty |= self.foreign.update(&from, table);
+        self.is_dirty |= self.foreign.update(&from, table);
         self.on_version_announced(&from, service, config);
     }
 
@@ -337,7 +338,7 @@
         }
         if let Some(plan) = read.plan {
             foreign.routes = Some(RouteTable { config, ..routes_from_plan(plan) });
-            self.dirty = true;
+            self.is_dirty = true;
         }
         let mut targets = self.sample_members(&service, PARALLEL_QUERIES);
         targets.extend(read.coordinator.and_then(|it| it.holder));
--- a/crates/agent/src/control/group.rs
+++ b/crates/agent/src/control/group.rs
@@ -24,7 +24,7 @@
     /// The recent moves, the newest first.
     pub(crate) moves: VecDeque<MoveStatus>,
     /// Whether the node has stopped and holds no slots or leases.
-    pub(crate) stopped: bool,
+    pub(crate) has_stopped: bool,
     /// Slot ranges granted by the current step, for the log.
     granted_ranges: Vec<GrantedRange>,
 }
@@ -57,7 +57,7 @@
             outputs: Vec::new(),
             view,
             moves: VecDeque::new(),
-            stopped: false,
+            has_stopped: false,
             granted_ranges: Vec::new(),
         }
     }
@@ -105,7 +105,7 @@
             }
             Output::Gate(_) => unreachable!("the caller applies gate commands itself"),
             Output::Event(event) => self.record_event(event),
-            Output::Stopped => self.stopped = true,
+            Output::Stopped => self.has_stopped = true,
         }
     }
 
@@ -114,6 +114,7 @@
         Envelope::Group { service: self.service.clone(), group: ONLY_GROUP, payload }
     }
 
+    /// Logs an event. Grants are collected, for the log and for the moves in the status.
     fn record_event(&mut self, event: Event) {
         log_event(&event);
         let Event::Granted { slot, token, to, reason } = event else { return };
@@ -146,7 +147,7 @@
     }
 }
 
-/// Consecutive slots granted in one step to the same instance with the same token.
+/// Consecutive slots granted in one step to the same instance, with the same token and reason.
 struct GrantedRange {
     first: Slot,
     last: Slot,
--- a/crates/agent/src/control/publish.rs
+++ b/crates/agent/src/control/publish.rs
@@ -16,10 +16,10 @@
 impl Control {
     /// Publishes a new snapshot if the last one is outdated.
     pub(crate) fn publish(&mut self) {
-        if !self.dirty {
+        if !self.is_dirty {
             return;
         }
-        self.dirty = false;
+        self.is_dirty = false;
         let mut services = HashMap::new();
         if let Some(routes) = self.own_service_routes() {
             services.insert(routes.service.clone(), Arc::new(routes));
--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -64,7 +64,7 @@
     pub(super) routing: Option<Arc<RoutingTable>>,
     suspension: SuspensionDetector,
     /// Whether the snapshot for the traffic threads is outdated.
-    pub(super) dirty: bool,
+    pub(super) is_dirty: bool,
     /// Whether the graceful stop has begun.
     pub(super) is_stopping: bool,
 }
@@ -84,7 +84,7 @@
             upstream: UpstreamMonitor::default(),
             routing: None,
             suspension: SuspensionDetector::default(),
-            dirty: true,
+            is_dirty: true,
             is_stopping: false,
             parts,
         }
@@ -126,20 +126,20 @@
         }
         log::info!(target: "control", "Stopping; handing over all slots.");
         self.is_stopping = true;
-        self.dirty = true;
+        self.is_dirty = true;
         let now = self.now();
         self.step(now, Input::Stop);
     }
 
     /// Returns whether the graceful stop has begun and this instance no longer holds any slots.
     pub(crate) fn is_handed_over(&self) -> bool {
-        self.is_stopping && self.group.as_ref().is_none_or(|it| it.stopped)
+        self.is_stopping && self.group.as_ref().is_none_or(|it| it.has_stopped)
     }
 
     /// Passes one input to the group's node and executes its outputs.
     pub(super) fn step(&mut self, now: Timestamp, input: Input) {
         let Some(group) = &mut self.group else { return };
-        self.dirty |= group.step(now, input, &self.parts);
+        self.is_dirty |= group.step(now, input, &self.parts);
     }
 
     /// Applies the own service's document after its first or a later version came into force. The
@@ -148,7 +148,7 @@
         let now = self.now();
         let service = self.service().clone();
         let Some(in_force) = self.documents.in_force(&service).cloned() else { return };
-        self.dirty = true;
+        self.is_dirty = true;
         if self.group.is_none() {
             let peers = std::mem::take(&mut self.reported_members);
             let group = Group::new(now, &self.parts, &in_force.document, peers);
--- a/crates/agent/src/control/status.rs
+++ b/crates/agent/src/control/status.rs
@@ -28,7 +28,7 @@
     /// The object's version, or `None` if it must be read before the next write.
     object_version: Option<ObjectVersion>,
     /// Whether a read or write of the object is in flight.
-    in_flight: bool,
+    is_in_flight: bool,
     schedule: StatusSchedule,
     /// When the accepted version was first in force on all members, in milliseconds since 1970.
     in_force_since_unix_ms: Option<u64>,
@@ -44,7 +44,7 @@
     /// Whether all slots have been owned at some time.
     was_owned: bool,
     /// The start of the current period.
-    since: Option<Timestamp>,
+    started_at: Option<Timestamp>,
     /// The end and the duration of each past period.
     ended: VecDeque<(Timestamp, Duration)>,
 }
@@ -52,11 +52,11 @@
 impl UnownedPeriods {
     fn record(&mut self, now: Timestamp, has_unowned: bool) {
         self.ended.retain(|(at, _)| now.since(*at) <= MEASURE_WINDOW);
-        match self.since {
-            None if has_unowned && self.was_owned => self.since = Some(now),
-            Some(since) if !has_unowned => {
-                self.ended.push_back((now, now.since(since)));
-                self.since = None;
+        match self.started_at {
+            None if has_unowned && self.was_owned => self.started_at = Some(now),
+            Some(started_at) if !has_unowned => {
+                self.ended.push_back((now, now.since(started_at)));
+                self.started_at = None;
             }
             _ => {}
         }
@@ -64,7 +64,7 @@
     }
 
     fn longest_duration(&self, now: Timestamp) -> Duration {
-        let running = self.since.map(|it| now.since(it));
+        let running = self.started_at.map(|it| now.since(it));
         self.ended.iter().map(|(_, it)| *it).chain(running).max().unwrap_or_default()
     }
 }
@@ -99,34 +99,36 @@
             self.status.schedule = StatusSchedule::default();
             return;
         }
-        if self.status.in_flight {
+        if self.status.is_in_flight {
             return;
         }
         let status = self.build_status();
         if !self.status.schedule.is_due(now, &status) {
             return;
         }
-        self.status.in_flight = true;
+        self.status.is_in_flight = true;
         match self.status.object_version {
             None => self.parts.calls.read_status(&status.service, ONLY_GROUP),
-            Some(object) => {
-                self.parts.calls.write_status(object, &status);
+            Some(version) => {
+                self.parts.calls.write_status(version, &status);
                 let jitter = self.rng.random();
                 self.status.schedule.record_write(now, status, jitter);
             }
         }
     }
 
+    /// Handles a read of the status object's version.
     pub(super) fn on_status_read(&mut self, result: Result<Option<ObjectVersion>, StoreError>) {
-        self.status.in_flight = false;
+        self.status.is_in_flight = false;
         match result {
             Ok(version) => self.status.object_version = Some(version.unwrap_or_default()),
             Err(error) => self.on_status_failure(&error),
         }
     }
 
+    /// Handles the result of a write of the status.
     pub(super) fn on_status_written(&mut self, result: Result<ObjectVersion, StoreError>) {
-        self.status.in_flight = false;
+        self.status.is_in_flight = false;
         match result {
             Ok(version) => self.status.object_version = Some(version),
             Err(error) => self.on_status_failure(&error),
@@ -141,7 +143,7 @@
     }
 
     fn build_status(&mut self) -> Status {
-        let in_force = self.in_force();
+        let in_force = self.count_in_force();
         let Some(group) = &self.group else {
             unreachable!("only a member of a group is its coordinator")
         };
@@ -162,14 +164,16 @@
             },
             owners: view.members.iter().map(|it| owner_status(it, &view.owners)).collect(),
             upstreams: view.members.iter().map(upstream_status).collect(),
-            grants: grants(view),
+            grants: grant_statuses(view),
             hot_keys: view.owners.iter().filter_map(hot_key_status).collect(),
-            measures: self.measures(),
+            measures: self.compute_measures(),
             moves: group.moves.iter().cloned().collect(),
         }
     }
 
-    fn in_force(&mut self) -> InForce {
+    /// Counts the members on which the accepted version is in force, and keeps the time since when
+    /// it is in force on all.
+    fn count_in_force(&mut self) -> InForce {
         let accepted = self.documents.version(self.service());
         let members = self.group.as_ref().map_or(&[][..], |it| &it.view.members);
         let instances = members.iter().filter(|it| it.config >= accepted).count() as u32;
@@ -183,7 +187,8 @@
         InForce { instances, of, since_unix_ms: *since }
     }
 
-    fn measures(&self) -> Measures {
+    /// Computes imbalance, churn and unavailability over [`MEASURE_WINDOW`].
+    fn compute_measures(&self) -> Measures {
         let Some(group) = &self.group else { return Measures::default() };
         let loads: Vec<u64> = group.view.members.iter().map(|it| it.load_us_per_s).collect();
         let mean = loads.iter().sum::<u64>() as f64 / loads.len().max(1) as f64;
@@ -238,7 +243,7 @@
 
 /// Returns the grants of all slots in order, or an empty list if there are more than
 /// [`GRANTS_MAX`].
-fn grants(view: &NodeView) -> Vec<GrantStatus> {
+fn grant_statuses(view: &NodeView) -> Vec<GrantStatus> {
     let slots = || view.owners.iter().filter(|it| it.key_hash.is_none());
     if slots().count() > GRANTS_MAX {
         return Vec::new();
--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -166,7 +166,7 @@
                 target: "control",
                 "The announced state of the upstream at {} is now {:?}.", announcement.address, announcement.state,
             );
-            self.dirty = true;
+            self.is_dirty = true;
         }
         self.upstream.announcement = Some(announcement);
         self.report_upstream_state();
@@ -182,7 +182,7 @@
         log::info!(target: "control", "The upstream {upstream_id} is leaving; its state is now draining.");
         announcement.state = UpstreamState::Draining;
         self.upstream.is_leaving = true;
-        self.dirty = true;
+        self.is_dirty = true;
         self.report_upstream_state();
     }
 
@@ -201,7 +201,7 @@
                 self.parts.gate.mark_possibly_cold();
             }
         }
-        self.dirty = true;
+        self.is_dirty = true;
         self.report_upstream_state();
     }
 
@@ -232,7 +232,7 @@
             Some(announcement) if has_timed_out && announcement.state != UpstreamState::Lost => {
                 log::warn!(target: "control", "The upstream has stopped announcing itself; it counts as lost.");
                 announcement.state = UpstreamState::Lost;
-                self.dirty = true;
+                self.is_dirty = true;
                 self.report_upstream_state();
             }
             _ => {}
