--- a/crates/agent/src/gate/lane.rs
+++ b/crates/agent/src/gate/admission_queue.rs
@@ -25,24 +25,24 @@
 use crate::{clock::Clock, request::whole_us};
 
 /// What a request is expected to take until some have been measured.
-const SERVICE_GUESS: Duration = Duration::from_millis(10);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 /// How many mean deviations above the mean a request is given room to run.
-const CERTAINTY: f64 = 4.0;
+const SERVICE_TIME_DEVIATIONS: f64 = 4.0;
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
 /// Admission, shared by the requests of the traffic threads.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct AdmissionQueue {
     clock: Clock,
     classes: HashMap<ClassName, ClassIndex>,
-    state: Mutex<LaneState>,
+    state: Mutex<QueueState>,
     /// A request has begun to wait.
     queued: Arc<Notify>,
     ticker: Mutex<Option<AbortHandle>>,
 }
 
 #[derive(Debug)]
-struct LaneState {
+struct QueueState {
     admission: Admission,
     waiting: HashMap<Ticket, oneshot::Sender<Verdict>>,
     rng: Pcg64Mcg,
@@ -51,16 +51,16 @@
 
 /// What a lane says to a request that arrives.
 #[derive(Debug)]
-pub(crate) enum Offer {
+pub(crate) enum AdmissionDecision {
     Go(Permit),
-    Wait(Place),
+    Wait(QueuedRequest),
     Refused { reason: NotRunReason, retry_after: Option<Duration> },
 }
 
 /// One of the upstream's slots; dropped, it goes to the next request.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    lane: Arc<Lane>,
+    queue: Arc<AdmissionQueue>,
     ticket: Ticket,
     /// How the request ended: never given to the upstream, until said otherwise.
     pub(crate) completion: Completion,
@@ -68,14 +68,14 @@
 
 /// A place in the queue; dropped, it is given up.
 #[derive(Debug)]
-pub(crate) struct Place {
-    lane: Arc<Lane>,
+pub(crate) struct QueuedRequest {
+    queue: Arc<AdmissionQueue>,
     ticket: Ticket,
     verdict: oneshot::Receiver<Verdict>,
     done: bool,
 }
 
-impl Lane {
+impl AdmissionQueue {
     /// A lane whose upstream starts cold, on the runtime that calls.
     pub(crate) fn start(
         clock: Clock,
@@ -83,26 +83,26 @@
         slots: u16,
         warmup: SharedWarmup,
         seed: u64,
-    ) -> Arc<Lane> {
+    ) -> Arc<AdmissionQueue> {
         let class = |it: &settings::Class| ClassConfig {
             name: it.name.clone(),
             weight: f64::from(it.weight),
-            initial_service_time: SERVICE_GUESS,
+            initial_service_time: INITIAL_SERVICE_TIME,
         };
         let config = AdmissionConfig {
             slots: usize::from(slots).clamp(1, document.upstream.slots as usize),
             queue_len_max: document.limits.queue_length_max as usize,
             queue_time_max: document.limits.queue_wait_max,
             slow_start: document.upstream.warmup,
-            service_time_deviations: CERTAINTY,
+            service_time_deviations: SERVICE_TIME_DEVIATIONS,
             retry_after_min: RETRY_AFTER_MIN,
             classes: document.classes.iter().map(class).collect(),
         };
         let names = document.classes.iter().enumerate();
-        let lane = Arc::new(Lane {
+        let queue = Arc::new(AdmissionQueue {
             clock,
             classes: names.map(|(index, it)| (it.name.clone(), ClassIndex(index))).collect(),
-            state: Mutex::new(LaneState {
+            state: Mutex::new(QueueState {
                 admission: Admission::new(config, clock.now()).with_warmup(warmup),
                 waiting: HashMap::new(),
                 rng: Pcg64Mcg::seed_from_u64(seed),
@@ -111,23 +111,23 @@
             queued: Arc::default(),
             ticker: Mutex::default(),
         });
-        let task = tokio::spawn(tick(Arc::downgrade(&lane), Arc::clone(&lane.queued), clock));
-        *lane.ticker.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
-        lane
+        let task = tokio::spawn(tick(Arc::downgrade(&queue), Arc::clone(&queue.queued), clock));
+        *queue.ticker.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
+        queue
     }
 
-    fn state(&self) -> MutexGuard<'_, LaneState> {
+    fn state(&self) -> MutexGuard<'_, QueueState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes a request in, or refuses it at once.
     pub(crate) fn offer(
-        self: &Arc<Lane>,
+        self: &Arc<AdmissionQueue>,
         class: &ClassName,
         route: Option<RouteIndex>,
         deadline: Timestamp,
         timeliness: Timeliness,
-    ) -> Offer {
+    ) -> AdmissionDecision {
         let class = self.class(class);
         let now = self.clock.now();
         let mut lock = self.state();
@@ -142,13 +142,18 @@
         let own = own.map(|it| state.decisions.swap_remove(it).verdict);
         self.deliver(now, state);
         match own {
-            Some(verdict) => self.offer_of(ticket, verdict),
+            Some(verdict) => self.decision_of(ticket, verdict),
             None => {
                 let (sender, verdict) = oneshot::channel();
                 state.waiting.insert(ticket, sender);
                 drop(lock);
                 self.queued.notify_one();
-                Offer::Wait(Place { lane: Arc::clone(self), ticket, verdict, done: false })
+                AdmissionDecision::Wait(QueuedRequest {
+                    queue: Arc::clone(self),
+                    ticket,
+                    verdict,
+                    done: false,
+                })
             }
         }
     }
@@ -163,24 +168,29 @@
         self.classes.get(name).copied().unwrap_or(ClassIndex(0))
     }
 
-    fn offer_of(self: &Arc<Lane>, ticket: Ticket, verdict: Verdict) -> Offer {
+    fn decision_of(
+        self: &Arc<AdmissionQueue>,
+        ticket: Ticket,
+        verdict: Verdict,
+    ) -> AdmissionDecision {
         match verdict {
-            Verdict::Start => Offer::Go(Permit {
-                lane: Arc::clone(self),
+            Verdict::Start => AdmissionDecision::Go(Permit {
+                queue: Arc::clone(self),
                 ticket,
                 completion: Completion::NotSent,
             }),
             Verdict::Shed { reason, retry_after } => {
-                Offer::Refused { reason, retry_after: Some(retry_after) }
-            }
-            Verdict::Expired => {
-                Offer::Refused { reason: NotRunReason::DeadlineExceeded, retry_after: None }
+                AdmissionDecision::Refused { reason, retry_after: Some(retry_after) }
             }
+            Verdict::Expired => AdmissionDecision::Refused {
+                reason: NotRunReason::DeadlineExceeded,
+                retry_after: None,
+            },
         }
     }
 
     /// Hands out verdicts. A slot given to one that has left goes to the next.
-    fn deliver(&self, now: Timestamp, state: &mut LaneState) {
+    fn deliver(&self, now: Timestamp, state: &mut QueueState) {
         while let Some(Decision { ticket, verdict }) = state.decisions.pop() {
             let heard = state.waiting.remove(&ticket).is_some_and(|it| it.send(verdict).is_ok());
             if verdict == Verdict::Start && !heard {
@@ -238,7 +248,7 @@
     }
 }
 
-impl Drop for Lane {
+impl Drop for AdmissionQueue {
     fn drop(&mut self) {
         let ticker = self.ticker.get_mut().unwrap_or_else(PoisonError::into_inner);
         if let Some(ticker) = ticker {
@@ -248,9 +258,9 @@
 }
 
 /// Refuses what can no longer finish, when it can no longer finish.
-async fn tick(lane: Weak<Lane>, queued: Arc<Notify>, clock: Clock) {
+async fn tick(queue: Weak<AdmissionQueue>, queued: Arc<Notify>, clock: Clock) {
     loop {
-        let Some(next) = lane.upgrade().map(|it| it.tick()) else { return };
+        let Some(next) = queue.upgrade().map(|it| it.tick()) else { return };
         match next {
             None => queued.notified().await,
             Some(at) => {
@@ -263,24 +273,24 @@
     }
 }
 
-impl Place {
+impl QueuedRequest {
     /// Waits for the verdict.
-    pub(crate) async fn wait(mut self) -> Offer {
+    pub(crate) async fn wait(mut self) -> AdmissionDecision {
         let verdict = (&mut self.verdict).await;
         self.done = true;
         match verdict {
-            Ok(verdict) => self.lane.offer_of(self.ticket, verdict),
+            Ok(verdict) => self.queue.decision_of(self.ticket, verdict),
             Err(_) => unreachable!("a place in the queue is kept until its verdict"),
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         if self.done {
             return;
         }
-        let mut state = self.lane.state();
+        let mut state = self.queue.state();
         state.waiting.remove(&self.ticket);
         if state.admission.cancel(self.ticket) {
             return;
@@ -288,13 +298,13 @@
         drop(state);
         // The verdict came at the same moment.
         if let Ok(Verdict::Start) = self.verdict.try_recv() {
-            self.lane.finish(self.ticket, Completion::NotSent);
+            self.queue.finish(self.ticket, Completion::NotSent);
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.lane.finish(self.ticket, self.completion);
+        self.queue.finish(self.ticket, self.completion);
     }
 }
--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -9,7 +9,9 @@
 use upstream::Upstream;
 
 use crate::{
-    gate::{Gate, lane::Lane, leases::UpstreamIncarnation, records::Book},
+    gate::{
+        Gate, admission_queue::AdmissionQueue, leases::UpstreamIncarnation, records::RequestRecords,
+    },
     report::Announcement,
     snapshot::{Leaving, LocalUpstream, Routes, ServiceRoutes, Snapshot},
 };
@@ -22,23 +24,23 @@
 
 /// From when on an upstream gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Closing {
+pub(crate) struct DrainSchedule {
     refuses_at: Timestamp,
     closed_at: Timestamp,
 }
 
-impl Closing {
-    fn new(now: Timestamp, why: Leaving, drain: &DrainLimits) -> Closing {
+impl DrainSchedule {
+    fn new(now: Timestamp, why: Leaving, drain: &DrainLimits) -> DrainSchedule {
         let time = match why {
             Leaving::ForGood => drain.no_new_work_after,
             Leaving::ZoneClosed => drain.zone_no_new_work_after,
         };
-        Closing { refuses_at: now + time / 2, closed_at: now + time }
+        DrainSchedule { refuses_at: now + time / 2, closed_at: now + time }
     }
 
     /// One that is to leave for good while its zone is closed gets no more time by that.
-    fn sooner(self, other: Closing) -> Closing {
-        Closing {
+    fn earliest(self, other: DrainSchedule) -> DrainSchedule {
+        DrainSchedule {
             refuses_at: self.refuses_at.min(other.refuses_at),
             closed_at: self.closed_at.min(other.closed_at),
         }
@@ -46,19 +48,19 @@
 }
 
 /// One upstream under one version of its document.
-pub(crate) struct Bound {
+pub(crate) struct BoundUpstream {
     pub(crate) service: ServiceName,
     pub(crate) version: ConfigVersion,
     pub(crate) document: Arc<ServiceDocument>,
     pub(crate) announcement: Announcement,
     /// Set while the upstream is to get no new work.
-    pub(crate) closing: Option<Closing>,
+    pub(crate) closing: Option<DrainSchedule>,
     pub(crate) upstream: Arc<dyn Upstream>,
-    pub(crate) lane: Arc<Lane>,
+    pub(crate) queue: Arc<AdmissionQueue>,
     members: Vec<Instance>,
 }
 
-impl Bound {
+impl BoundUpstream {
     /// Whether this leads to the life of the upstream that announced itself.
     fn is_of(&self, announcement: &Announcement) -> bool {
         self.announcement.address == announcement.address
@@ -77,7 +79,7 @@
     }
 
     /// Whether requests queue alike under the other document: what runs is counted on then.
-    fn has_same_lane(&self, document: &ServiceDocument) -> bool {
+    fn has_same_queue(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits == document.limits
             && self.document.classes == document.classes
@@ -114,23 +116,23 @@
         let now = self.clock.now();
         let former_closing = former.as_ref().and_then(|it| it.closing);
         let closing = local.leaving.map(|why| {
-            let closing = Closing::new(now, why, &bound.document.drain);
-            former_closing.map_or(closing, |it| it.sooner(closing))
+            let closing = DrainSchedule::new(now, why, &bound.document.drain);
+            former_closing.map_or(closing, |it| it.earliest(closing))
         });
-        let bound = Bound { closing, members: members(service), ..bound };
+        let bound = BoundUpstream { closing, members: members(service), ..bound };
         if former.as_ref().is_none_or(|it| it.members != bound.members) {
             self.members_changed_ns.store(now.ns, Ordering::SeqCst);
         }
-        self.book.get_or_init(|| new_book(&bound.document));
+        self.records.get_or_init(|| new_request_records(&bound.document));
         self.bound.store(Some(Arc::new(bound)));
     }
 
     fn next_bound(
         &self,
-        former: Option<&Bound>,
+        former: Option<&BoundUpstream>,
         service: &ServiceRoutes,
         local: &LocalUpstream,
-    ) -> anyhow::Result<Bound> {
+    ) -> anyhow::Result<BoundUpstream> {
         let announcement = &local.announcement;
         let document = &service.document;
         self.handle.warmup.with(|it| it.set_limit(document.upstream.cold_requests_per_s));
@@ -140,28 +142,28 @@
             Some(former) => Arc::clone(&former.upstream),
             None => (self.connect)(announcement, document)?,
         };
-        let lane = match same_upstream {
+        let queue = match same_upstream {
             Some(it)
-                if it.has_same_lane(document)
+                if it.has_same_queue(document)
                     && it.announcement.slots == announcement.slots
-                    && !revived(it, local) =>
+                    && !needs_new_queue(it, local) =>
             {
-                Arc::clone(&it.lane)
+                Arc::clone(&it.queue)
             }
             _ => {
                 let warmup = self.handle.warmup.clone();
                 let seed = self.own.incarnation.0;
-                Lane::start(self.clock, document, announcement.slots, warmup, seed)
+                AdmissionQueue::start(self.clock, document, announcement.slots, warmup, seed)
             }
         };
-        Ok(Bound {
+        Ok(BoundUpstream {
             service: service.service.clone(),
             version: service.version,
             document: Arc::clone(document),
             announcement: announcement.clone(),
             closing: None,
             upstream,
-            lane,
+            queue,
             members: Vec::new(),
         })
     }
@@ -173,7 +175,7 @@
 }
 
 /// A lane that was drained, or whose upstream was lost, is not used again.
-fn revived(former: &Bound, local: &LocalUpstream) -> bool {
+fn needs_new_queue(former: &BoundUpstream, local: &LocalUpstream) -> bool {
     let gone = former.closing.is_some() || former.announcement.state == UpstreamState::Lost;
     gone && local.leaving.is_none() && local.announcement.state == UpstreamState::Ready
 }
@@ -196,7 +198,7 @@
     }
 }
 
-fn new_book(document: &ServiceDocument) -> Book {
+fn new_request_records(document: &ServiceDocument) -> RequestRecords {
     let units = match document.keyed {
         true => (usize::from(document.slot_count.count()) / UNITS_HELD_SHARE).max(1),
         false => 1,
@@ -206,5 +208,5 @@
         retention: document.limits.records_for,
         age_margin: AGE_MARGIN,
     };
-    Book::new(config, document.ownership.lease / 2)
+    RequestRecords::new(config, document.ownership.lease / 2)
 }
--- a/crates/agent/src/gate/ends/mod.rs
+++ b/crates/agent/src/gate/ends/mod.rs
@@ -22,12 +22,12 @@
 
 /// The connections of an upstream that ends are lost within this time of each other. Runs that were given up this
 /// long before may have been at work as well.
-const LOST_TOGETHER: Duration = Duration::from_millis(250);
+const SIMULTANEOUS_LOSS_WINDOW: Duration = Duration::from_millis(250);
 /// Runs without an answer that are kept for the case that the upstream has ended.
 const UNANSWERED_MAX: usize = 1024;
 /// How long after a lost connection the upstream's address is tried: the others are lost by then.
-const TRY_AFTER: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(50)];
-const TRY_TIMEOUT: Duration = Duration::from_millis(200);
+const GONE_PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(50)];
+const GONE_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The runs of one upstream that have no answer.
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
 
 /// A run at the upstream. Dropped before its end is known, it was given up.
 #[derive(Debug)]
-pub(super) struct WatchedRun<'a> {
+pub(super) struct TrackedRun<'a> {
     runs: &'a UnansweredRuns,
     clock: Clock,
     fingerprint: Fingerprint,
@@ -64,17 +64,17 @@
     /// Its connection was lost, or its answer broke off.
     Lost,
     /// Its caller has left, or its time was over.
-    GivenUp,
+    Abandoned,
 }
 
 /// Looks after each lost connection whether the upstream has ended.
 pub(super) async fn run(gate: Arc<Gate>) {
     loop {
         gate.unanswered.lost.notified().await;
-        for after in TRY_AFTER {
+        for after in GONE_PROBE_DELAYS {
             sleep(after).await;
             let Some(bound) = gate.bound.load_full() else { continue };
-            if matches!(timeout(TRY_TIMEOUT, bound.upstream.is_gone()).await, Ok(true)) {
+            if matches!(timeout(GONE_PROBE_TIMEOUT, bound.upstream.is_gone()).await, Ok(true)) {
                 gate.upstream_ended("nobody listens at its address");
                 break;
             }
@@ -85,16 +85,16 @@
 impl Gate {
     /// The upstream's life is over: tells what it had at work.
     pub(super) fn upstream_ended(&self, why: &str) {
-        let at_work = self.unanswered.take();
-        if at_work.is_empty() {
+        let in_flight = self.unanswered.take();
+        if in_flight.is_empty() {
             return;
         }
-        let listed: Vec<String> = at_work.iter().map(ToString::to_string).collect();
+        let listed: Vec<String> = in_flight.iter().map(ToString::to_string).collect();
         log::warn!(
             target: "gate",
             "The upstream has ended ({why}), at work on {}.", listed.join(" "),
         );
-        self.quarantine.upstream_ended(at_work);
+        self.quarantine.upstream_ended(in_flight);
     }
 }
 
@@ -103,9 +103,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn begin(&self, clock: Clock, fingerprint: Fingerprint) -> WatchedRun<'_> {
+    pub(super) fn begin(&self, clock: Clock, fingerprint: Fingerprint) -> TrackedRun<'_> {
         let began = clock.now();
-        WatchedRun { runs: self, clock, fingerprint, began, end: RunEnd::GivenUp }
+        TrackedRun { runs: self, clock, fingerprint, began, end: RunEnd::Abandoned }
     }
 
     /// The upstream has ended: what it had at work, each once. Nothing if no connection to it was lost.
@@ -113,14 +113,16 @@
         let mut state = self.state();
         let Some(lost_at) = state.lost_at.take() else { return Vec::new() };
         let runs = std::mem::take(&mut state.runs);
-        let at_work = runs.into_iter().filter(|(_, at)| *at + LOST_TOGETHER >= lost_at);
-        let mut at_work: Vec<Fingerprint> = at_work.map(|(fingerprint, _)| fingerprint).collect();
-        at_work.sort_unstable();
-        at_work.dedup();
-        at_work
+        let in_flight =
+            runs.into_iter().filter(|(_, at)| *at + SIMULTANEOUS_LOSS_WINDOW >= lost_at);
+        let mut in_flight: Vec<Fingerprint> =
+            in_flight.map(|(fingerprint, _)| fingerprint).collect();
+        in_flight.sort_unstable();
+        in_flight.dedup();
+        in_flight
     }
 
-    fn ended(&self, run: &WatchedRun<'_>) {
+    fn ended(&self, run: &TrackedRun<'_>) {
         let now = run.clock.now();
         let mut state = self.state();
         match run.end {
@@ -135,7 +137,7 @@
                 state.keep(run.fingerprint, now);
                 self.lost.notify_one();
             }
-            RunEnd::GivenUp => state.keep(run.fingerprint, now),
+            RunEnd::Abandoned => state.keep(run.fingerprint, now),
         }
     }
 }
@@ -149,13 +151,13 @@
     }
 }
 
-impl WatchedRun<'_> {
+impl TrackedRun<'_> {
     pub(super) fn end(mut self, end: RunEnd) {
         self.end = end;
     }
 }
 
-impl Drop for WatchedRun<'_> {
+impl Drop for TrackedRun<'_> {
     fn drop(&mut self) {
         self.runs.ended(self);
     }
--- a/crates/agent/src/gate/health.rs
+++ b/crates/agent/src/gate/health.rs
@@ -8,14 +8,14 @@
 
 use crate::{gate::Gate, report::Report};
 
-const ASK_EVERY: Duration = Duration::from_millis(250);
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Silence after which an upstream counts as lost.
-const SILENCE_MAX: Duration = Duration::from_millis(1000);
+const UNRESPONSIVE_MAX: Duration = Duration::from_millis(1000);
 
 /// Asks for the health, and reports each change.
 pub(super) async fn run(gate: Arc<Gate>) {
-    let mut tick = interval(ASK_EVERY);
+    let mut tick = interval(PROBE_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut told: Option<UpstreamState> = None;
     loop {
@@ -25,23 +25,23 @@
             continue;
         }
         let asked = gate.clock.now();
-        let health = timeout(ASK_TIMEOUT, bound.upstream.health()).await;
+        let health = timeout(PROBE_TIMEOUT, bound.upstream.health()).await;
         let now = gate.clock.now();
         let state = match health {
             Ok(Ok(health)) => {
-                gate.sign(now);
+                gate.record_response(now);
                 match health.state {
                     HealthState::Starting => UpstreamState::Starting,
                     HealthState::Ready => UpstreamState::Ready,
                     HealthState::Draining => UpstreamState::Draining,
                 }
             }
-            _ if now.since(gate.last_sign()) > SILENCE_MAX => UpstreamState::Lost,
+            _ if now.since(gate.last_response()) > UNRESPONSIVE_MAX => UpstreamState::Lost,
             _ => continue,
         };
         // This process was paused: the silence was its own.
-        if state == UpstreamState::Lost && now.since(asked) > ASK_TIMEOUT * 2 {
-            gate.sign(now);
+        if state == UpstreamState::Lost && now.since(asked) > PROBE_TIMEOUT * 2 {
+            gate.record_response(now);
             continue;
         }
         if told != Some(state) {
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -14,7 +14,7 @@
 use crate::{
     gate::{
         Gate,
-        bound::Bound,
+        bound::BoundUpstream,
         leases::{
             exchange::{
                 AnnouncedSlots, AnnouncementAnswer, AnnouncementEffects, RangeGrant, ReleasedRange,
@@ -98,7 +98,7 @@
     }
 
     /// The upstream as control has taken it in from this announcement.
-    async fn wait_bound_to(&self, announcement: &Announcement) -> Arc<Bound> {
+    async fn wait_bound_to(&self, announcement: &Announcement) -> Arc<BoundUpstream> {
         let mut changes = self.snapshots.changes();
         loop {
             let bound = self.bound.load_full();
@@ -118,7 +118,11 @@
     }
 
     /// What an announcement has shown goes to control, and handover tokens to the gates of the next owners.
-    async fn apply_effects(self: &Arc<Gate>, bound: &Arc<Bound>, effects: AnnouncementEffects) {
+    async fn apply_effects(
+        self: &Arc<Gate>,
+        bound: &Arc<BoundUpstream>,
+        effects: AnnouncementEffects,
+    ) {
         if let Some(token) = effects.refused_token {
             log::warn!(target: "gate", "The upstream does not take grants of token {token}.");
             self.reporter.hint(Report::GrantOutdated { token });
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -10,7 +10,7 @@
 use crate::{
     gate::{
         Gate,
-        bound::Bound,
+        bound::BoundUpstream,
         leases::{
             exchange::SlotTransfer,
             slot_leases::{CALL_LATENCY_MARGIN, Call, GrantOutcome, SLOW_CLOCK_FACTOR, SlotRange},
@@ -22,7 +22,7 @@
 
 /// How often the end of the agent's own lease is looked at: often enough that a lease of 1.5 s that is
 /// renewed each 0.4 s is passed on without delay.
-const TICK: Duration = Duration::from_millis(100);
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(100);
 /// What control admits or takes back in one step is gathered for this long.
 const GATHER_FOR: Duration = Duration::from_millis(2);
 /// An upstream on the same instance answers within a few milliseconds or not at all.
@@ -40,7 +40,7 @@
 impl Gate {
     /// What an earlier life of this agent began may go on until its lease has run out, of which nothing is known
     /// but that it was over when this process started.
-    pub(super) fn assume_earlier_runs(&self, bound: &Bound) {
+    pub(super) fn assume_earlier_runs(&self, bound: &BoundUpstream) {
         let lease = bound.document.ownership.lease.mul_f64(SLOW_CLOCK_FACTOR);
         self.upstream_runs.assume_earlier_runs_until(Timestamp::ZERO + lease + CALL_LATENCY_MARGIN);
     }
@@ -49,7 +49,7 @@
 /// Runs for as long as the gate does.
 pub(crate) async fn run(gate: Arc<Gate>) {
     loop {
-        let due = timeout(TICK, gate.leases.wakeup.notified()).await;
+        let due = timeout(RECONCILE_INTERVAL, gate.leases.wakeup.notified()).await;
         if due.is_ok() {
             sleep(GATHER_FOR).await;
         }
@@ -63,7 +63,7 @@
 }
 
 /// What an upstream that is granted keys by its announcements gives up without one.
-async fn reconcile_announced(gate: &Gate, bound: &Bound) {
+async fn reconcile_announced(gate: &Gate, bound: &BoundUpstream) {
     let now = gate.clock.now();
     let cleared = {
         let mut leases = gate.leases.lock();
@@ -77,7 +77,7 @@
     }
 }
 
-async fn reconcile_by_calls(gate: &Arc<Gate>, bound: &Arc<Bound>) {
+async fn reconcile_by_calls(gate: &Arc<Gate>, bound: &Arc<BoundUpstream>) {
     let now = gate.clock.now();
     let lease_until = gate.handle.table.lease_until();
     let calls = {
@@ -105,7 +105,7 @@
 /// Releases a run, and hands its token to the gate of the next owner before the slots count as closed.
 async fn release_range(
     gate: &Gate,
-    bound: &Bound,
+    bound: &BoundUpstream,
     range: SlotRange,
     successor: Option<Instance>,
     wait: Duration,
@@ -119,7 +119,7 @@
 /// its slots are closed.
 pub(super) async fn complete_release(
     gate: &Gate,
-    bound: &Bound,
+    bound: &BoundUpstream,
     transfer: SlotTransfer,
     is_answered: bool,
 ) {
@@ -146,7 +146,7 @@
 
 /// Has the upstream give up all that earlier sessions or lives of this agent granted it. Its handover
 /// token is kept for what is granted it again.
-async fn clear(gate: &Gate, bound: &Bound, token: Token) {
+async fn clear(gate: &Gate, bound: &BoundUpstream, token: Token) {
     let range =
         SlotRange { first: Slot(0), last: Slot(bound.document.slot_count.count() - 1), token };
     let handover = release(gate, bound, range, CLEAR_TIMEOUT).await;
@@ -170,7 +170,7 @@
 
 async fn grant(
     gate: &Gate,
-    bound: &Bound,
+    bound: &BoundUpstream,
     range: SlotRange,
     hold: Duration,
     handover: Option<HandoverToken>,
@@ -196,7 +196,7 @@
     };
     gate.leases.lock().finish_grant(gate.clock.now(), range, sent_at, hold, end);
     if end == GrantOutcome::Accepted {
-        gate.sign(gate.clock.now());
+        gate.record_response(gate.clock.now());
         gate.leases.usable_changes.send_replace(());
     }
 }
@@ -204,7 +204,7 @@
 /// The upstream's handover token; none: it did not answer.
 async fn release(
     gate: &Gate,
-    bound: &Bound,
+    bound: &BoundUpstream,
     range: SlotRange,
     wait: Duration,
 ) -> Option<HandoverToken> {
@@ -214,7 +214,7 @@
     log_release_end(gate, range, sent_at, matches!(result, Ok(Ok(_))));
     match result {
         Ok(Ok(handover)) => {
-            gate.sign(gate.clock.now());
+            gate.record_response(gate.clock.now());
             Some(handover)
         }
         Ok(Err(error)) => {
@@ -243,7 +243,7 @@
     );
 }
 
-fn leased(bound: &Bound, range: SlotRange) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
+fn leased(bound: &BoundUpstream, range: SlotRange) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
     let keys = bound.document.ordered_keys?;
     let keys = keys_of(keys, bound.document.slot_count, range);
     match bound.upstream.key_leases() {
@@ -256,7 +256,7 @@
     keys.of_slots(slot_count, range.first, range.last)
 }
 
-fn handover_message(bound: &Bound, range: SlotRange, handover: &HandoverToken) -> Handover {
+fn handover_message(bound: &BoundUpstream, range: SlotRange, handover: &HandoverToken) -> Handover {
     Handover {
         service: bound.service.clone(),
         unit: Unit::Slots { first: range.first, last: range.last },
--- a/crates/agent/src/gate/load.rs
+++ b/crates/agent/src/gate/load.rs
@@ -22,7 +22,7 @@
 /// load that this answers: busy neighbouring keys ask for several times what their upstream can do. What
 /// runs never shows more than a full upstream, beside others that may be nearly as full. Not the whole,
 /// for the caller comes back and is counted again.
-const REFUSED_SHARE: f64 = 0.5;
+const REFUSED_WEIGHT: f64 = 0.5;
 
 #[derive(Debug)]
 struct Loads {
@@ -61,7 +61,7 @@
         let mut loads = self.lock();
         // Without any that ran there is nothing to judge it by.
         let Some(mean_us) = loads.ran_us.checked_div(loads.ran) else { return };
-        loads.add(slot, key_hash, (mean_us as f64 * REFUSED_SHARE) as u64);
+        loads.add(slot, key_hash, (mean_us as f64 * REFUSED_WEIGHT) as u64);
     }
 
     fn lock(&self) -> MutexGuard<'_, Loads> {
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -7,7 +7,7 @@
 mod ends;
 mod handle;
 mod health;
-mod lane;
+mod admission_queue;
 mod leases;
 pub(crate) mod load;
 mod records;
@@ -44,10 +44,10 @@
     snapshot::SnapshotCell,
 };
 
-use bound::Bound;
+use bound::BoundUpstream;
 use ends::UnansweredRuns;
 use leases::Leases;
-use records::Book;
+use records::RequestRecords;
 use run::Caller;
 use upstream_runs::UpstreamRuns;
 
@@ -85,17 +85,17 @@
     log: Arc<RequestLog>,
     upstream_clock: Arc<UpstreamClock>,
     connect: Connect,
-    bound: ArcSwapOption<Bound>,
-    book: OnceLock<Book>,
+    bound: ArcSwapOption<BoundUpstream>,
+    records: OnceLock<RequestRecords>,
     leases: Arc<Leases>,
     upstream_runs: UpstreamRuns,
     unanswered: UnansweredRuns,
     quarantine: Arc<SharedQuarantine>,
     /// One suspect runs at a time: if the upstream ends, that was it.
-    suspects: Semaphore,
+    suspect_permit: Semaphore,
     links: OnceLock<TrafficLinks>,
     /// When the upstream last answered, on the process's clock.
-    last_sign_ns: AtomicU64,
+    last_response_ns: AtomicU64,
     /// When the members of a service that is not divided by key last changed.
     members_changed_ns: AtomicU64,
     in_flight: AtomicUsize,
@@ -117,14 +117,14 @@
             upstream_clock: parts.upstream_clock,
             connect: parts.connect,
             bound: ArcSwapOption::empty(),
-            book: OnceLock::new(),
+            records: OnceLock::new(),
             leases: Arc::default(),
             upstream_runs: UpstreamRuns::default(),
             unanswered: UnansweredRuns::default(),
             quarantine: parts.quarantine,
-            suspects: Semaphore::new(1),
+            suspect_permit: Semaphore::new(1),
             links: OnceLock::new(),
-            last_sign_ns: AtomicU64::new(now.ns),
+            last_response_ns: AtomicU64::new(now.ns),
             members_changed_ns: AtomicU64::new(now.ns),
             in_flight: AtomicUsize::new(0),
         });
@@ -155,12 +155,12 @@
 
     /// How busy the gate is, for whoever has asked it for a request of a class and kind.
     fn gate_load(&self, class: &ClassName, kind: Option<u8>) -> Option<GateLoad> {
-        self.bound.load().as_ref().map(|it| it.lane.gate_load(class, kind))
+        self.bound.load().as_ref().map(|it| it.queue.gate_load(class, kind))
     }
 
     /// Requests at the upstream, and requests that wait for a slot of it.
     pub(crate) fn load(&self) -> (usize, usize) {
-        self.bound.load().as_ref().map_or((0, 0), |it| it.lane.load())
+        self.bound.load().as_ref().map_or((0, 0), |it| it.queue.load())
     }
 
     /// A peer with a later document than this agent's is where to get it.
@@ -173,26 +173,26 @@
         }
     }
 
-    fn sign(&self, now: Timestamp) {
-        self.last_sign_ns.fetch_max(now.ns, Ordering::Relaxed);
+    fn record_response(&self, now: Timestamp) {
+        self.last_response_ns.fetch_max(now.ns, Ordering::Relaxed);
     }
 
-    fn last_sign(&self) -> Timestamp {
-        Timestamp { ns: self.last_sign_ns.load(Ordering::Relaxed) }
+    fn last_response(&self) -> Timestamp {
+        Timestamp { ns: self.last_response_ns.load(Ordering::Relaxed) }
     }
 
     /// Takes a request to its end. Dropping the future cancels it; one that is not idempotent and
     /// runs already goes on, so that a resend gets its answer.
     pub(crate) async fn call(self: &Arc<Gate>, request: GateRequest) -> GateReply {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        let counted = Counted(Arc::clone(self));
+        let in_flight_guard = InFlightGuard(Arc::clone(self));
         let (mut caller, reply) = oneshot::channel();
         if request.idempotent {
             // In the task of whoever asks: nothing has to outlive it.
             return self.handle_logged(&request, &mut caller).await;
         }
         tokio::spawn(async move {
-            let reply = counted.0.handle_logged(&request, &mut caller).await;
+            let reply = in_flight_guard.0.handle_logged(&request, &mut caller).await;
             // The caller may have hung up.
             _ = caller.send(reply);
         });
@@ -207,23 +207,23 @@
     }
 
     async fn handle_logged(&self, request: &GateRequest, caller: &mut Caller) -> GateReply {
-        let came_at = self.clock.now();
+        let arrived_at = self.clock.now();
         let reply = self.handle(request, caller).await;
-        self.log.at_gate(request, came_at, &reply, self.state());
+        self.log.at_gate(request, arrived_at, &reply, self.state());
         reply
     }
 
     fn state(&self) -> GateState {
         let bound = self.bound.load();
-        let (running, queued) = bound.as_ref().map_or((0, 0), |it| it.lane.load());
+        let (running, queued) = bound.as_ref().map_or((0, 0), |it| it.queue.load());
         GateState { config: bound.as_ref().map(|it| it.version), running, queued }
     }
 }
 
 /// Counts a request down when it ends in whatever way.
-struct Counted(Arc<Gate>);
+struct InFlightGuard(Arc<Gate>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/agent/src/gate/records.rs
+++ b/crates/agent/src/gate/records.rs
@@ -34,27 +34,27 @@
 
 /// How a unit's table came about.
 #[derive(Debug, Clone, Copy)]
-enum Opened {
+enum TableOrigin {
     /// Handed over by a former owner, and not used yet.
     Imported { at: Timestamp },
     /// In use since a grant of this token.
-    Granted { lineage: Token, epoch: u64 },
+    Granted { first_token: Token, epoch: u64 },
 }
 
 #[derive(Debug)]
-struct Tables {
+struct RecordTables {
     records: Records<Kept>,
-    units: HashMap<RecordUnit, Opened>,
+    units: HashMap<RecordUnit, TableOrigin>,
     /// Keys that came back to their slot, and when, and have been dealt with.
     merged: HashSet<(KeyHash, Timestamp)>,
-    attached: HashMap<Running, Vec<oneshot::Sender<GateReply>>>,
+    attached: HashMap<RunningRequest, Vec<oneshot::Sender<GateReply>>>,
     /// Rises with each table that is opened, so that none is taken for a former one.
     epoch: u64,
 }
 
 /// A request that has a record as running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) struct Running {
+pub(crate) struct RunningRequest {
     unit: RecordUnit,
     epoch: u64,
     id: RequestId,
@@ -62,8 +62,8 @@
 
 /// What the records say to a request.
 #[derive(Debug)]
-pub(crate) enum Begun {
-    Run(Running),
+pub(crate) enum RecordLookup {
+    Run(RunningRequest),
     /// It runs already: its reply will come here too.
     Attach(oneshot::Receiver<GateReply>),
     Replay(Answer),
@@ -73,26 +73,26 @@
 
 /// The records of the gate, shared by the requests of the traffic threads.
 #[derive(Debug)]
-pub(crate) struct Book {
-    tables: Mutex<Tables>,
+pub(crate) struct RequestRecords {
+    tables: Mutex<RecordTables>,
     /// How old a handover may be when the grant comes: less than it takes for another owner to
     /// have come and gone in between.
-    import_max: Duration,
+    import_age_max: Duration,
 }
 
-impl Book {
-    pub(crate) fn new(config: RecordsConfig, import_max: Duration) -> Book {
-        let tables = Tables {
+impl RequestRecords {
+    pub(crate) fn new(config: RecordsConfig, import_age_max: Duration) -> RequestRecords {
+        let tables = RecordTables {
             records: Records::new(config),
             units: HashMap::new(),
             merged: HashSet::new(),
             attached: HashMap::new(),
             epoch: 0,
         };
-        Book { tables: Mutex::new(tables), import_max }
+        RequestRecords { tables: Mutex::new(tables), import_age_max }
     }
 
-    fn tables(&self) -> MutexGuard<'_, Tables> {
+    fn tables(&self) -> MutexGuard<'_, RecordTables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -103,32 +103,32 @@
         table: &GateTable,
         admittance: &Admittance,
         key: RequestKey,
-    ) -> Begun {
+    ) -> RecordLookup {
         let tables = &mut *self.tables();
-        let epoch = tables.ready(now, table, admittance, &key, self.import_max);
+        let epoch = tables.ready(now, table, admittance, &key, self.import_age_max);
         let unit = admittance.unit;
         match tables.records.begin(now, unit, key.key_hash, key.id, key.age) {
-            BeginResult::Run => Begun::Run(Running { unit, epoch, id: key.id }),
+            BeginResult::Run => RecordLookup::Run(RunningRequest { unit, epoch, id: key.id }),
             BeginResult::Attach => {
                 let (sender, receiver) = oneshot::channel();
-                let running = Running { unit, epoch, id: key.id };
+                let running = RunningRequest { unit, epoch, id: key.id };
                 tables.attached.entry(running).or_default().push(sender);
-                Begun::Attach(receiver)
+                RecordLookup::Attach(receiver)
             }
-            BeginResult::Replay(Kept(answer)) => Begun::Replay(Answer::clone(&answer)),
-            BeginResult::Unknown(reason) => Begun::Unknown(reason),
-            BeginResult::NoRecord => Begun::Unknown(UnknownReason::NoRecord),
-            BeginResult::Full => Begun::Full,
+            BeginResult::Replay(Kept(answer)) => RecordLookup::Replay(Answer::clone(&answer)),
+            BeginResult::Unknown(reason) => RecordLookup::Unknown(reason),
+            BeginResult::NoRecord => RecordLookup::Unknown(UnknownReason::NoRecord),
+            BeginResult::Full => RecordLookup::Full,
         }
     }
 
     /// Ends a record with the reply, and gives the reply to those attached. A table that was
     /// handed over or dropped meanwhile is left alone.
-    pub(crate) fn finish(&self, now: Timestamp, running: Running, reply: &GateReply) {
-        let Running { unit, epoch, id } = running;
+    pub(crate) fn finish(&self, now: Timestamp, running: RunningRequest, reply: &GateReply) {
+        let RunningRequest { unit, epoch, id } = running;
         let tables = &mut *self.tables();
         let current = matches!(
-            tables.units.get(&unit), Some(Opened::Granted { epoch: it, .. }) if *it == epoch
+            tables.units.get(&unit), Some(TableOrigin::Granted { epoch: it, .. }) if *it == epoch
         );
         match (reply, reply.outcome()) {
             _ if !current => {}
@@ -190,7 +190,7 @@
             tables.records.export(now, unit);
         }
         tables.records.import(now, unit, records);
-        tables.units.insert(unit, Opened::Imported { at: now });
+        tables.units.insert(unit, TableOrigin::Imported { at: now });
         Ok(())
     }
 
@@ -209,7 +209,7 @@
     pub(crate) age: Duration,
 }
 
-impl Tables {
+impl RecordTables {
     /// Makes sure that the unit's table is that of the grant; returns its epoch.
     fn ready(
         &mut self,
@@ -217,40 +217,51 @@
         table: &GateTable,
         admittance: &Admittance,
         key: &RequestKey,
-        import_max: Duration,
+        import_age_max: Duration,
     ) -> u64 {
         let Admittance { unit, grant, returned, .. } = *admittance;
         let epoch = match self.units.get(&unit) {
-            Some(Opened::Granted { lineage, epoch }) if *lineage == grant.lineage => *epoch,
-            Some(Opened::Imported { at }) if grant.since.since(*at) <= import_max => {
-                self.opened(unit, grant.lineage)
+            Some(TableOrigin::Granted { first_token, epoch })
+                if *first_token == grant.first_token =>
+            {
+                *epoch
+            }
+            Some(TableOrigin::Imported { at }) if grant.since.since(*at) <= import_age_max => {
+                self.opened(unit, grant.first_token)
             }
             _ => {
                 self.records.export(now, unit);
-                match self.own_slot(table, unit, key.slot) {
+                match self.slot_held_without_gap(table, unit, key.slot) {
                     Some(slot) => self.split(now, unit, slot, key.key_hash),
                     None => self.records.open(grant.since, unit),
                 }
-                self.opened(unit, grant.lineage)
+                self.opened(unit, grant.first_token)
             }
         };
         if let (RecordUnit::Slot(_), Some(returned)) = (unit, returned) {
-            self.merge(now, unit, key.key_hash, returned, import_max);
+            self.merge(now, unit, key.key_hash, returned, import_age_max);
         }
         epoch
     }
 
-    fn opened(&mut self, unit: RecordUnit, lineage: Token) -> u64 {
+    fn opened(&mut self, unit: RecordUnit, first_token: Token) -> u64 {
         self.epoch += 1;
-        self.units.insert(unit, Opened::Granted { lineage, epoch: self.epoch });
+        self.units.insert(unit, TableOrigin::Granted { first_token, epoch: self.epoch });
         self.epoch
     }
 
     /// The slot that a key followed until now, if it is held here without a gap.
-    fn own_slot(&self, table: &GateTable, unit: RecordUnit, slot: Slot) -> Option<RecordUnit> {
+    fn slot_held_without_gap(
+        &self,
+        table: &GateTable,
+        unit: RecordUnit,
+        slot: Slot,
+    ) -> Option<RecordUnit> {
         let RecordUnit::Key(_) = unit else { return None };
         match self.units.get(&RecordUnit::Slot(slot)) {
-            Some(Opened::Granted { lineage, .. }) if table.holds_slot(slot, *lineage) => {
+            Some(TableOrigin::Granted { first_token, .. })
+                if table.holds_slot(slot, *first_token) =>
+            {
                 Some(RecordUnit::Slot(slot))
             }
             _ => None,
@@ -270,15 +281,15 @@
         slot: RecordUnit,
         key_hash: KeyHash,
         returned: Timestamp,
-        import_max: Duration,
+        import_age_max: Duration,
     ) {
         if !self.merged.insert((key_hash, returned)) {
             return;
         }
         let unit = RecordUnit::Key(key_hash);
         let usable = match self.units.remove(&unit) {
-            Some(Opened::Imported { at }) => returned.since(at) <= import_max,
-            Some(Opened::Granted { .. }) => true,
+            Some(TableOrigin::Imported { at }) => returned.since(at) <= import_age_max,
+            Some(TableOrigin::Granted { .. }) => true,
             None => false,
         };
         let records = self.records.export(now, unit).filter(|_| usable);
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -18,10 +18,10 @@
     forward::designated_member,
     gate::{
         Gate,
-        bound::Bound,
+        admission_queue::{AdmissionDecision, Permit},
+        bound::BoundUpstream,
         ends::RunEnd,
-        lane::{Offer, Permit},
-        records::{Begun, RequestKey},
+        records::{RecordLookup, RequestKey},
         table::{Admittance, Clearance, Entry, Grant, NotAdmitted},
     },
     report::Report,
@@ -32,27 +32,27 @@
 /// How long before the end of the lease a request must end at an upstream that checks no token.
 const LEASE_MARGIN: Duration = Duration::from_millis(5);
 /// How long the members of a service may differ about who they are.
-const MEMBERS_LAG_MAX: Duration = Duration::from_secs(1);
+const MEMBERS_SKEW_MAX: Duration = Duration::from_secs(1);
 /// How much earlier than it was told an upstream may give up: it counts in whole milliseconds.
-const GIVE_UP_MARGIN: Duration = Duration::from_millis(5);
+const UPSTREAM_TIMEOUT_MARGIN: Duration = Duration::from_millis(5);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a request waits for a grant that is on its way to the upstream.
 const GRANT_WAIT: Duration = Duration::from_millis(500);
 /// A request waits for a slot at least for this share of the time that it has, also if its answer is of
 /// full use for a shorter time only: such short times are those of calls that an upstream makes while
 /// it works on a request, and to refuse one fails work that is done in part.
-const PATIENCE_SHARE: f64 = 0.5;
+const QUEUE_TIME_SHARE_MIN: f64 = 0.5;
 /// How long a request whose answer comes late in any case waits for a slot, as a share of the time that it has.
-const LATE_PATIENCE_SHARE: f64 = 0.25;
+const LATE_QUEUE_TIME_SHARE: f64 = 0.25;
 /// The unit of records of a service that is not divided by key.
 const WHOLE_SERVICE: RecordUnit = RecordUnit::Slot(Slot(0));
 
 pub(super) type Caller = oneshot::Sender<GateReply>;
 
 /// One request with what it needs on its way.
-struct Passage<'a> {
+struct RequestContext<'a> {
     gate: &'a Gate,
-    bound: &'a Bound,
+    bound: &'a BoundUpstream,
     request: &'a GateRequest,
     deadline: Timestamp,
     /// None where the service is not divided by key.
@@ -79,7 +79,7 @@
 
     async fn keyed(
         &self,
-        bound: &Bound,
+        bound: &BoundUpstream,
         request: &GateRequest,
         key_hash: KeyHash,
         deadline: Timestamp,
@@ -103,14 +103,14 @@
             }
         }
         let admittance = entry.admittance;
-        let passage = Passage { gate: self, bound, request, deadline, entry: Some(entry) };
-        let key = RequestKey { key_hash, slot, id: request.id, age: known_age(request) };
-        passage.once(now, &admittance, key, caller).await
+        let context = RequestContext { gate: self, bound, request, deadline, entry: Some(entry) };
+        let key = RequestKey { key_hash, slot, id: request.id, age: age_in_system(request) };
+        context.run_at_most_once(now, &admittance, key, caller).await
     }
 
     async fn unkeyed(
         &self,
-        bound: &Bound,
+        bound: &BoundUpstream,
         request: &GateRequest,
         deadline: Timestamp,
         caller: &mut Caller,
@@ -118,27 +118,32 @@
         if bound.refuses_work(self.clock.now()) {
             return GateReply::not_run(NotRunReason::Draining);
         }
-        if let Some(owner) = self.other_home(bound, request) {
+        if let Some(owner) = self.other_designated_member(bound, request) {
             return GateReply::NotOwner { owner: Some(owner), route_version: 0 };
         }
         let now = self.clock.now();
         let fence = Token::default();
-        let grant = Grant { token: fence, lineage: fence, since: Timestamp::ZERO };
+        let grant = Grant { token: fence, first_token: fence, since: Timestamp::ZERO };
         let admittance = Admittance { unit: WHOLE_SERVICE, grant, fence, returned: None };
         let key_hash = KeyHash(request.id.0 as u64);
-        let key = RequestKey { key_hash, slot: Slot(0), id: request.id, age: known_age(request) };
-        let passage = Passage { gate: self, bound, request, deadline, entry: None };
-        passage.once(now, &admittance, key, caller).await
+        let key =
+            RequestKey { key_hash, slot: Slot(0), id: request.id, age: age_in_system(request) };
+        let context = RequestContext { gate: self, bound, request, deadline, entry: None };
+        context.run_at_most_once(now, &admittance, key, caller).await
     }
 
     /// A resend may come here though its first sending ran at a member that is gone.
-    fn may_have_run_elsewhere(&self, bound: &Bound, now: Timestamp, age: Duration) -> bool {
-        let certain_since = self.members_changed() + MEMBERS_LAG_MAX;
+    fn may_have_run_elsewhere(&self, bound: &BoundUpstream, now: Timestamp, age: Duration) -> bool {
+        let certain_since = self.members_changed() + MEMBERS_SKEW_MAX;
         !bound.document.keyed && !age.is_zero() && now - age < certain_since
     }
 
     /// The member that keeps the record of a request that is not idempotent, if not this one.
-    fn other_home(&self, bound: &Bound, request: &GateRequest) -> Option<Instance> {
+    fn other_designated_member(
+        &self,
+        bound: &BoundUpstream,
+        request: &GateRequest,
+    ) -> Option<Instance> {
         if request.idempotent || !bound.document.resends {
             return None;
         }
@@ -171,7 +176,7 @@
 
     /// An upstream that is not asked for its health is lost when it takes no connection, until it
     /// announces itself again.
-    fn note_unreachable(&self, bound: &Bound, error: &CallError) {
+    fn note_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
         let unreachable = matches!(error, CallError::NotSent { .. });
         if unreachable && !bound.upstream.is_asked_for_health() {
             self.reporter.hint(Report::Upstream(UpstreamState::Lost));
@@ -188,9 +193,9 @@
     }
 }
 
-impl Passage<'_> {
+impl RequestContext<'_> {
     /// Sees to it that a request that is not idempotent runs at most once.
-    async fn once(
+    async fn run_at_most_once(
         self,
         now: Timestamp,
         admittance: &Admittance,
@@ -199,13 +204,13 @@
     ) -> GateReply {
         // Without resends there is nothing to know a request again by.
         if self.request.idempotent || !self.bound.document.resends {
-            return self.run(caller).await;
+            return self.run_unrecorded(caller).await;
         }
         let gate = self.gate;
-        let book = gate.book.get().expect("a bound gate has its records");
-        let running = match book.begin(now, &gate.handle.table, admittance, key) {
-            Begun::Run(running) => running,
-            Begun::Attach(reply) => {
+        let records = gate.records.get().expect("a bound gate has its records");
+        let running = match records.begin(now, &gate.handle.table, admittance, key) {
+            RecordLookup::Run(running) => running,
+            RecordLookup::Attach(reply) => {
                 let left = self.deadline.since(now);
                 // Not counted as in flight: the first sending is.
                 drop(self);
@@ -215,49 +220,52 @@
                     Err(_) => GateReply::unknown(UnknownReason::DeadlineExceeded),
                 };
             }
-            Begun::Replay(answer) => return GateReply::Answered(answer),
+            RecordLookup::Replay(answer) => return GateReply::Answered(answer),
             // The owner changed while ingress held a first sending. This sending has not run, and a
             // caller that still waits for it has made no other.
-            Begun::Unknown(UnknownReason::NoRecord) if self.request.age.is_zero() => {
+            RecordLookup::Unknown(UnknownReason::NoRecord) if self.request.age.is_zero() => {
                 return GateReply::not_run(NotRunReason::NoOwner);
             }
-            Begun::Unknown(reason) => return GateReply::unknown(reason),
-            Begun::Full => return GateReply::not_run(NotRunReason::Overloaded),
+            RecordLookup::Unknown(reason) => return GateReply::unknown(reason),
+            RecordLookup::Full => return GateReply::not_run(NotRunReason::Overloaded),
         };
         if gate.may_have_run_elsewhere(self.bound, now, key.age) {
             let reply = GateReply::not_run(NotRunReason::Cancelled);
-            book.finish(now, running, &reply);
+            records.finish(now, running, &reply);
             return match self.request.age.is_zero() {
                 true => GateReply::not_run(NotRunReason::NoOwner),
                 false => GateReply::unknown(UnknownReason::NoRecord),
             };
         }
         // The entry must live until the record has ended: a closing unit waits for it.
-        let (reply, entry) = self.run_keeping(caller).await;
-        book.finish(gate.clock.now(), running, &reply);
+        let (reply, entry) = self.run_and_keep_entry(caller).await;
+        records.finish(gate.clock.now(), running, &reply);
         drop(entry);
         reply
     }
 
-    async fn run(self, caller: &mut Caller) -> GateReply {
-        self.run_keeping(caller).await.0
+    async fn run_unrecorded(self, caller: &mut Caller) -> GateReply {
+        self.run_and_keep_entry(caller).await.0
     }
 
-    async fn run_keeping(self, caller: &mut Caller) -> (GateReply, Option<Entry>) {
-        let reply = self.pass(caller).await.unwrap_or_else(|reply| *reply);
+    async fn run_and_keep_entry(self, caller: &mut Caller) -> (GateReply, Option<Entry>) {
+        let reply = self.admit_and_send(caller).await.unwrap_or_else(|reply| *reply);
         (reply, self.entry)
     }
 
     /// To the upstream, or back with the reason why not.
-    async fn pass(&self, caller: &mut Caller) -> Result<GateReply, Box<GateReply>> {
-        let _alone = self.be_alone(caller).await.inspect_err(|it| self.count_refused(it))?;
-        let permit = self.queue(caller).await.inspect_err(|it| self.count_refused(it))?;
-        let clearance = self.clear()?;
-        Ok(self.give(permit, clearance).await)
+    async fn admit_and_send(&self, caller: &mut Caller) -> Result<GateReply, Box<GateReply>> {
+        let _alone = self
+            .acquire_suspect_permit(caller)
+            .await
+            .inspect_err(|it| self.record_refused_load(it))?;
+        let permit = self.queue(caller).await.inspect_err(|it| self.record_refused_load(it))?;
+        let clearance = self.check_clearance()?;
+        Ok(self.send(permit, clearance).await)
     }
 
     /// A request under which an upstream may have ended waits until no other such request is here.
-    async fn be_alone(
+    async fn acquire_suspect_permit(
         &self,
         caller: &mut Caller,
     ) -> Result<Option<SemaphorePermit<'_>>, Box<GateReply>> {
@@ -267,8 +275,8 @@
             QuarantineStatus::Quarantined => return Err(quarantined()),
         }
         let until = self.gate.clock.instant(self.queue_until().0);
-        let alone = timeout_at(until, self.gate.suspects.acquire());
-        match self.wait_here(alone, caller).await? {
+        let alone = timeout_at(until, self.gate.suspect_permit.acquire());
+        match self.wait_while_admitted(alone, caller).await? {
             Ok(permit) => Ok(permit.ok()),
             Err(_) => Err(Box::new(GateReply::not_run(NotRunReason::Overloaded))),
         }
@@ -301,29 +309,29 @@
         };
         let now = self.gate.clock.now();
         let left = self.deadline.since(now);
-        let expected = || self.bound.lane.expected(&self.request.class, self.route());
-        let (patience, timeliness) = match self.request.has_come_back {
-            _ if objective.is_zero() => (left.mul_f64(LATE_PATIENCE_SHARE), Timeliness::Late),
-            true if objective < expected() => (left.mul_f64(LATE_PATIENCE_SHARE), Timeliness::Late),
+        let expected = || self.bound.queue.expected(&self.request.class, self.route());
+        let (queue_time, timeliness) = match self.request.has_come_back {
+            _ if objective.is_zero() => (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late),
+            true if objective < expected() => (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late),
             true => (objective, Timeliness::InTime),
-            false => (objective.max(left.mul_f64(PATIENCE_SHARE)), Timeliness::InTime),
+            false => (objective.max(left.mul_f64(QUEUE_TIME_SHARE_MIN)), Timeliness::InTime),
         };
-        (self.deadline.min(now + patience), timeliness)
+        (self.deadline.min(now + queue_time), timeliness)
     }
 
     /// Waits for a slot of the upstream.
     async fn queue(&self, caller: &mut Caller) -> Result<Permit, Box<GateReply>> {
         let (until, timeliness) = self.queue_until();
-        let offer = self.bound.lane.offer(&self.request.class, self.route(), until, timeliness);
+        let offer = self.bound.queue.offer(&self.request.class, self.route(), until, timeliness);
         let place = match offer {
-            Offer::Wait(place) => place,
+            AdmissionDecision::Wait(place) => place,
             verdict => return into_permit(verdict),
         };
-        into_permit(self.wait_here(place.wait(), caller).await?)
+        into_permit(self.wait_while_admitted(place.wait(), caller).await?)
     }
 
     /// Waits for something as long as the caller is there and the key has not left.
-    async fn wait_here<T>(
+    async fn wait_while_admitted<T>(
         &self,
         wait: impl Future<Output = T>,
         caller: &mut Caller,
@@ -337,13 +345,13 @@
                     return Err(Box::new(GateReply::not_run(NotRunReason::Cancelled)));
                 }
                 // Whoever waits for a key that has left is sent after it at once.
-                _ = changes.changed() => drop(self.clear()?),
+                _ = changes.changed() => drop(self.check_clearance()?),
             }
         }
     }
 
     /// The last check before the upstream.
-    fn clear(&self) -> Result<Option<Clearance>, Box<GateReply>> {
+    fn check_clearance(&self) -> Result<Option<Clearance>, Box<GateReply>> {
         let now = self.gate.clock.now();
         if now >= self.deadline {
             return Err(Box::new(GateReply::not_run(NotRunReason::DeadlineExceeded)));
@@ -360,7 +368,7 @@
         if leased && !self.gate.leases.is_usable(now, entry.slot()) {
             return Err(Box::new(GateReply::not_run(NotRunReason::NoOwner)));
         }
-        match entry.clear(now) {
+        match entry.check_clearance(now) {
             Ok(clearance) => Ok(Some(clearance)),
             Err(_) if !self.gate.handle.table.lease_holds(now) => {
                 Err(Box::new(GateReply::not_run(NotRunReason::NoOwner)))
@@ -370,7 +378,7 @@
     }
 
     /// Until when the upstream may work on the request.
-    fn until(&self, clearance: Option<&Clearance>) -> Timestamp {
+    fn upstream_deadline(&self, clearance: Option<&Clearance>) -> Timestamp {
         match (clearance, fence_check(self.bound)) {
             (Some(it), FenceCheck::Unchecked) => self.deadline.min(it.lease_until - LEASE_MARGIN),
             _ => self.deadline,
@@ -379,7 +387,7 @@
 
     /// The same on the upstream's own clock, where it announces one: a request that it reads after
     /// a freeze does not run.
-    fn bounds(&self, clearance: Option<&Clearance>, until: Timestamp) -> Option<ClockBounds> {
+    fn clock_bounds(&self, clearance: Option<&Clearance>, until: Timestamp) -> Option<ClockBounds> {
         let clock = &self.gate.upstream_clock;
         let start_before = clearance.map_or(until, |it| it.lease_until.min(until));
         Some(ClockBounds {
@@ -389,26 +397,26 @@
     }
 
     /// The slot and key that the request counts for; no slot where the key is owned apart from it.
-    fn counts_for(&self) -> Option<(Option<Slot>, KeyHash)> {
+    fn load_key(&self) -> Option<(Option<Slot>, KeyHash)> {
         let (key_hash, entry) = (self.request.key_hash?, self.entry.as_ref()?);
         let in_slot = matches!(entry.admittance.unit, RecordUnit::Slot(_));
         Some((in_slot.then(|| entry.slot()), key_hash))
     }
 
-    fn count_refused(&self, reply: &GateReply) {
+    fn record_refused_load(&self, reply: &GateReply) {
         if reply.outcome() != Outcome::NotRun(NotRunReason::Overloaded) {
             return;
         }
-        if let Some((slot, key_hash)) = self.counts_for() {
+        if let Some((slot, key_hash)) = self.load_key() {
             self.gate.handle.load.add_refused(slot, key_hash);
         }
     }
 
     /// Gives the request to the upstream, once.
-    async fn give(&self, mut permit: Permit, clearance: Option<Clearance>) -> GateReply {
+    async fn send(&self, mut permit: Permit, clearance: Option<Clearance>) -> GateReply {
         let gate = self.gate;
         let started = gate.clock.now();
-        let until = self.until(clearance.as_ref());
+        let until = self.upstream_deadline(clearance.as_ref());
         if let Some(it) = &clearance {
             assert!(it.checked_at < it.lease_until, "a request passed the gate without a lease");
         }
@@ -432,28 +440,28 @@
             id: self.request.id,
             token: clearance.map(|it| it.token),
             remaining,
-            bounds: self.bounds(clearance.as_ref(), until),
+            bounds: self.clock_bounds(clearance.as_ref(), until),
         });
-        let cut_off = CutOff { passage: self, armed: true };
-        let result = self.wait(call, until).await;
-        cut_off.disarm();
+        let cancel_guard = CancelGuard { context: self, armed: true };
+        let result = self.wait_for_end(call, until).await;
+        cancel_guard.disarm();
         if result.is_end_of_run() {
             run.finish();
         }
         watched.end(result.run_end());
         let ended = gate.clock.now();
-        if let Some((slot, key_hash)) = self.counts_for() {
+        if let Some((slot, key_hash)) = self.load_key() {
             gate.handle.load.add(slot, key_hash, ended.since(started));
         }
         gate.metrics.upstream(&self.bound.document.team, &self.request.class, ended.since(started));
         match result {
             // The deadline that it gave up at may be that of the lease, not the caller's.
-            Ended::Answered(answer) if gave_up(&answer, ended, until) => {
-                gate.sign(ended);
+            CallEnd::Answered(answer) if is_upstream_timeout(&answer, ended, until) => {
+                gate.record_response(ended);
                 GateReply::unknown(UnknownReason::DeadlineExceeded)
             }
-            Ended::Answered(answer) => {
-                gate.sign(ended);
+            CallEnd::Answered(answer) => {
+                gate.record_response(ended);
                 gate.quarantine.record_answer(self.request.content);
                 // An upstream that fails fast must not look like one that works fast.
                 permit.completion = match answer.status.is_server_error() {
@@ -462,46 +470,46 @@
                 };
                 GateReply::Answered(answer)
             }
-            Ended::Failed(error) => {
+            CallEnd::Failed(error) => {
                 log::debug!(target: "gate", "{error}.");
                 gate.note_unreachable(self.bound, &error);
                 if !matches!(error, CallError::NotSent { .. } | CallError::Lost { .. }) {
-                    gate.sign(ended);
+                    gate.record_response(ended);
                 }
                 failed(&mut permit, &error)
             }
-            Ended::Cut(reason) => {
+            CallEnd::Abandoned(reason) => {
                 gate.cancel_upstream(&self.bound.upstream, self.request.id);
                 GateReply::unknown(reason)
             }
         }
     }
 
-    async fn wait(
+    async fn wait_for_end(
         &self,
         mut call: upstream::UpstreamFuture<'_, Result<upstream::Answer, CallError>>,
         until: Timestamp,
-    ) -> Ended {
+    ) -> CallEnd {
         let mut changes = self.gate.handle.table.changes();
         let mut overdue = pin!(sleep_until(self.gate.clock.instant(until)));
         loop {
             tokio::select! {
                 biased;
                 result = &mut call => return match result {
-                    Ok(answer) => Ended::Answered(answer),
-                    Err(error) => Ended::Failed(error),
+                    Ok(answer) => CallEnd::Answered(answer),
+                    Err(error) => CallEnd::Failed(error),
                 },
-                _ = &mut overdue => return Ended::Cut(UnknownReason::DeadlineExceeded),
+                _ = &mut overdue => return CallEnd::Abandoned(UnknownReason::DeadlineExceeded),
                 _ = changes.changed() => {
-                    if self.must_stop() {
-                        return Ended::Cut(UnknownReason::ConnectionLost);
+                    if self.must_abandon() {
+                        return CallEnd::Abandoned(UnknownReason::ConnectionLost);
                     }
                 }
             }
         }
     }
 
-    fn must_stop(&self) -> bool {
+    fn must_abandon(&self) -> bool {
         let Some(entry) = &self.entry else { return false };
         let dropped = entry.is_dropped() && fence_check(self.bound) == FenceCheck::Unchecked;
         dropped || entry.is_stopped()
@@ -509,75 +517,78 @@
 }
 
 /// Cancels a request at the upstream when its caller is gone with the task that waits for it.
-struct CutOff<'a> {
-    passage: &'a Passage<'a>,
+struct CancelGuard<'a> {
+    context: &'a RequestContext<'a>,
     armed: bool,
 }
 
-impl CutOff<'_> {
+impl CancelGuard<'_> {
     fn disarm(mut self) {
         self.armed = false;
     }
 }
 
-impl Drop for CutOff<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if self.armed {
-            let Passage { gate, bound, request, .. } = self.passage;
+            let RequestContext { gate, bound, request, .. } = self.context;
             gate.cancel_upstream(&bound.upstream, request.id);
         }
     }
 }
 
 /// How a call to the upstream ended.
-enum Ended {
+enum CallEnd {
     Answered(upstream::Answer),
     Failed(CallError),
     /// This side gave it up.
-    Cut(UnknownReason),
+    Abandoned(UnknownReason),
 }
 
-impl Ended {
+impl CallEnd {
     fn run_end(&self) -> RunEnd {
         match self {
-            Ended::Answered(_) => RunEnd::Answered,
-            Ended::Failed(CallError::NotSent { .. } | CallError::Refused { .. }) => RunEnd::NotRun,
-            Ended::Failed(CallError::Lost { .. } | CallError::Broken { .. }) => RunEnd::Lost,
-            Ended::Cut(_) => RunEnd::GivenUp,
+            CallEnd::Answered(_) => RunEnd::Answered,
+            CallEnd::Failed(CallError::NotSent { .. } | CallError::Refused { .. }) => {
+                RunEnd::NotRun
+            }
+            CallEnd::Failed(CallError::Lost { .. } | CallError::Broken { .. }) => RunEnd::Lost,
+            CallEnd::Abandoned(_) => RunEnd::Abandoned,
         }
     }
 
     /// Whether the upstream does not work on it any more, as far as that is known.
     fn is_end_of_run(&self) -> bool {
         match self {
-            Ended::Answered(_)
-            | Ended::Failed(CallError::NotSent { .. } | CallError::Refused { .. }) => true,
-            Ended::Failed(CallError::Lost { .. } | CallError::Broken { .. }) | Ended::Cut(_) => {
-                false
-            }
+            CallEnd::Answered(_)
+            | CallEnd::Failed(CallError::NotSent { .. } | CallError::Refused { .. }) => true,
+            CallEnd::Failed(CallError::Lost { .. } | CallError::Broken { .. })
+            | CallEnd::Abandoned(_) => false,
         }
     }
 }
 
 /// The age that counts for records: what the caller says, and the time in this system.
-fn known_age(request: &GateRequest) -> Duration {
+fn age_in_system(request: &GateRequest) -> Duration {
     request.age + request.held
 }
 
 /// The upstream says that it gave up, at its deadline.
-fn gave_up(answer: &upstream::Answer, ended: Timestamp, until: Timestamp) -> bool {
-    answer.status == StatusCode::GATEWAY_TIMEOUT && ended + GIVE_UP_MARGIN >= until
+fn is_upstream_timeout(answer: &upstream::Answer, ended: Timestamp, until: Timestamp) -> bool {
+    answer.status == StatusCode::GATEWAY_TIMEOUT && ended + UPSTREAM_TIMEOUT_MARGIN >= until
 }
 
-fn into_permit(verdict: Offer) -> Result<Permit, Box<GateReply>> {
+fn into_permit(verdict: AdmissionDecision) -> Result<Permit, Box<GateReply>> {
     match verdict {
-        Offer::Go(permit) => Ok(permit),
-        Offer::Refused { reason, retry_after } => Err(Box::new(refused(reason, retry_after))),
-        Offer::Wait(_) => unreachable!("a verdict ends the wait"),
+        AdmissionDecision::Go(permit) => Ok(permit),
+        AdmissionDecision::Refused { reason, retry_after } => {
+            Err(Box::new(refused(reason, retry_after)))
+        }
+        AdmissionDecision::Wait(_) => unreachable!("a verdict ends the wait"),
     }
 }
 
-fn fence_check(bound: &Bound) -> FenceCheck {
+fn fence_check(bound: &BoundUpstream) -> FenceCheck {
     // An upstream that enforces leases ends by itself what outlasts them.
     if bound.upstream.key_leases().are_enforced() {
         return FenceCheck::Checked;
--- a/crates/agent/src/gate/table.rs
+++ b/crates/agent/src/gate/table.rs
@@ -19,7 +19,7 @@
 pub(crate) struct Grant {
     pub(crate) token: Token,
     /// The first token since when it has been held without a gap.
-    pub(crate) lineage: Token,
+    pub(crate) first_token: Token,
     pub(crate) since: Timestamp,
 }
 
@@ -28,7 +28,7 @@
     fn next(former: Option<Grant>, token: Token, now: Timestamp) -> Grant {
         match former {
             Some(former) => Grant { token, ..former },
-            None => Grant { token, lineage: token, since: now },
+            None => Grant { token, first_token: token, since: now },
         }
     }
 }
@@ -166,11 +166,11 @@
 
     /// Checks at the last step before the upstream that the request is still admitted under the
     /// same grant and that the lease holds.
-    pub(crate) fn clear(&self, now: Timestamp) -> Result<Clearance, NotAdmitted> {
+    pub(crate) fn check_clearance(&self, now: Timestamp) -> Result<Clearance, NotAdmitted> {
         let until = self.table.lease_until();
         let now_admitted = self.table.peek(self.slot, self.key_hash)?;
         let same = now_admitted.unit == self.admittance.unit
-            && now_admitted.grant.lineage == self.admittance.grant.lineage;
+            && now_admitted.grant.first_token == self.admittance.grant.first_token;
         if now >= until || !same || self.is_dropped() {
             return Err(NotAdmitted { owner: None });
         }
@@ -257,8 +257,8 @@
     }
 
     /// Whether a slot has been held without a gap since this token.
-    pub(crate) fn holds_slot(&self, slot: Slot, lineage: Token) -> bool {
-        self.admitted.load().slots.get(&slot).is_some_and(|it| it.lineage == lineage)
+    pub(crate) fn holds_slot(&self, slot: Slot, first_token: Token) -> bool {
+        self.admitted.load().slots.get(&slot).is_some_and(|it| it.first_token == first_token)
     }
 
     /// Counts a request as in flight if its key is admitted.
@@ -320,7 +320,7 @@
     }
 
     /// Nothing of the unit runs any more.
-    pub(crate) fn forget_stop(&self, unit: RecordUnit) {
+    pub(crate) fn clear_stop(&self, unit: RecordUnit) {
         self.stopped.lock().unwrap_or_else(PoisonError::into_inner).remove(&unit);
     }
 }
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -17,22 +17,22 @@
 };
 
 /// How often records and the snapshot are looked after without cause.
-const TICK: Duration = Duration::from_secs(1);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(10);
-const PREPARE_PAUSE: Duration = Duration::from_millis(100);
+const PREPARE_RETRY_DELAY: Duration = Duration::from_millis(100);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How many tasks are started in one go.
 const BATCH_MAX: usize = 4096;
 /// How often a closing unit is looked at.
-const CLOSE_POLL: Duration = Duration::from_millis(1);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// What of the time for a handover is left for the records.
-const RECORDS_TIME: Duration = Duration::from_millis(300);
+const RECORDS_TRANSFER_TIME: Duration = Duration::from_millis(300);
 /// How often the records are offered to the new owner.
-const RECORDS_TRIES: usize = 2;
+const RECORDS_TRANSFER_ATTEMPTS: usize = 2;
 
 pub(super) async fn run(gate: Arc<Gate>, mut tasks: mpsc::UnboundedReceiver<GateTask>) {
     let mut changes = gate.snapshots.changes();
-    let mut tick = interval(TICK);
+    let mut tick = interval(HOUSEKEEPING_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     gate.rebind();
     let mut batch = Vec::new();
@@ -45,8 +45,8 @@
                 start_all(&gate, batch.drain(..)).await;
             }
             _ = changes.changed() => gate.rebind(),
-            _ = tick.tick() => if let Some(book) = gate.book.get() {
-                book.tick(gate.clock.now());
+            _ = tick.tick() => if let Some(records) = gate.records.get() {
+                records.tick(gate.clock.now());
             },
         }
     }
@@ -92,7 +92,7 @@
             tokio::spawn(async move { gate.close(unit, token, to).await });
         }
         GateTask::Grant { slot, token } => {
-            tokio::spawn(async move { gate.tell_grant(slot, token).await });
+            tokio::spawn(async move { gate.send_grant(slot, token).await });
         }
     }
 }
@@ -111,7 +111,7 @@
                     Ok(()) => return,
                     Err(error) => log::debug!(target: "gate", "Slot {slot}: {error}."),
                 }
-                sleep(PREPARE_PAUSE).await;
+                sleep(PREPARE_RETRY_DELAY).await;
             }
         };
         match timeout(PREPARE_TIMEOUT, asking).await {
@@ -121,7 +121,7 @@
     }
 
     /// Tells an upstream that checks fence tokens of a grant; requests carry the token anyway.
-    async fn tell_grant(&self, slot: Slot, token: Token) {
+    async fn send_grant(&self, slot: Slot, token: Token) {
         let Some(bound) = self.bound.load_full() else { return };
         if !bound.announcement.checks_fence {
             return;
@@ -135,9 +135,9 @@
 
     /// Waits for what is in flight, hands the records over, and says that the unit is closed.
     async fn close(&self, unit: RecordUnit, token: Token, to: Option<Instance>) {
-        self.wait_empty(unit).await;
+        self.wait_until_idle(unit).await;
         if let Some(records) = self.export(unit) {
-            self.hand_over(unit, token, to, records).await;
+            self.hand_over_records(unit, token, to, records).await;
         }
         let report = match unit {
             RecordUnit::Slot(slot) => Report::Closed { slot, token },
@@ -146,7 +146,7 @@
         self.reporter.deliver(report).await;
     }
 
-    async fn wait_empty(&self, unit: RecordUnit) {
+    async fn wait_until_idle(&self, unit: RecordUnit) {
         let table = &self.handle.table;
         let handover_max = match self.bound.load_full() {
             Some(bound) => bound.document.ownership.handover_max,
@@ -154,26 +154,26 @@
         };
         let empty = async {
             while table.in_flight(unit) > 0 {
-                sleep(CLOSE_POLL).await;
+                sleep(CLOSE_POLL_INTERVAL).await;
             }
         };
         let mut empty = std::pin::pin!(empty);
-        let patience = handover_max.saturating_sub(RECORDS_TIME);
-        if timeout(patience, &mut empty).await.is_err() {
+        let idle_timeout = handover_max.saturating_sub(RECORDS_TRANSFER_TIME);
+        if timeout(idle_timeout, &mut empty).await.is_err() {
             log::warn!(target: "gate", "{unit:?} is closed with requests in flight; they are cancelled.");
             table.stop(unit);
             empty.await;
-            table.forget_stop(unit);
+            table.clear_stop(unit);
         }
     }
 
     fn export(&self, unit: RecordUnit) -> Option<bytes::Bytes> {
         let bound = self.bound.load_full()?;
         let now: Timestamp = self.clock.now();
-        self.book.get()?.export(now, unit, |it| bound.document.slot_count.slot_of(it))
+        self.records.get()?.export(now, unit, |it| bound.document.slot_count.slot_of(it))
     }
 
-    async fn hand_over(
+    async fn hand_over_records(
         &self,
         unit: RecordUnit,
         token: Token,
@@ -190,7 +190,7 @@
             RecordUnit::Key(key_hash) => Unit::Key(key_hash),
         };
         let handover = Handover { service, unit, token, records };
-        for _ in 0..RECORDS_TRIES {
+        for _ in 0..RECORDS_TRANSFER_ATTEMPTS {
             if links.hand_over(&to, &handover).await {
                 return;
             }
@@ -200,7 +200,7 @@
 
     /// Takes over records that another gate hands over.
     pub(super) fn take_records(&self, from: &Instance, handover: Handover) -> bool {
-        let (Some(book), Some(bound)) = (self.book.get(), self.bound.load_full()) else {
+        let (Some(records), Some(bound)) = (self.records.get(), self.bound.load_full()) else {
             return false;
         };
         if bound.service != handover.service {
@@ -215,7 +215,7 @@
             Unit::Slot(slot) => RecordUnit::Slot(slot),
             Unit::Key(key_hash) => RecordUnit::Key(key_hash),
         };
-        match book.import(self.clock.now(), unit, &handover.records) {
+        match records.import(self.clock.now(), unit, &handover.records) {
             Ok(()) => true,
             Err(error) => {
                 log::warn!(target: "gate", "Records of {unit:?} from {from} are malformed: {error}.");
