--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -83,7 +83,7 @@
     let calls = {
         let mut leases = gate.leases.lock();
         leases.follow_incarnation(now, &bound.incarnation());
-        leases.calls(now, lease_until)
+        leases.due_calls(now, lease_until)
     };
     report_closed(gate).await;
     for call in calls {
@@ -268,8 +268,8 @@
 /// Says which slots the upstream neither holds nor works on any more.
 async fn report_closed(gate: &Gate) {
     let now = gate.clock.now();
-    let works_until = gate.upstream_runs.latest_ends(now);
-    let closed = gate.leases.lock().take_closed(now, works_until);
+    let runs_until = gate.upstream_runs.latest_ends(now);
+    let closed = gate.leases.lock().take_closed(now, runs_until);
     if !closed.is_empty() {
         gate.reporter.deliver(Report::ClosedSlots(closed)).await;
     }
--- a/crates/agent/src/gate/leases/slot_leases.rs
+++ b/crates/agent/src/gate/leases/slot_leases.rs
@@ -1,5 +1,5 @@
-//! What the upstream has been granted, slot by slot. No I/O: calls to the upstream are returned and
-//! their ends told.
+//! Leases of the upstream, slot by slot. This module does no I/O: it returns the calls that are due
+//! and is given their outcomes.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -9,25 +9,27 @@
 use super::exchange::{AnswerState, Exchange};
 use crate::report::UpstreamId;
 
-/// How much longer than it was told an upstream may hold a key, since its clock may be slow: those that
-/// enforce leases may be off by 2%.
+/// Factor by which an upstream may hold a key longer than its grant allows: the clock of an
+/// upstream that enforces leases may be up to 2% slow.
 pub(in crate::gate) const SLOW_CLOCK_FACTOR: f64 = 1.02;
-/// What the way of a call to the upstream on the same instance may take.
+/// Upper bound on the latency of a call to the upstream on the same instance.
 pub(in crate::gate) const CALL_LATENCY_MARGIN: Duration = Duration::from_millis(20);
-/// A grant for a shorter time is of no use.
+/// Shortest hold that is granted; anything shorter ends before it is of use.
 pub(super) const HOLD_MIN: Duration = Duration::from_millis(100);
-/// A renewal must gain this much: a fifth of a lease of 1.5 s, so three calls a second and run.
+/// Least extension that is worth a renewal: a fifth of a lease of 1.5 s, so about three renewal
+/// calls per second and range.
 const RENEWAL_GAIN_MIN: Duration = Duration::from_millis(300);
-/// The pause after a call that failed.
+/// Delay before a failed grant is retried.
 const RETRY_AFTER: Duration = Duration::from_millis(50);
-/// How long a release may take, for the handover token's sake; a shorter rest of the lease does not
-/// cut it short. Keys that come without it are slow at their new owner for some seconds.
+/// Upper bound on the duration of a release, even if less of the lease remains: the answer carries
+/// the handover token, and keys taken over without one are slow at their new owner for some
+/// seconds.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// How long a handover token waits for its grant.
+/// How long a handover token is stored until a grant uses it.
 const HANDOVER_TOKEN_TTL: Duration = Duration::from_secs(5);
 const HANDOVER_TOKENS_MAX: usize = 256;
 
-/// Neighbouring slots that are treated alike.
+/// Consecutive slots that are held under the same token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct SlotRange {
     pub(super) first: Slot,
@@ -35,7 +37,7 @@
     pub(super) token: Token,
 }
 
-/// A call to the upstream that is due.
+/// A call that is due to the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Call {
     Grant {
@@ -43,25 +45,25 @@
         hold: Duration,
         handover: Option<HandoverToken>,
     },
-    /// `to` takes the keys over.
+    /// Releases the keys of a range, which `successor` takes over if there is one.
     Release {
         range: SlotRange,
         successor: Option<Instance>,
         wait: Duration,
     },
-    /// All keys are to be given up that were granted under tokens up to this one.
+    /// Revokes all keys granted under tokens up to and including this one.
     Clear {
         token: Token,
     },
 }
 
-/// How a grant ended.
+/// The outcome of a grant call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GrantOutcome {
     Accepted,
-    /// The upstream has seen a higher token.
+    /// The upstream refused the grant because it has seen a higher token.
     Outdated,
-    /// It may or may not take effect.
+    /// The call failed or timed out; the grant may still take effect.
     Unknown,
 }
 
@@ -72,12 +74,12 @@
     pub(super) release: ReleaseState,
 }
 
-/// How far the release of a closing slot has come.
+/// Progress of the release of a closing slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReleaseState {
     Due,
     InFlight,
-    /// The upstream holds the slot no more; it may still work on it.
+    /// The upstream no longer holds the slot but may still run requests on it.
     Answered,
 }
 
@@ -85,17 +87,20 @@
 pub(super) struct SlotLease {
     pub(super) token: Token,
     pub(super) handover: Option<HandoverToken>,
-    /// Requests may be given until then: the upstream has acknowledged the grant.
+    /// End of the period in which requests may be sent; set once the upstream has acknowledged the
+    /// grant.
     pub(super) usable_until: Timestamp,
-    /// The upstream may hold the slot until then, whatever was lost on the way.
+    /// Latest time until which the upstream may hold the slot, whichever messages were lost.
     pub(super) held_until: Timestamp,
-    /// Set while a grant is on its way: until when the upstream would hold the slot by it.
+    /// End of the hold that the grant in flight would give the upstream, if one is in flight.
     grant_in_flight_until: Option<Timestamp>,
-    /// The same of grants that got no answer: these may take effect after a later release.
+    /// Latest end of the holds of unanswered grants, which may take effect even after a later
+    /// release.
     unanswered_until: Timestamp,
     next_grant_at: Timestamp,
     pub(super) closing: Option<Closing>,
-    /// What is known of it where the upstream is granted keys by its announcements.
+    /// Effect of the answers to announcements, for upstreams that are granted keys in these
+    /// answers.
     pub(super) answer_state: AnswerState,
 }
 
@@ -107,7 +112,7 @@
     received_at: Timestamp,
 }
 
-/// All slots that the upstream is to hold, holds, or is giving up.
+/// All slots that the upstream is meant to hold, holds, or is releasing.
 #[derive(Debug, Default)]
 pub(super) struct SlotLeases {
     pub(super) slots: BTreeMap<Slot, SlotLease>,
@@ -117,11 +122,12 @@
     incarnation: Option<UpstreamIncarnation>,
 }
 
-/// One life of an upstream: its name, and when it began in milliseconds of its time of day.
+/// Incarnation of an upstream: its id and its start time in milliseconds on its wall clock.
 pub(in crate::gate) type UpstreamIncarnation = (Option<UpstreamId>, Option<u64>);
 
-/// Nothing is granted until the upstream has given up what earlier sessions or lives of this agent
-/// granted it: a release that arrives after a grant could undo it.
+/// A pending revocation of the grants that earlier sessions or incarnations of this agent made.
+/// Nothing is granted before it has ended, because a release that arrives after a grant could undo
+/// the grant.
 #[derive(Debug)]
 pub(super) struct Clearing {
     pub(super) token: Token,
@@ -129,7 +135,7 @@
 }
 
 impl SlotLeases {
-    /// Control admits a slot.
+    /// Adds a slot that the control thread has admitted.
     pub(super) fn admit(&mut self, now: Timestamp, slot: Slot, token: Token) {
         let handover = self.handover_token_for(now, slot);
         let former = self.slots.get(&slot);
@@ -149,7 +155,8 @@
         self.slots.insert(slot, lease);
     }
 
-    /// Control takes a slot back; asked again, it goes on. False: it is not held under this token.
+    /// Starts to close a slot that the control thread takes back; a repeated call only updates the
+    /// successor. Returns false if the slot is not held under this token.
     pub(super) fn close(
         &mut self,
         now: Timestamp,
@@ -164,7 +171,7 @@
             closing.successor = successor.or_else(|| closing.successor.take());
             return true;
         }
-        // What the upstream cannot hold needs no release.
+        // A slot that the upstream cannot hold needs no release.
         let until = match lease.held_until > now {
             true => lease.held_until.max(now + RELEASE_TIMEOUT),
             false => now,
@@ -173,23 +180,24 @@
         true
     }
 
-    /// The upstream is to give up what it was granted under tokens up to this one.
+    /// Starts to revoke all grants under tokens up to and including this one.
     pub(super) fn clear(&mut self, token: Token) {
         self.clearing = Some(Clearing { token, is_sent: false });
     }
 
-    /// The call for that has ended, with the upstream's word or without.
+    /// Ends the revocation, whether the upstream answered or not.
     pub(super) fn finish_clear(&mut self, token: Token) {
         self.clearing.take_if(|it| it.token == token);
     }
 
-    /// The lease is gone: what the upstream holds runs out with it.
+    /// Drops all slots after the agent's own lease is lost: the holds of the upstream expire with
+    /// that lease.
     pub(super) fn drop_all(&mut self) {
         self.exchange.must_revoke |= !self.slots.is_empty();
         self.slots.clear();
     }
 
-    /// The upstream that is there; another life than the one before holds nothing.
+    /// Records the upstream's incarnation. A new incarnation holds no slots.
     pub(super) fn follow_incarnation(&mut self, now: Timestamp, incarnation: &UpstreamIncarnation) {
         match self.incarnation.replace(incarnation.clone()) {
             Some(known) if known != *incarnation => self.reset_for_new_incarnation(now),
@@ -197,7 +205,7 @@
         }
     }
 
-    /// Another life of the upstream: it holds nothing.
+    /// Resets all leases, since a new incarnation of the upstream holds no slots.
     pub(super) fn reset_for_new_incarnation(&mut self, now: Timestamp) {
         for lease in self.slots.values_mut() {
             lease.usable_until = Timestamp::ZERO;
@@ -209,8 +217,8 @@
         self.exchange = Exchange::for_new_incarnation();
     }
 
-    /// The former owner's gate hands a token over: for slots that are admitted later, or that have been but
-    /// are not granted yet.
+    /// Stores a handover token from the former owner's gate for slots that are admitted later, and
+    /// for admitted slots that have not been granted yet.
     pub(super) fn store_handover_token(
         &mut self,
         now: Timestamp,
@@ -219,7 +227,7 @@
         handover: HandoverToken,
     ) {
         for (_, lease) in self.slots.range_mut(first..=last) {
-            if lease.is_untouched() {
+            if lease.is_never_requested() {
                 lease.handover = Some(Arc::clone(&handover));
             }
         }
@@ -236,7 +244,7 @@
         self.handovers.iter().rev().find(fits).map(|it| Arc::clone(&it.handover))
     }
 
-    /// Whether requests for a slot may be given to the upstream.
+    /// Whether requests for a slot may be sent to the upstream.
     pub(super) fn is_usable(&self, now: Timestamp, slot: Slot) -> bool {
         let lease = self.slots.get(&slot);
         lease.is_some_and(|it| {
@@ -244,9 +252,9 @@
         })
     }
 
-    /// The calls that are due. `lease_until` is the end of the lease that this agent has itself: no
-    /// grant outlasts it.
-    pub(super) fn calls(&mut self, now: Timestamp, lease_until: Timestamp) -> Vec<Call> {
+    /// Returns the calls that are due. `lease_until` is the end of this agent's own lease, which no
+    /// grant outlasts.
+    pub(super) fn due_calls(&mut self, now: Timestamp, lease_until: Timestamp) -> Vec<Call> {
         if let Some(clearing) = &mut self.clearing {
             let is_due = !std::mem::replace(&mut clearing.is_sent, true);
             return is_due.then_some(Call::Clear { token: clearing.token }).into_iter().collect();
@@ -255,12 +263,14 @@
             lease_until.since(now).saturating_sub(CALL_LATENCY_MARGIN).div_f64(SLOW_CLOCK_FACTOR);
         let mut calls: Vec<Call> = Vec::new();
         for (slot, lease) in &mut self.slots {
-            let wants_grant = lease.wants_grant(now, hold);
-            // A grant that is on its way might arrive after a release and undo it.
-            let is_quiet = lease.grant_in_flight_until.is_none();
+            let needs_grant = lease.needs_grant(now, hold);
+            // A grant in flight might arrive after the release and undo it.
+            let no_grant_in_flight = lease.grant_in_flight_until.is_none();
             let call = match &mut lease.closing {
                 Some(closing)
-                    if closing.release == ReleaseState::Due && is_quiet && now < closing.until =>
+                    if closing.release == ReleaseState::Due
+                        && no_grant_in_flight
+                        && now < closing.until =>
                 {
                     closing.release = ReleaseState::InFlight;
                     let range = SlotRange { first: *slot, last: *slot, token: lease.token };
@@ -268,11 +278,11 @@
                     Call::Release { range, successor: closing.successor.clone(), wait }
                 }
                 Some(_) => continue,
-                None if wants_grant => {
-                    // The time counts from when the call arrives, on a clock that may be slow.
-                    let ends = now + hold.mul_f64(SLOW_CLOCK_FACTOR) + CALL_LATENCY_MARGIN;
-                    lease.held_until = lease.held_until.max(ends);
-                    lease.grant_in_flight_until = Some(ends);
+                None if needs_grant => {
+                    // The hold counts from the arrival of the call, on a clock that may be slow.
+                    let hold_end = now + hold.mul_f64(SLOW_CLOCK_FACTOR) + CALL_LATENCY_MARGIN;
+                    lease.held_until = lease.held_until.max(hold_end);
+                    lease.grant_in_flight_until = Some(hold_end);
                     let range = SlotRange { first: *slot, last: *slot, token: lease.token };
                     Call::Grant { range, hold, handover: lease.handover.clone() }
                 }
@@ -285,7 +295,7 @@
         calls
     }
 
-    /// A grant that was sent at `sent_at` has ended.
+    /// Records the outcome of a grant call that was sent at `sent_at`.
     pub(super) fn finish_grant(
         &mut self,
         now: Timestamp,
@@ -298,22 +308,22 @@
             if lease.token != range.token {
                 continue;
             }
-            let ends = lease.grant_in_flight_until.take().unwrap_or_default();
+            let hold_end = lease.grant_in_flight_until.take().unwrap_or_default();
             match end {
                 GrantOutcome::Accepted => {
                     lease.usable_until = lease.usable_until.max(sent_at + hold);
-                    // It is warm from now on.
+                    // The keys are warm from now on.
                     lease.handover = None;
                 }
                 GrantOutcome::Outdated | GrantOutcome::Unknown => {
-                    lease.unanswered_until = lease.unanswered_until.max(ends);
+                    lease.unanswered_until = lease.unanswered_until.max(hold_end);
                     lease.next_grant_at = now + RETRY_AFTER;
                 }
             }
         }
     }
 
-    /// A release has ended: with an answer, or without.
+    /// Records the end of a release call, with or without an answer.
     pub(super) fn finish_release(&mut self, now: Timestamp, range: SlotRange, is_answered: bool) {
         for (_, lease) in self.slots.range_mut(range.first..=range.last) {
             let unanswered_until = lease.unanswered_until();
@@ -326,28 +336,29 @@
                 false => ReleaseState::Due,
             };
             if is_answered {
-                // Work does not outlast the hold under which it began.
+                // Requests do not outlast the hold under which they started.
                 closing.until = lease.held_until;
                 lease.held_until = unanswered_until.max(now);
             }
         }
     }
 
-    /// Slots that the upstream cannot hold any more and does not work on. `works_until` says until when it may
-    /// work on a slot, whatever it holds.
+    /// Removes and returns the slots that the upstream can no longer hold and on which it runs no
+    /// requests. `runs_until` returns the latest end of the requests on a slot, regardless of its
+    /// hold.
     pub(super) fn take_closed(
         &mut self,
         now: Timestamp,
-        works_until: impl Fn(Slot) -> Timestamp,
+        runs_until: impl Fn(Slot) -> Timestamp,
     ) -> Vec<(Slot, Token)> {
         let is_closed = |slot: &Slot, it: &SlotLease| {
             let Some(closing) = &it.closing else { return false };
-            let may_be_at_work_until = match closing.release {
+            let may_run_until = match closing.release {
                 ReleaseState::InFlight => return false,
                 ReleaseState::Due => closing.until,
-                ReleaseState::Answered => closing.until.min(works_until(*slot)),
+                ReleaseState::Answered => closing.until.min(runs_until(*slot)),
             };
-            may_be_at_work_until <= now && it.held_until <= now
+            may_run_until <= now && it.held_until <= now
         };
         let closed = self.slots.extract_if(.., |slot, it| is_closed(slot, it));
         closed.map(|(slot, it)| (slot, it.token)).collect()
@@ -355,17 +366,18 @@
 }
 
 impl SlotLease {
-    /// Until when grants that have no answer may make the upstream hold the slot.
+    /// Latest time until which unanswered grants, including the one in flight, may make the
+    /// upstream hold the slot.
     fn unanswered_until(&self) -> Timestamp {
         self.unanswered_until.max(self.grant_in_flight_until.unwrap_or_default())
     }
 
-    /// Whether the upstream has not been asked to take it.
-    fn is_untouched(&self) -> bool {
+    /// Whether no grant of the slot has been sent or accepted.
+    fn is_never_requested(&self) -> bool {
         self.usable_until == Timestamp::ZERO && self.grant_in_flight_until.is_none()
     }
 
-    fn wants_grant(&self, now: Timestamp, hold: Duration) -> bool {
+    fn needs_grant(&self, now: Timestamp, hold: Duration) -> bool {
         self.grant_in_flight_until.is_none()
             && self.next_grant_at <= now
             && hold >= HOLD_MIN
@@ -374,7 +386,8 @@
 }
 
 impl Call {
-    /// Extends this call by the next slot's, if they are alike.
+    /// Extends this call by the next slot's call if both have the same parameters and adjacent
+    /// slots. Returns whether it did.
     fn try_extend(&mut self, next: &Call) -> bool {
         let (range, next_range) = match (&mut *self, next) {
             (
--- a/crates/agent/src/gate/leases/tests/mod.rs
+++ b/crates/agent/src/gate/leases/tests/mod.rs
@@ -44,7 +44,7 @@
 
 /// Admits slots and has the upstream take their grants at once.
 fn granted(leases: &mut SlotLeases, now: Timestamp, lease_until: Timestamp) {
-    for call in leases.calls(now, lease_until) {
+    for call in leases.due_calls(now, lease_until) {
         let Call::Grant { range, hold, .. } = call else { continue };
         leases.finish_grant(now, range, now, hold, GrantOutcome::Accepted);
     }
@@ -73,9 +73,9 @@
         leases.admit(at(0), Slot(slot), token(1));
     }
     leases.admit(at(0), Slot(4), token(2));
-    let calls = leases.calls(at(0), at(1500));
+    let calls = leases.due_calls(at(0), at(1500));
     assert_eq!(grants(&calls), [range(1, 3, 1), range(4, 4, 2), range(7, 7, 1)]);
-    assert!(leases.calls(at(0), at(1500)).is_empty(), "they are on their way");
+    assert!(leases.due_calls(at(0), at(1500)).is_empty(), "they are on their way");
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     assert!(!leases.is_usable(at(0), Slot(1)));
-    let calls = leases.calls(at(0), at(1500));
+    let calls = leases.due_calls(at(0), at(1500));
     assert!(!leases.is_usable(at(0), Slot(1)), "no answer yet");
     let Call::Grant { range, hold, .. } = &calls[0] else { panic!("{calls:?}") };
     assert!(hold.mul_f64(1.02) < 1500 * MS, "a slow clock must not outlast the lease");
@@ -97,12 +97,12 @@
     let mut leases = SlotLeases::default();
     leases.clear(token(1));
     leases.admit(at(0), Slot(1), token(2));
-    assert_eq!(leases.calls(at(0), at(1500)), [Call::Clear { token: token(1) }]);
-    assert!(leases.calls(at(100), at(1500)).is_empty(), "the upstream has not answered");
+    assert_eq!(leases.due_calls(at(0), at(1500)), [Call::Clear { token: token(1) }]);
+    assert!(leases.due_calls(at(100), at(1500)).is_empty(), "the upstream has not answered");
     leases.finish_clear(token(9));
-    assert!(leases.calls(at(100), at(1500)).is_empty(), "that was another one");
+    assert!(leases.due_calls(at(100), at(1500)).is_empty(), "that was another one");
     leases.finish_clear(token(1));
-    assert_eq!(grants(&leases.calls(at(200), at(1500))), [range(1, 1, 2)]);
+    assert_eq!(grants(&leases.due_calls(at(200), at(1500))), [range(1, 1, 2)]);
 }
 
 #[test]
@@ -110,16 +110,16 @@
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
-    assert!(leases.calls(at(100), at(1600)).is_empty());
-    assert_eq!(grants(&leases.calls(at(400), at(1900))), [range(1, 1, 1)]);
+    assert!(leases.due_calls(at(100), at(1600)).is_empty());
+    assert_eq!(grants(&leases.due_calls(at(400), at(1900))), [range(1, 1, 1)]);
 }
 
 #[test]
 fn without_a_lease_nothing_is_granted() {
     let mut leases = SlotLeases::default();
     leases.admit(at(1000), Slot(1), token(1));
-    assert!(leases.calls(at(1000), at(0)).is_empty());
-    assert!(leases.calls(at(1000), at(1050)).is_empty(), "too short to be of use");
+    assert!(leases.due_calls(at(1000), at(0)).is_empty());
+    assert!(leases.due_calls(at(1000), at(1050)).is_empty(), "too short to be of use");
 }
 
 #[test]
@@ -135,7 +135,7 @@
     assert!(!leases.close(at(10), Slot(3), token(9), None), "another token");
     assert!(!leases.is_usable(at(10), Slot(2)));
     assert!(leases.is_usable(at(10), Slot(1)));
-    let calls = leases.calls(at(10), at(1500));
+    let calls = leases.due_calls(at(10), at(1500));
     assert_eq!(releases(&calls), [range(2, 3, 1)]);
     assert!(take_closed(&mut leases, at(20)).is_empty());
     let closed = release_ended(&mut leases, at(20), range(2, 3, 1), true);
@@ -149,9 +149,9 @@
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(3000));
     leases.close(at(0), Slot(1), token(1), None);
-    assert_eq!(releases(&leases.calls(at(0), at(3000))), [range(1, 1, 1)]);
+    assert_eq!(releases(&leases.due_calls(at(0), at(3000))), [range(1, 1, 1)]);
     assert!(release_ended(&mut leases, at(1800), range(1, 1, 1), false).is_empty());
-    assert_eq!(releases(&leases.calls(at(1800), at(4000))), [range(1, 1, 1)], "asked again");
+    assert_eq!(releases(&leases.due_calls(at(1800), at(4000))), [range(1, 1, 1)], "asked again");
     assert!(release_ended(&mut leases, at(2900), range(1, 1, 1), false).is_empty());
     let closed = take_closed(&mut leases, at(3100));
     assert_eq!(closed, [(Slot(1), token(1))]);
@@ -165,13 +165,13 @@
     granted(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
     leases.close(at(10), Slot(2), token(1), None);
-    assert_eq!(releases(&leases.calls(at(10), at(1500))), [range(1, 2, 1)]);
+    assert_eq!(releases(&leases.due_calls(at(10), at(1500))), [range(1, 2, 1)]);
     leases.finish_release(at(20), range(1, 2, 1), true);
-    let works_until = |slot: Slot| if slot == Slot(2) { at(700) } else { at(0) };
-    assert_eq!(leases.take_closed(at(20), works_until), [(Slot(1), token(1))]);
-    assert!(leases.calls(at(30), at(1500)).is_empty(), "it is not released again");
-    assert!(leases.take_closed(at(699), works_until).is_empty());
-    assert_eq!(leases.take_closed(at(700), works_until), [(Slot(2), token(1))]);
+    let runs_until = |slot: Slot| if slot == Slot(2) { at(700) } else { at(0) };
+    assert_eq!(leases.take_closed(at(20), runs_until), [(Slot(1), token(1))]);
+    assert!(leases.due_calls(at(30), at(1500)).is_empty(), "it is not released again");
+    assert!(leases.take_closed(at(699), runs_until).is_empty());
+    assert_eq!(leases.take_closed(at(700), runs_until), [(Slot(2), token(1))]);
 }
 
 #[test]
@@ -180,9 +180,9 @@
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
-    leases.calls(at(10), at(1500));
+    leases.due_calls(at(10), at(1500));
     assert!(leases.close(at(15), Slot(1), token(1), None));
-    assert!(leases.calls(at(15), at(1500)).is_empty(), "the release is on its way");
+    assert!(leases.due_calls(at(15), at(1500)).is_empty(), "the release is on its way");
     leases.finish_release(at(20), range(1, 1, 1), true);
     assert!(leases.close(at(25), Slot(1), token(1), None));
     assert!(leases.take_closed(at(30), |_| at(700)).is_empty());
@@ -195,7 +195,7 @@
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
-    leases.calls(at(10), at(1500));
+    leases.due_calls(at(10), at(1500));
     leases.finish_release(at(20), range(1, 1, 1), true);
     assert!(leases.take_closed(at(1400), |_| at(6000)).is_empty());
     assert_eq!(leases.take_closed(at(1501), |_| at(6000)), [(Slot(1), token(1))]);
@@ -208,13 +208,13 @@
     for slot in 1..=3 {
         leases.admit(at(10), Slot(slot), token(1));
     }
-    let calls = leases.calls(at(10), at(1500));
+    let calls = leases.due_calls(at(10), at(1500));
     assert_eq!(grants(&calls), [range(1, 1, 1), range(2, 3, 1)]);
     let Call::Grant { handover, .. } = &calls[1] else { panic!("{calls:?}") };
     assert_eq!(handover.as_deref(), Some("warm"));
     granted(&mut leases, at(10), at(1500));
     leases.admit(at(60_000), Slot(2), token(2));
-    let calls = leases.calls(at(60_000), at(61_500));
+    let calls = leases.due_calls(at(60_000), at(61_500));
     let Some(Call::Grant { handover: None, .. }) = calls.first() else { panic!("{calls:?}") };
 }
 
@@ -232,12 +232,12 @@
 fn a_release_waits_for_a_grant_that_is_on_its_way() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
-    let calls = leases.calls(at(0), at(1500));
+    let calls = leases.due_calls(at(0), at(1500));
     let Call::Grant { range: granted, hold, .. } = &calls[0] else { panic!("{calls:?}") };
     leases.close(at(1), Slot(1), token(1), None);
-    assert!(leases.calls(at(1), at(1500)).is_empty(), "the grant may arrive after the release");
+    assert!(leases.due_calls(at(1), at(1500)).is_empty(), "the grant may arrive after the release");
     leases.finish_grant(at(5), *granted, at(0), *hold, GrantOutcome::Accepted);
-    assert_eq!(releases(&leases.calls(at(5), at(1500))), [range(1, 1, 1)]);
+    assert_eq!(releases(&leases.due_calls(at(5), at(1500))), [range(1, 1, 1)]);
 }
 
 /// A call on its way to the upstream of the random runs.
@@ -299,7 +299,7 @@
         // Grants without an answer that are still to be applied, and when.
         let mut late: Vec<(Timestamp, (u16, u64, Timestamp))> = Vec::new();
         // Until when it works on each slot, and would hold it if nothing was released.
-        let mut works_until = [Timestamp::ZERO; 8];
+        let mut runs_until = [Timestamp::ZERO; 8];
         let mut would_hold_until = [Timestamp::ZERO; 8];
         let mut work_rng = Pcg64Mcg::seed_from_u64(!seed);
         for reconcile_by_calls in 0..2000 {
@@ -322,7 +322,7 @@
                 }
                 _ => {}
             }
-            for call in leases.calls(now, lease_until) {
+            for call in leases.due_calls(now, lease_until) {
                 if let Call::Grant { hold, .. } = &call {
                     let until = now + hold.mul_f64(1.02);
                     assert!(until <= lease_until, "seed {seed}: a grant outlasts the lease");
@@ -345,7 +345,7 @@
                 let would_hold = &mut would_hold_until[usize::from(*slot)];
                 *would_hold = (*would_hold).max(*until);
             }
-            let works = |slot: Slot| works_until[usize::from(slot.0)];
+            let works = |slot: Slot| runs_until[usize::from(slot.0)];
             let mut closed = leases.take_closed(now, works);
             for it in waiting.extract_if(.., |it| it.ends_at <= now) {
                 match it.call {
@@ -379,7 +379,7 @@
                 let holds = held.iter().any(|it| it.0 == slot && now < it.2);
                 assert!(holds, "seed {seed}: {slot} is used but not held");
                 if work_rng.random_bool(0.02) {
-                    let work = &mut works_until[usize::from(slot)];
+                    let work = &mut runs_until[usize::from(slot)];
                     *work = (*work).max(now + work_rng.random_range(1..3000) * MS);
                 }
             }
