--- a/crates/agent/src/gate/leases/exchange.rs
+++ b/crates/agent/src/gate/leases/exchange.rs
@@ -1,12 +1,15 @@
-//! What the upstream has been granted by the answers to its announcements. No I/O.
+//! State of the exchange with an upstream that is granted keys by the answers to its announcements.
+//! This module does no I/O.
 //!
-//! Each announcement says what the upstream holds and what it has given up; the answer says all that it
-//! is to hold, for a time that counts from when the announcement was sent. That was no later than when it
-//! was heard, so no hold outlasts that moment, the time and what the upstream's clock may be slow by.
+//! Each announcement lists the key ranges that the upstream holds and has released. The answer
+//! lists all ranges that it is to hold, and for how long, counted from when the announcement was
+//! sent. The agent received the announcement no earlier than that, so counting from its receipt
+//! gives an upper bound on the hold, once the rate error of the upstream's clock is added.
 //!
-//! Invariants: an answer that is lost may have been taken, so each counts for what the upstream may hold; a
-//! slot is closed when an announcement shows it given up and no earlier answer can still bring it back, or
-//! when its time is over; an answer never has more runs than fit, for what is left out is given up.
+//! Invariants: a lost answer may have taken effect, so every answer counts towards the time that
+//! the upstream may hold a slot. A slot is closed when an announcement shows it released and no
+//! earlier answer can grant it again, or when its hold has expired. An answer never has more ranges
+//! than fit, because the upstream releases every range that the answer omits.
 
 use std::time::Duration;
 
@@ -18,43 +21,48 @@
     SlotRange,
 };
 
-/// How long after its announcement an answer can take effect: one second by the upstream's clock, which may
-/// be 2% slow, and the way of the announcement.
+/// Time after the receipt of an announcement within which its answer can take effect: one second on
+/// the upstream's clock, which may be 2% slow, and the latency of the announcement.
 const ANSWER_VALIDITY: Duration = Duration::from_millis(1_050);
-/// What the upstream takes to read an answer; a request that comes sooner is refused as not run.
+/// Time that the upstream takes to read an answer; it refuses a request that arrives earlier as not
+/// run.
 pub(super) const ANSWER_READ_DELAY: Duration = Duration::from_millis(3);
-/// So many answers in a row without effect mean that the upstream refuses the token and has not just missed one.
+/// Consecutive ineffective grants after which the upstream is taken to refuse the token. Fewer may
+/// only mean that answers were lost.
 const INEFFECTIVE_GRANTS_MAX: u8 = 3;
-/// New grants leave this part of an answer free, so that slots given up in the midst of runs still fit.
+/// New ranges leave one part in this many of an answer free, so that ranges still fit when a slot
+/// released from the middle of one splits it.
 const SPLIT_RESERVE_DIVISOR: usize = 4;
 
-/// What answers have told the upstream of one slot.
+/// Effect of the answers to announcements on one slot.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AnswerState {
-    /// The last answer granted it, and nothing has shown that this was without effect.
+    /// Whether the last answer granted the slot and no announcement has shown that grant to be
+    /// ineffective.
     is_granted: bool,
-    /// Until when answers that granted it may take effect.
+    /// End of the period in which answers that granted the slot may take effect.
     effective_until: Timestamp,
-    /// The upstream has shown that it holds the slot under this token.
+    /// Whether an announcement has shown that the upstream holds the slot under this token.
     is_confirmed: bool,
-    /// It is not usable before: the answer is on its way.
+    /// Time from which the upstream has read the answer, so that the slot is usable.
     usable_from: Timestamp,
-    /// An answer has left it out, as it is to be given up.
+    /// Whether an answer has omitted the slot so that the upstream releases it.
     is_omitted: bool,
-    /// Answers in a row that granted it without effect.
+    /// Number of consecutive answers that granted the slot without effect.
     ineffective_grants: u8,
 }
 
-/// What the last exchange with the upstream has shown.
+/// State of the exchange of announcements and answers with the upstream.
 #[derive(Debug, Default)]
 pub(super) struct Exchange {
-    /// The last answer granted nothing.
+    /// Whether the last answer granted nothing.
     granted_nothing: bool,
-    /// The upstream holds nothing: it said so after an answer that granted nothing, or has just started.
+    /// Whether the upstream holds nothing: it announced so after an answer that granted nothing, or
+    /// it has just started.
     pub(super) holds_nothing: bool,
-    /// Something that was granted is to be given up at once.
+    /// Whether an earlier grant must be revoked at once.
     pub(super) must_revoke: bool,
-    /// The number of the last announcement.
+    /// Sequence number of the last announcement.
     sequence: u64,
 }
 
@@ -64,15 +72,15 @@
     }
 }
 
-/// What an announcement shows, in slots.
+/// Contents of an announcement, with keys converted to slots.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AnnouncedSlots {
-    /// What the upstream holds or still works on.
+    /// Slots that the upstream holds or still runs requests on.
     pub(super) held: Vec<SlotRange>,
     pub(super) released: Vec<ReleasedRange>,
 }
 
-/// Neighbouring slots that the upstream has given up.
+/// Consecutive slots that the upstream has released.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ReleasedRange {
     pub(super) first: Slot,
@@ -80,35 +88,37 @@
     pub(super) handover: HandoverToken,
 }
 
-/// Slots that the upstream has given up, and who takes them over.
+/// Slots that the upstream has released, and their next owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct SlotTransfer {
     pub(super) range: SlotRange,
     pub(super) successor: Option<Instance>,
-    /// None: it comes without one, as after a hold that ran out.
+    /// The handover token, if the upstream announced one; there is none after a hold that expired.
     pub(super) handover: Option<HandoverToken>,
 }
 
-/// What follows from an announcement.
+/// Consequences of an announcement.
 #[derive(Debug, Default)]
 pub(super) struct AnnouncementEffects {
     pub(super) transfers: Vec<SlotTransfer>,
-    /// The upstream refuses this token.
+    /// Token that the upstream refuses, if there is one.
     pub(super) refused_token: Option<Token>,
-    /// It still has to give something up, and tells of it soon if it is answered.
+    /// Whether the upstream still has to release slots. It announces the release soon after it has
+    /// been answered.
     pub(super) is_releasing: bool,
 }
 
-/// Neighbouring slots that are granted alike, and the token of their last holder if they are new to this one.
+/// Consecutive slots that are granted under the same token, with the handover token of their former
+/// holder if the grant is new to this upstream.
 pub(super) type RangeGrant = (SlotRange, Option<HandoverToken>);
 
-/// All that the upstream is to hold.
+/// The answer to an announcement: all slots that the upstream is to hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct AnnouncementAnswer {
     pub(super) grants: Vec<RangeGrant>,
-    /// Counted from when the announcement was sent.
+    /// Length of the hold, counted from when the announcement was sent.
     pub(super) hold: Duration,
-    /// How many runs wait for a later answer, for there is no room.
+    /// Number of ranges left for a later answer because this one has no room.
     pub(super) deferred: usize,
 }
 
@@ -124,14 +134,15 @@
 }
 
 impl SlotLeases {
-    /// Whether an announcement comes after all that were taken in; late and doubled ones don't.
+    /// Whether an announcement is newer than all those applied so far; late and duplicate ones are
+    /// not. Records its sequence number.
     pub(super) fn accept_sequence(&mut self, sequence: u64) -> bool {
         let accept_sequence = sequence > self.exchange.sequence;
         self.exchange.sequence = self.exchange.sequence.max(sequence);
         accept_sequence
     }
 
-    /// Takes in what an announcement shows.
+    /// Applies an announcement to the leases and returns its consequences.
     pub(super) fn apply_announcement(
         &mut self,
         now: Timestamp,
@@ -169,7 +180,7 @@
         effects
     }
 
-    /// Whether the upstream holds or works on something that it is to give up.
+    /// Whether the upstream holds, or runs requests on, slots that it is to release.
     fn holds_unwanted_slots(&self, announced: &AnnouncedSlots) -> bool {
         let is_kept = |slot: u16, token| {
             let lease = self.slots.get(&Slot(slot));
@@ -181,20 +192,21 @@
             .any(|it| (it.first.0..=it.last.0).any(|slot| !is_kept(slot, it.token)))
     }
 
-    /// Whether there is something that the upstream should be told now.
+    /// Whether a change is pending that the next answer should carry at once.
     pub(super) fn has_pending_changes(&self, now: Timestamp, lease_until: Timestamp) -> bool {
         if let Some(clearing) = &self.clearing {
             return !clearing.is_sent;
         }
         let may_grant = lease_until.since(now) >= 2 * HOLD_MIN;
-        let is_news = |it: &SlotLease| match it.closing {
+        let is_pending = |it: &SlotLease| match it.closing {
             Some(_) => !it.answer_state.is_omitted && it.held_until > now,
             None => may_grant && !it.answer_state.is_granted,
         };
-        self.exchange.must_revoke || self.slots.values().any(is_news)
+        self.exchange.must_revoke || self.slots.values().any(is_pending)
     }
 
-    /// The answer to an announcement that was heard at `received_at`, with no more than `ranges_max` runs.
+    /// Returns the answer to an announcement that was received at `received_at`, with at most
+    /// `ranges_max` ranges, and records what it grants.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
@@ -211,7 +223,7 @@
             clearing.is_sent = true;
         }
         let (grants, deferred) = match self.clearing.is_none() && hold >= HOLD_MIN {
-            true => self.ranges(ranges_max),
+            true => self.ranges_to_grant(ranges_max),
             false => Default::default(),
         };
         self.exchange.granted_nothing = grants.is_empty();
@@ -235,10 +247,10 @@
         AnnouncementAnswer { grants, hold: hold.max(HOLD_MIN), deferred }
     }
 
-    /// The runs of an answer. Where they are too many, some of those that were never granted wait for a later
-    /// answer, and slots that are to be given up are granted on: the upstream would give up whatever is
-    /// left out.
-    fn ranges(&self, ranges_max: usize) -> (Vec<RangeGrant>, usize) {
+    /// Returns the ranges of an answer and how many were deferred. If there are too many, ranges
+    /// that were never granted are deferred first. If that is not enough, slots that are to be
+    /// released remain granted, because the upstream releases every range that the answer omits.
+    fn ranges_to_grant(&self, ranges_max: usize) -> (Vec<RangeGrant>, usize) {
         let mut ranges = self.ranges_where(|it| it.closing.is_none());
         let new_max = ranges_max - ranges_max / SPLIT_RESERVE_DIVISOR;
         let mut deferred = 0;
@@ -266,10 +278,10 @@
         for (slot, lease) in self.slots.iter().filter(|it| is_in(it.1)) {
             let handover = lease.handover.as_ref().filter(|it| !it.is_empty());
             match ranges.last_mut() {
-                Some((range, its_handover))
+                Some((range, range_handover))
                     if range.last.0 + 1 == slot.0
                         && range.token == lease.token
-                        && its_handover.as_ref() == handover =>
+                        && range_handover.as_ref() == handover =>
                 {
                     range.last = *slot;
                 }
@@ -282,7 +294,8 @@
         ranges
     }
 
-    /// The upstream holds nothing of earlier sessions or lives, as it was to be brought to.
+    /// Ends the pending revocation and returns its token if the upstream holds nothing of earlier
+    /// sessions or incarnations of this agent.
     pub(super) fn take_cleared(&mut self) -> Option<Token> {
         let cleared = self.clearing.take_if(|_| self.exchange.holds_nothing);
         cleared.map(|it| it.token)
@@ -290,19 +303,19 @@
 }
 
 impl SlotLease {
-    /// Until when the answers that granted it count for its use.
+    /// Whether the upstream has had the time to read the answer that granted the slot.
     pub(super) fn is_grant_read(&self, now: Timestamp) -> bool {
         now >= self.answer_state.usable_from
     }
 
-    /// An announcement shows the slot under this token, or not at all. Returns how often in a row it has not been
-    /// shown after an answer that granted it.
+    /// Records whether an announcement shows the slot under this lease's token. Returns the number
+    /// of consecutive announcements that did not show it after an answer that granted it.
     fn update_confirmation(&mut self, token: Option<Token>) -> u8 {
         let answer_state = &mut self.answer_state;
         if token == Some(self.token) {
             answer_state.is_confirmed = true;
             answer_state.ineffective_grants = 0;
-            // Its keys are warm from now on.
+            // The keys are warm from now on.
             self.handover = None;
         } else if std::mem::take(&mut answer_state.is_granted) {
             answer_state.is_confirmed = false;
@@ -312,18 +325,19 @@
         answer_state.ineffective_grants
     }
 
-    /// Whether the upstream, which does not show it, has given it up for good: an answer that granted it
-    /// may still be on its way unless its effect was seen.
+    /// Whether the upstream has released the slot for good, given that its announcement does not
+    /// show it. An answer that granted the slot may still be in flight unless its effect was seen.
     fn is_released(&self, now: Timestamp) -> bool {
-        let is_told = self.answer_state.is_omitted || self.held_until <= now;
-        let settled = self.answer_state.is_confirmed || self.answer_state.effective_until <= now;
-        let waits = self.closing.as_ref().is_some_and(|it| it.release == ReleaseState::Due);
-        waits && is_told && settled
+        let is_revoked = self.answer_state.is_omitted || self.held_until <= now;
+        let is_settled = self.answer_state.is_confirmed || self.answer_state.effective_until <= now;
+        let is_release_due =
+            self.closing.as_ref().is_some_and(|it| it.release == ReleaseState::Due);
+        is_release_due && is_revoked && is_settled
     }
 }
 
 impl SlotTransfer {
-    /// Extends this run by the next slot, if they are alike.
+    /// Extends this transfer by the next slot's if both are alike. Returns whether it did.
     fn try_extend(&mut self, next: &SlotTransfer) -> bool {
         let follows =
             self.range.last.0 + 1 == next.range.first.0 && self.range.token == next.range.token;
