--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -1,8 +1,8 @@
-//! Answers to announcements of an upstream that is granted keys by them.
+//! Answers to the announcements of an upstream that is granted keys by them.
 //!
-//! An announcement comes about each second, and only its answer can grant or take back a key. So it stays
-//! unanswered for a while: a change that comes meanwhile reaches the upstream at once, in place of half a
-//! period later on average.
+//! An announcement arrives about every second, and only its answer can grant or revoke a key. The
+//! answer is therefore held back for a while: a change within that time reaches the upstream at
+//! once, instead of half a period later on average.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,20 +26,21 @@
     report::{Announcement, Report},
 };
 
-/// How long an announcement stays unanswered: an answer counts within one second, and a slow machine may take
-/// a part of that.
+/// Longest time for which an answer is held back: it takes effect only within one second of its
+/// announcement, and a slow machine may use up a part of that.
 const ANSWER_DELAY_MAX: Duration = Duration::from_millis(600);
-/// The same where the upstream says that it leaves: others take its keys over within some 10 ms, and it
-/// waits for the answer.
+/// The same for an upstream that announces that it is leaving: other upstreams take over its keys
+/// within about 10 ms, and it waits for the answer.
 const ANSWER_DELAY_MAX_LEAVING: Duration = Duration::from_millis(200);
-/// What control changes in one step, or several at once, goes into one answer.
-const GATHER_FOR: Duration = Duration::from_millis(2);
-/// How long the announcement of another life waits for control to have taken it in.
+/// Time for which the changes of one or more concurrent control steps are collected into one
+/// answer.
+const BATCH_WINDOW: Duration = Duration::from_millis(2);
+/// How long the announcement of a new incarnation waits until control has processed it.
 const NEW_INCARNATION_WAIT: Duration = Duration::from_millis(100);
 
 impl Gate {
-    /// Takes in what the upstream says of its keys, and resolves to what it is to be told. None: nothing,
-    /// which leaves all as it is.
+    /// Applies the upstream's announcement of its keys and resolves to the keys that it is to hold.
+    /// `None` means that the announcement gets no such answer, which leaves its grants unchanged.
     pub(crate) async fn keys_to_hold(
         self: &Arc<Gate>,
         announcement: &Announcement,
@@ -59,45 +60,46 @@
             let mut leases = self.leases.lock();
             leases.follow_incarnation(received_at, &bound.incarnation());
             if !leases.accept_sequence(announcement.sequence) {
-                log::debug!(target: "gate", "An announcement of keys came late.");
+                log::debug!(target: "gate", "Ignored an announcement of keys that is older than the last one.");
                 return None;
             }
-            leases.apply_announcement(self.clock.now(), &announced(held, keys, slot_count))
+            leases.apply_announcement(self.clock.now(), &announced_slots(held, keys, slot_count))
         };
         self.leases.latest_sequence.send_replace(announcement.sequence);
         latest_sequence.mark_unchanged();
         let is_releasing = effects.is_releasing;
         self.apply_effects(&bound, effects).await;
-        let open = match announcement.state {
+        let answer_delay_max = match announcement.state {
             _ if is_releasing => Duration::ZERO,
             UpstreamState::Draining => ANSWER_DELAY_MAX_LEAVING,
             _ => ANSWER_DELAY_MAX,
         };
-        let until = self.clock.instant(received_at + open);
+        let until = self.clock.instant(received_at + answer_delay_max);
         while !self.has_pending_changes() {
             tokio::select! {
                 changed = timeout_at(until, pending_changes.changed()) => match changed {
                     Ok(Ok(())) => {}
                     Ok(Err(_)) | Err(_) => break,
                 },
-                // A later one is there to be answered; two answers at once could come in either order.
+                // A newer announcement is to be answered instead; two answers in flight could
+                // arrive in either order.
                 _ = latest_sequence.changed() => return None,
             }
         }
-        sleep(GATHER_FOR).await;
+        sleep(BATCH_WINDOW).await;
         let answer = {
             let lease_until = self.handle.table.lease_until();
             let mut leases = self.leases.lock();
             leases.answer(self.clock.now(), received_at, lease_until, ranges_max)
         };
         if answer.deferred > 0 {
-            log::warn!(target: "gate", "{} ranges of slots wait for a later answer: no more than {ranges_max} fit.", answer.deferred);
+            log::warn!(target: "gate", "Deferred {} slot ranges to a later answer: one answer holds at most {ranges_max}.", answer.deferred);
         }
         self.leases.notify_usable_when_read();
         Some(keys_of(answer, keys, slot_count))
     }
 
-    /// The upstream as control has taken it in from this announcement.
+    /// Waits until control has processed the announcement, and returns the upstream bound for it.
     async fn wait_bound_to(&self, announcement: &Announcement) -> Arc<BoundUpstream> {
         let mut changes = self.snapshots.changes();
         loop {
@@ -117,14 +119,15 @@
         self.leases.lock().has_pending_changes(self.clock.now(), lease_until)
     }
 
-    /// What an announcement has shown goes to control, and handover tokens to the gates of the next owners.
+    /// Reports the consequences of an announcement to control, and transfers handover tokens to the
+    /// gates of the next owners.
     async fn apply_effects(
         self: &Arc<Gate>,
         bound: &Arc<BoundUpstream>,
         effects: AnnouncementEffects,
     ) {
         if let Some(token) = effects.refused_token {
-            log::warn!(target: "gate", "The upstream does not take grants of token {token}.");
+            log::warn!(target: "gate", "The upstream refuses grants under token {token}.");
             self.reporter.hint(Report::GrantOutdated { token });
         }
         for transfer in effects.transfers {
@@ -139,10 +142,10 @@
     }
 }
 
-/// What is said of keys, in slots.
-fn announced(held: &HeldKeys, keys: OrderedKeys, slot_count: SlotCount) -> AnnouncedSlots {
+/// Converts announced key ranges to slots.
+fn announced_slots(held: &HeldKeys, keys: OrderedKeys, slot_count: SlotCount) -> AnnouncedSlots {
     let slots = |range: KeyRange| {
-        Some((slot(range.first, keys, slot_count)?, slot(range.last, keys, slot_count)?))
+        Some((slot_of(range.first, keys, slot_count)?, slot_of(range.last, keys, slot_count)?))
     };
     let range = |it: &GrantedKeys| {
         let (first, last) = slots(it.keys)?;
@@ -158,7 +161,7 @@
     }
 }
 
-fn slot(key: u32, keys: OrderedKeys, slot_count: SlotCount) -> Option<Slot> {
+fn slot_of(key: u32, keys: OrderedKeys, slot_count: SlotCount) -> Option<Slot> {
     keys.place(key).map(|it| slot_count.slot_of(it))
 }
 
--- a/crates/agent/src/gate/leases/mod.rs
+++ b/crates/agent/src/gate/leases/mod.rs
@@ -1,8 +1,9 @@
-//! Keeps the leases of an upstream that enforces them itself in line with what control admits.
+//! Keeps the leases of an upstream that enforces them itself in line with the slots that control
+//! admits.
 //!
-//! Invariants: no grant outlasts the agent's own lease; a request is given to the upstream only under
-//! a grant that it has acknowledged; a slot is reported closed only when the upstream has released it
-//! and works on it no more, or when its grant has run out.
+//! Invariants: no grant outlasts the agent's own lease. A request is sent to the upstream only
+//! under a grant that the upstream has acknowledged. A slot is reported closed only once the
+//! upstream has released it and runs no requests on it, or once its grant has expired.
 
 mod exchange;
 mod answers;
@@ -32,13 +33,13 @@
 #[derive(Debug)]
 pub(super) struct Leases {
     slot_leases: Mutex<SlotLeases>,
-    /// Something is to be done.
+    /// Wakes the task that reconciles the leases.
     wakeup: Notify,
-    /// Changes when a slot becomes usable.
+    /// Notifies of slots that have become usable.
     usable_changes: watch::Sender<()>,
-    /// Changes when there may be something new to tell an upstream whose announcement is unanswered.
+    /// Notifies of changes that an unanswered announcement may have to be answered with.
     pending_changes: watch::Sender<()>,
-    /// The number of the last announcement that was taken in.
+    /// Sequence number of the last announcement applied.
     latest_sequence: watch::Sender<u64>,
 }
 
@@ -64,7 +65,8 @@
         self.wake();
     }
 
-    /// False: the upstream has not been granted the slot under this token.
+    /// Starts to close a slot. Returns false if the upstream has not been granted it under this
+    /// token.
     pub(super) fn close(
         &self,
         now: Timestamp,
@@ -77,8 +79,8 @@
         closing
     }
 
-    /// What earlier sessions or lives of this agent granted the upstream is to be given up, before
-    /// anything is granted.
+    /// Has the upstream release the grants of earlier sessions or incarnations of this agent before
+    /// anything new is granted.
     pub(super) fn clear(&self, token: Token) {
         self.lock().clear(token);
         self.wake();
@@ -89,7 +91,8 @@
         self.wake();
     }
 
-    /// Whoever waits for a slot looks again once the upstream has read the answer that grants it.
+    /// Notifies waiting requests once the upstream has had the time to read the answer that grants
+    /// their slot.
     fn notify_usable_when_read(self: &Arc<Leases>) {
         let leases = Arc::clone(self);
         tokio::spawn(async move {
@@ -98,7 +101,7 @@
         });
     }
 
-    /// Something is to be done, or to be told.
+    /// Wakes the reconciling task and any announcement that waits for its answer.
     fn wake(&self) {
         self.wakeup.notify_one();
         self.pending_changes.send_replace(());
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -1,4 +1,4 @@
-//! Carries out what the book of leases says is due.
+//! Carries out the calls that the leases of the upstream require.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,38 +20,40 @@
     report::Report,
 };
 
-/// How often the end of the agent's own lease is looked at: often enough that a lease of 1.5 s that is
-/// renewed each 0.4 s is passed on without delay.
+/// Interval at which the end of the agent's own lease is checked: short enough to pass on a lease
+/// of 1.5 s, renewed every 0.4 s, without delay.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(100);
-/// What control admits or takes back in one step is gathered for this long.
-const GATHER_FOR: Duration = Duration::from_millis(2);
+/// Time for which admissions and closings of one control step are collected into one batch.
+const BATCH_WINDOW: Duration = Duration::from_millis(2);
 /// An upstream on the same instance answers within a few milliseconds or not at all.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the answers of runs may come after that of the release that has waited for them, and how often
-/// they are looked for. What comes later is found with the next tick.
+/// Time for which the answers of requests may arrive after that of the release that waited for
+/// them, and the interval at which they are polled. The next pass handles later ones.
 const RUN_ANSWERS_WAIT: Duration = Duration::from_millis(20);
 const RUN_ANSWERS_POLL: Duration = Duration::from_millis(1);
 
-/// How long the upstream may take to give up what earlier sessions or lives of this agent granted it: work whose
-/// connections are still there has to end first. After that its grants are waited for, as after any loss.
+/// Time that the upstream may take to release the grants of earlier sessions or incarnations of
+/// this agent: requests with open connections have to end first. If it takes longer, these grants
+/// are left to expire, as after any lost call.
 const CLEAR_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Gate {
-    /// What an earlier life of this agent began may go on until its lease has run out, of which nothing is known
-    /// but that it was over when this process started.
+    /// Assumes that requests of an earlier incarnation of this agent may run until its lease has
+    /// expired. All that is known of that incarnation is that it had ended when this process
+    /// started.
     pub(super) fn assume_earlier_runs(&self, bound: &BoundUpstream) {
         let lease = bound.document.ownership.lease.mul_f64(SLOW_CLOCK_FACTOR);
         self.upstream_runs.assume_earlier_runs_until(Timestamp::ZERO + lease + CALL_LATENCY_MARGIN);
     }
 }
 
-/// Runs for as long as the gate does.
+/// Reconciles the leases of the upstream with what control admits, for the lifetime of the gate.
 pub(crate) async fn run(gate: Arc<Gate>) {
     loop {
         let due = timeout(RECONCILE_INTERVAL, gate.leases.wakeup.notified()).await;
         if due.is_ok() {
-            sleep(GATHER_FOR).await;
+            sleep(BATCH_WINDOW).await;
         }
         let Some(bound) = gate.bound.load_full() else { continue };
         match bound.upstream.key_leases() {
@@ -62,7 +64,8 @@
     }
 }
 
-/// What an upstream that is granted keys by its announcements gives up without one.
+/// Reports slots whose holds have expired without an announcement, for an upstream that is granted
+/// keys in the answers to its announcements.
 async fn reconcile_announced(gate: &Gate, bound: &BoundUpstream) {
     let now = gate.clock.now();
     let cleared = {
@@ -91,32 +94,32 @@
         tokio::spawn(async move {
             match call {
                 Call::Grant { range, hold, handover } => {
-                    grant(&gate, &bound, range, hold, handover).await
+                    send_grant(&gate, &bound, range, hold, handover).await
                 }
-                Call::Release { range, successor, wait } => {
-                    release_range(&gate, &bound, range, successor, wait).await
+                Call::Release { range, successor, wait_max } => {
+                    release_range(&gate, &bound, range, successor, wait_max).await
                 }
-                Call::Clear { token } => clear(&gate, &bound, token).await,
+                Call::Clear { token } => release_earlier_grants(&gate, &bound, token).await,
             }
         });
     }
 }
 
-/// Releases a run, and hands its token to the gate of the next owner before the slots count as closed.
+/// Releases a range and transfers its handover token before the slots count as closed.
 async fn release_range(
     gate: &Gate,
     bound: &BoundUpstream,
     range: SlotRange,
     successor: Option<Instance>,
-    wait: Duration,
+    wait_max: Duration,
 ) {
-    let handover = release(gate, bound, range, wait).await;
+    let handover = send_release(gate, bound, range, wait_max).await;
     let is_answered = handover.is_some();
     complete_release(gate, bound, SlotTransfer { range, successor, handover }, is_answered).await;
 }
 
-/// Hands the token of a run that the upstream has given up to the gate of the next owner, and says then that
-/// its slots are closed.
+/// Hands over the token of a released range to the gate of the next owner, then reports its slots
+/// as closed.
 pub(super) async fn complete_release(
     gate: &Gate,
     bound: &BoundUpstream,
@@ -127,14 +130,15 @@
     if let (Some(handover), Some(successor), Some(links)) = (&handover, successor, gate.links.get())
         && !links.hand_over(&successor, &handover_message(bound, range, handover)).await
     {
-        log::warn!(target: "gate", "{successor} did not take the handover token of slots {} to {}: their keys start cold.", range.first, range.last);
+        log::warn!(target: "gate", "{successor} did not accept the handover token of slots {} to {}; their keys start cold there.", range.first, range.last);
     }
     wait_for_run_answers(gate, range).await;
     gate.leases.lock().finish_release(gate.clock.now(), range, is_answered);
     report_closed(gate).await;
 }
 
-/// The answers of runs that a release has waited for come with its own, on other connections.
+/// Waits for the answers of requests for which a release has waited: they arrive with its answer,
+/// on other connections.
 async fn wait_for_run_answers(gate: &Gate, range: SlotRange) {
     let until = gate.clock.now() + RUN_ANSWERS_WAIT;
     let mut now = gate.clock.now();
@@ -144,12 +148,12 @@
     }
 }
 
-/// Has the upstream give up all that earlier sessions or lives of this agent granted it. Its handover
-/// token is kept for what is granted it again.
-async fn clear(gate: &Gate, bound: &BoundUpstream, token: Token) {
+/// Has the upstream release all grants of earlier sessions or incarnations of this agent. The
+/// handover token that it returns is stored for the next grants of these keys.
+async fn release_earlier_grants(gate: &Gate, bound: &BoundUpstream, token: Token) {
     let range =
         SlotRange { first: Slot(0), last: Slot(bound.document.slot_count.count() - 1), token };
-    let handover = release(gate, bound, range, CLEAR_TIMEOUT).await;
+    let handover = send_release(gate, bound, range, CLEAR_TIMEOUT).await;
     gate.assume_earlier_runs(bound);
     let now = gate.clock.now();
     {
@@ -163,12 +167,12 @@
     match handover {
         Some(_) => gate.reporter.deliver(Report::Cleared { token }).await,
         None => {
-            log::warn!(target: "gate", "What earlier sessions or lives of this agent granted the upstream runs out by itself.")
+            log::warn!(target: "gate", "The upstream did not confirm the release of grants made by earlier sessions or incarnations of this agent; they are left to expire.")
         }
     }
 }
 
-async fn grant(
+async fn send_grant(
     gate: &Gate,
     bound: &BoundUpstream,
     range: SlotRange,
@@ -176,21 +180,21 @@
     handover: Option<HandoverToken>,
 ) {
     let sent_at = gate.clock.now();
-    let Some((upstream, granted)) = leased(bound, range) else { return };
+    let Some((upstream, granted)) = leased_keys(bound, range) else { return };
     let result = timeout(GRANT_TIMEOUT, upstream.grant_keys(granted, hold, handover)).await;
     let end = match result {
         Ok(Ok(())) => GrantOutcome::Accepted,
         Ok(Err(GrantError::Outdated { peer })) => {
-            log::warn!(target: "gate", "The upstream {peer} has seen a higher token than {} for keys {} to {}.", range.token, granted.keys.first, granted.keys.last);
+            log::warn!(target: "gate", "Upstream {peer} refused a grant under token {} for keys {} to {}: it has seen a higher token.", range.token, granted.keys.first, granted.keys.last);
             gate.reporter.hint(Report::GrantOutdated { token: range.token });
             GrantOutcome::Outdated
         }
         Ok(Err(error)) => {
-            log::debug!(target: "gate", "{error}.");
+            log::debug!(target: "gate", "A grant failed: {error}.");
             GrantOutcome::Unknown
         }
         Err(_) => {
-            log::debug!(target: "gate", "A grant of keys {} to {} got no answer.", granted.keys.first, granted.keys.last);
+            log::debug!(target: "gate", "The upstream did not answer a grant of keys {} to {} in time.", granted.keys.first, granted.keys.last);
             GrantOutcome::Unknown
         }
     };
@@ -201,16 +205,17 @@
     }
 }
 
-/// The upstream's handover token; none: it did not answer.
-async fn release(
+/// Sends a release and returns the upstream's handover token, or `None` if the upstream did not
+/// answer.
+async fn send_release(
     gate: &Gate,
     bound: &BoundUpstream,
     range: SlotRange,
-    wait: Duration,
+    wait_max: Duration,
 ) -> Option<HandoverToken> {
-    let (upstream, granted) = leased(bound, range)?;
+    let (upstream, granted) = leased_keys(bound, range)?;
     let sent_at = gate.clock.now();
-    let result = timeout(wait, upstream.release_keys(granted)).await;
+    let result = timeout(wait_max, upstream.release_keys(granted)).await;
     log_release_end(gate, range, sent_at, matches!(result, Ok(Ok(_))));
     match result {
         Ok(Ok(handover)) => {
@@ -218,32 +223,36 @@
             Some(handover)
         }
         Ok(Err(error)) => {
-            log::info!(target: "gate", "{error}.");
-            // Not at once again: the upstream may be gone.
-            sleep(wait.min(GRANT_TIMEOUT)).await;
+            log::info!(target: "gate", "A release failed: {error}.");
+            // Delays the retry, because the upstream may be gone.
+            sleep(wait_max.min(GRANT_TIMEOUT)).await;
             None
         }
         Err(_) => {
-            log::info!(target: "gate", "A release of keys {} to {} got no answer within {wait:?}.", granted.keys.first, granted.keys.last);
+            log::info!(target: "gate", "The upstream did not answer a release of keys {} to {} within {wait_max:?}.", granted.keys.first, granted.keys.last);
             None
         }
     }
 }
 
-/// What shows whether the work on the slots has ended: how long the answer took, and what ended without one.
+/// Logs how a release ended: the time to its answer, and the requests that ended without an answer
+/// and may still run.
 fn log_release_end(gate: &Gate, range: SlotRange, sent_at: Timestamp, is_answered: bool) {
     let now = gate.clock.now();
     let ongoing = gate.upstream_runs.ongoing(now, range.first, range.last);
     let end = if is_answered { "answered" } else { "failed" };
     log::info!(
         target: "gate",
-        "Release of slots {} to {}, token {}: {end} after {} ms; {} runs without an answer yet, {} cut off, the last may go on for {} ms.",
+        "Release of slots {} to {}, token {}: {end} after {} ms; {} requests still running, {} disconnected without an answer, the last may run for another {} ms.",
         range.first, range.last, range.token, now.since(sent_at).as_millis(),
         ongoing.running, ongoing.unanswered, ongoing.until.since(now).as_millis(),
     );
 }
 
-fn leased(bound: &BoundUpstream, range: SlotRange) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
+fn leased_keys(
+    bound: &BoundUpstream,
+    range: SlotRange,
+) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
     let keys = bound.document.ordered_keys?;
     let keys = keys_of(keys, bound.document.slot_count, range);
     match bound.upstream.key_leases() {
@@ -265,7 +274,7 @@
     }
 }
 
-/// Says which slots the upstream neither holds nor works on any more.
+/// Reports the slots that the upstream no longer holds and on which it runs no requests.
 async fn report_closed(gate: &Gate) {
     let now = gate.clock.now();
     let runs_until = gate.upstream_runs.latest_ends(now);
--- a/crates/agent/src/gate/leases/slot_leases.rs
+++ b/crates/agent/src/gate/leases/slot_leases.rs
@@ -49,7 +49,7 @@
     Release {
         range: SlotRange,
         successor: Option<Instance>,
-        wait: Duration,
+        wait_max: Duration,
     },
     /// Revokes all keys granted under tokens up to and including this one.
     Clear {
@@ -274,8 +274,8 @@
                 {
                     closing.release = ReleaseState::InFlight;
                     let range = SlotRange { first: *slot, last: *slot, token: lease.token };
-                    let wait = closing.until.since(now);
-                    Call::Release { range, successor: closing.successor.clone(), wait }
+                    let wait_max = closing.until.since(now);
+                    Call::Release { range, successor: closing.successor.clone(), wait_max }
                 }
                 Some(_) => continue,
                 None if needs_grant => {
