--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -312,7 +312,9 @@
         let expected = || self.bound.queue.expected(&self.request.class, self.route());
         let (queue_time, timeliness) = match self.request.has_come_back {
             _ if objective.is_zero() => (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late),
-            true if objective < expected() => (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late),
+            true if objective < expected() => {
+                (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late)
+            }
             true => (objective, Timeliness::InTime),
             false => (objective.max(left.mul_f64(QUEUE_TIME_SHARE_MIN)), Timeliness::InTime),
         };
