--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -1,4 +1,4 @@
-//! The upstream that the gate leads to, and the document that it serves it under.
+//! The upstream that the gate sends requests to, and the document that applies to it.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -16,13 +16,13 @@
     snapshot::{Leaving, LocalUpstream, Routes, ServiceRoutes, Snapshot},
 };
 
-/// Each unit gets a share of the memory for records as if this share of all units were here.
+/// The memory for records is divided as if one in this many of the service's units were held here.
 const UNITS_HELD_SHARE: usize = 4;
 const UNIT_RECORDS_BYTES_MIN: usize = 64 << 10;
-/// How much older than it says a resend may be.
+/// Amount by which a resend may be older than it states.
 const AGE_MARGIN: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// From when on an upstream gets no new work.
+/// The times at which an upstream that is leaving stops taking new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DrainSchedule {
     refuses_at: Timestamp,
@@ -30,15 +30,16 @@
 }
 
 impl DrainSchedule {
-    fn new(now: Timestamp, why: Leaving, drain: &DrainLimits) -> DrainSchedule {
-        let time = match why {
+    fn new(now: Timestamp, reason: Leaving, drain: &DrainLimits) -> DrainSchedule {
+        let drain_time = match reason {
             Leaving::ForGood => drain.no_new_work_after,
             Leaving::ZoneClosed => drain.zone_no_new_work_after,
         };
-        DrainSchedule { refuses_at: now + time / 2, closed_at: now + time }
+        DrainSchedule { refuses_at: now + drain_time / 2, closed_at: now + drain_time }
     }
 
-    /// One that is to leave for good while its zone is closed gets no more time by that.
+    /// Combines two schedules: an upstream that is to leave for good while its zone is closed gets
+    /// no additional time.
     fn earliest(self, other: DrainSchedule) -> DrainSchedule {
         DrainSchedule {
             refuses_at: self.refuses_at.min(other.refuses_at),
@@ -47,7 +48,7 @@
     }
 }
 
-/// One upstream under one version of its document.
+/// An upstream under one version of its document.
 pub(crate) struct BoundUpstream {
     pub(crate) service: ServiceName,
     pub(crate) version: ConfigVersion,
@@ -61,62 +62,64 @@
 }
 
 impl BoundUpstream {
-    /// Whether this leads to the life of the upstream that announced itself.
-    fn is_of(&self, announcement: &Announcement) -> bool {
+    /// Whether this is the incarnation of the upstream that sent the announcement.
+    fn is_same_upstream(&self, announcement: &Announcement) -> bool {
         self.announcement.address == announcement.address
             && self.announcement.is_of_same_life(announcement)
     }
 
-    /// The life of the upstream that this leads to.
+    /// Returns the incarnation of this upstream.
     pub(super) fn incarnation(&self) -> UpstreamIncarnation {
         (self.announcement.upstream_id.clone(), self.announcement.born_ms)
     }
 
-    /// Whether a client made for the other document is the same.
+    /// Whether the client can be reused under the other document.
     fn has_same_client(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits.body_bytes_max == document.limits.body_bytes_max
     }
 
-    /// Whether requests queue alike under the other document: what runs is counted on then.
+    /// Whether the queue can be reused under the other document, so that running requests remain
+    /// counted.
     fn has_same_queue(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits == document.limits
             && self.document.classes == document.classes
     }
 
-    /// Nothing more is taken in. Until half of the document's time has passed it still is: the news that
-    /// this instance is leaving takes a while to spread.
+    /// Whether new requests are refused. They are still accepted during the first half of the drain
+    /// time, since it takes a while for all peers to learn that this instance is leaving.
     pub(crate) fn refuses_work(&self, now: Timestamp) -> bool {
         self.closing.is_some_and(|it| now >= it.refuses_at)
     }
 
-    /// Nothing may reach the upstream any more, not even what has waited since before.
+    /// Whether no request may reach the upstream any longer, including queued ones.
     pub(crate) fn is_closed(&self, now: Timestamp) -> bool {
         self.closing.is_some_and(|it| now >= it.closed_at)
     }
 }
 
 impl Gate {
-    /// Follows the snapshot: the upstream's address, its document, its draining.
+    /// Updates the bound upstream from the snapshot: its address, its document and whether it
+    /// drains.
     pub(crate) fn rebind(&self) {
         let snapshot = self.snapshots.load();
         let Some((service, local)) = local_service(&snapshot) else { return };
         let former = self.bound.load_full();
         if former.as_ref().is_some_and(|it| !it.announcement.is_of_same_life(&local.announcement)) {
-            self.upstream_ended("another life of it is there");
+            self.upstream_ended("a new incarnation has announced itself");
         }
         let bound = match self.next_bound(former.as_deref(), service, local) {
             Ok(bound) => bound,
             Err(error) => {
-                log::error!(target: "gate", "No client of the upstream: {error:#}.");
+                log::error!(target: "gate", "Creating the client of the upstream failed: {error:#}.");
                 return;
             }
         };
         let now = self.clock.now();
         let former_closing = former.as_ref().and_then(|it| it.closing);
-        let closing = local.leaving.map(|why| {
-            let closing = DrainSchedule::new(now, why, &bound.document.drain);
+        let closing = local.leaving.map(|reason| {
+            let closing = DrainSchedule::new(now, reason, &bound.document.drain);
             former_closing.map_or(closing, |it| it.earliest(closing))
         });
         let bound = BoundUpstream { closing, members: members(service), ..bound };
@@ -136,8 +139,8 @@
         let announcement = &local.announcement;
         let document = &service.document;
         self.handle.warmup.with(|it| it.set_limit(document.upstream.cold_requests_per_s));
-        let same_upstream = former.filter(|it| it.is_of(announcement));
-        // A version may change limits of the client: connections are cheap to make anew.
+        let same_upstream = former.filter(|it| it.is_same_upstream(announcement));
+        // A version may change limits of the client; connections are cheap to recreate.
         let upstream = match same_upstream.filter(|it| it.has_same_client(document)) {
             Some(former) => Arc::clone(&former.upstream),
             None => (self.connect)(announcement, document)?,
@@ -168,16 +171,18 @@
         })
     }
 
-    /// When an owner that was not told of a change of members may have sent requests elsewhere.
-    pub(super) fn members_changed(&self) -> Timestamp {
+    /// Returns when the membership last changed. Up to then, an ingress with an older membership
+    /// may have sent requests to other members.
+    pub(super) fn members_changed_at(&self) -> Timestamp {
         Timestamp { ns: self.members_changed_ns.load(Ordering::SeqCst) }
     }
 }
 
-/// A lane that was drained, or whose upstream was lost, is not used again.
+/// Whether a new queue is needed: the queue of an upstream that was drained or lost is not reused.
 fn needs_new_queue(former: &BoundUpstream, local: &LocalUpstream) -> bool {
-    let gone = former.closing.is_some() || former.announcement.state == UpstreamState::Lost;
-    gone && local.leaving.is_none() && local.announcement.state == UpstreamState::Ready
+    let was_unavailable =
+        former.closing.is_some() || former.announcement.state == UpstreamState::Lost;
+    was_unavailable && local.leaving.is_none() && local.announcement.state == UpstreamState::Ready
 }
 
 fn local_service(snapshot: &Snapshot) -> Option<(&ServiceRoutes, &LocalUpstream)> {
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -1,7 +1,7 @@
-//! The gate: the only way to the upstream beside this agent.
+//! The gate: the only path to the upstream beside this agent.
 //!
-//! A request passes in this order: the grant of its key, its at-most-once record, the queue for a
-//! slot of the upstream, a last check of grant and lease, the upstream.
+//! A request passes these steps in order: the grant of its key, its at-most-once record, the queue
+//! for a slot of the upstream, a last check of grant and lease, the upstream.
 
 mod bound;
 mod ends;
@@ -56,11 +56,11 @@
 pub use handle::GateHandle;
 pub(crate) use handle::GateTask;
 
-/// Makes the client of an upstream.
+/// Creates the client of an upstream.
 pub type Connect =
     Box<dyn Fn(&Announcement, &ServiceDocument) -> anyhow::Result<Arc<dyn Upstream>> + Send + Sync>;
 
-/// What a gate is made from.
+/// The parts that a gate is assembled from.
 pub(crate) struct GateParts {
     pub(crate) own: Instance,
     pub(crate) handle: GateHandle,
@@ -74,7 +74,7 @@
     pub(crate) quarantine: Arc<SharedQuarantine>,
 }
 
-/// The traffic threads' side of the gate.
+/// The gate as the traffic threads use it.
 pub(crate) struct Gate {
     own: Instance,
     clock: Clock,
@@ -91,18 +91,20 @@
     upstream_runs: UpstreamRuns,
     unanswered: UnansweredRuns,
     quarantine: Arc<SharedQuarantine>,
-    /// One suspect runs at a time: if the upstream ends, that was it.
+    /// Allows one suspect request at a time, so that a crash of the upstream can be attributed to
+    /// it.
     suspect_permit: Semaphore,
     links: OnceLock<TrafficLinks>,
-    /// When the upstream last answered, on the process's clock.
+    /// When the upstream last answered, on the process's clock, in nanoseconds.
     last_response_ns: AtomicU64,
-    /// When the members of a service that is not divided by key last changed.
+    /// When the members of a service that is not divided by key last changed, on the process's
+    /// clock, in nanoseconds.
     members_changed_ns: AtomicU64,
     in_flight: AtomicUsize,
 }
 
 impl Gate {
-    /// A gate and its background work, on the runtime that calls.
+    /// Creates a gate and spawns its background tasks on the current runtime.
     pub(crate) fn start(parts: GateParts) -> Arc<Gate> {
         let clock = parts.handle.clock;
         let now = clock.now();
@@ -135,17 +137,17 @@
         gate
     }
 
-    /// The links over which records are handed over; set once.
+    /// Sets the links over which records are handed over. May be called once.
     pub(crate) fn set_links(&self, links: TrafficLinks) {
-        assert!(self.links.set(links).is_ok(), "the gate has its links already");
+        assert!(self.links.set(links).is_ok(), "the links of the gate are set twice");
     }
 
-    /// Requests that the gate has not replied to.
+    /// Returns the number of requests that the gate has not replied to yet.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Whether no new work reaches the upstream; so too when there is none.
+    /// Whether no new work reaches the upstream, which is also the case if there is none.
     pub(crate) fn refuses_work(&self) -> bool {
         self.bound
             .load()
@@ -153,17 +155,18 @@
             .is_none_or(|it| it.document.keyed || it.refuses_work(self.clock.now()))
     }
 
-    /// How busy the gate is, for whoever has asked it for a request of a class and kind.
+    /// Returns the load of the gate, as reported to a peer that has sent a request of this class
+    /// and kind.
     fn gate_load(&self, class: &ClassName, kind: Option<u8>) -> Option<GateLoad> {
         self.bound.load().as_ref().map(|it| it.queue.gate_load(class, kind))
     }
 
-    /// Requests at the upstream, and requests that wait for a slot of it.
+    /// Returns the number of requests at the upstream and the number that wait for a slot.
     pub(crate) fn load(&self) -> (usize, usize) {
         self.bound.load().as_ref().map_or((0, 0), |it| it.queue.load())
     }
 
-    /// A peer with a later document than this agent's is where to get it.
+    /// Reports a peer that has a later document than this agent, so that control fetches it.
     fn compare_config(&self, from: &Instance, request: &GateRequest) {
         let bound = self.bound.load();
         let known = bound.as_ref().filter(|it| it.service == request.service);
@@ -181,25 +184,25 @@
         Timestamp { ns: self.last_response_ns.load(Ordering::Relaxed) }
     }
 
-    /// Takes a request to its end. Dropping the future cancels it; one that is not idempotent and
-    /// runs already goes on, so that a resend gets its answer.
+    /// Runs a request to its end. Dropping the future cancels it, except that a non-idempotent
+    /// request that is already running continues, so that a resend gets its answer.
     pub(crate) async fn call(self: &Arc<Gate>, request: GateRequest) -> GateReply {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         let in_flight_guard = InFlightGuard(Arc::clone(self));
         let (mut caller, reply) = oneshot::channel();
         if request.idempotent {
-            // In the task of whoever asks: nothing has to outlive it.
+            // Runs in the caller's task, since nothing has to outlive it.
             return self.handle_logged(&request, &mut caller).await;
         }
         tokio::spawn(async move {
             let reply = in_flight_guard.0.handle_logged(&request, &mut caller).await;
-            // The caller may have hung up.
+            // The caller may have disconnected.
             _ = caller.send(reply);
         });
         reply.await.unwrap_or(GateReply::unknown(UnknownReason::ConnectionLost))
     }
 
-    /// The same, with how busy the gate is by then.
+    /// Runs a request like [`Gate::call`] and adds the load of the gate to the reply.
     pub(crate) async fn serve(self: &Arc<Gate>, request: GateRequest) -> Replied {
         let (class, kind) = (request.class.clone(), request.kind);
         let reply = self.call(request).await;
@@ -220,7 +223,7 @@
     }
 }
 
-/// Counts a request down when it ends in whatever way.
+/// Removes a request from the count of those in flight, however it ends.
 struct InFlightGuard(Arc<Gate>);
 
 impl Drop for InFlightGuard {
@@ -252,12 +255,12 @@
     }
 }
 
-/// The client of an upstream over HTTP.
+/// Creates the client of an upstream over HTTP.
 pub(crate) fn connect_http(
     announcement: &Announcement,
     document: &ServiceDocument,
 ) -> anyhow::Result<Arc<dyn Upstream>> {
-    // One connection for each slot, a few for control calls, and never more than the cap.
+    // One connection for each slot and a few for control calls, up to the configured limit.
     let unused_max =
         (document.upstream.slots as usize).min(document.upstream.connections_max as usize);
     let upstream =
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -1,4 +1,4 @@
-//! The way of one request through the gate.
+//! The path of one request through the gate.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -29,33 +29,36 @@
     snapshot::Routes,
 };
 
-/// How long before the end of the lease a request must end at an upstream that checks no token.
+/// Time before the end of the lease by which a request must end at an upstream that does not check
+/// fence tokens.
 const LEASE_MARGIN: Duration = Duration::from_millis(5);
-/// How long the members of a service may differ about who they are.
+/// Longest time for which members of a service may hold different views of its membership.
 const MEMBERS_SKEW_MAX: Duration = Duration::from_secs(1);
-/// How much earlier than it was told an upstream may give up: it counts in whole milliseconds.
+/// Time by which an upstream may time out before its deadline, because it counts in whole
+/// milliseconds.
 const UPSTREAM_TIMEOUT_MARGIN: Duration = Duration::from_millis(5);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a request waits for a grant that is on its way to the upstream.
+/// Longest time for which a request waits until a grant of its slot has reached the upstream.
 const GRANT_WAIT: Duration = Duration::from_millis(500);
-/// A request waits for a slot at least for this share of the time that it has, also if its answer is of
-/// full use for a shorter time only: such short times are those of calls that an upstream makes while
-/// it works on a request, and to refuse one fails work that is done in part.
+/// Least share of its remaining time for which a request waits for a slot, even if its objective is
+/// shorter. Short objectives come from calls that an upstream makes while it handles a request;
+/// refusing such a call fails work that is already partly done.
 const QUEUE_TIME_SHARE_MIN: f64 = 0.5;
-/// How long a request whose answer comes late in any case waits for a slot, as a share of the time that it has.
+/// Share of its remaining time for which a request waits for a slot if its answer will miss the
+/// objective in any case.
 const LATE_QUEUE_TIME_SHARE: f64 = 0.25;
-/// The unit of records of a service that is not divided by key.
+/// The record unit of a service that is not divided by key.
 const WHOLE_SERVICE: RecordUnit = RecordUnit::Slot(Slot(0));
 
 pub(super) type Caller = oneshot::Sender<GateReply>;
 
-/// One request with what it needs on its way.
+/// One request with the state that it needs on its path through the gate.
 struct RequestContext<'a> {
     gate: &'a Gate,
     bound: &'a BoundUpstream,
     request: &'a GateRequest,
     deadline: Timestamp,
-    /// None where the service is not divided by key.
+    /// The entry in the gate's table; `None` if the service is not divided by key.
     entry: Option<Entry>,
 }
 
@@ -70,14 +73,16 @@
         }
         match request.key_hash {
             Some(key_hash) if bound.document.keyed => {
-                self.keyed(&bound, request, key_hash, deadline, caller).await
+                self.handle_keyed(&bound, request, key_hash, deadline, caller).await
+            }
+            None if !bound.document.keyed => {
+                self.handle_unkeyed(&bound, request, deadline, caller).await
             }
-            None if !bound.document.keyed => self.unkeyed(&bound, request, deadline, caller).await,
             _ => GateReply::not_run(NotRunReason::BadRequest),
         }
     }
 
-    async fn keyed(
+    async fn handle_keyed(
         &self,
         bound: &BoundUpstream,
         request: &GateRequest,
@@ -88,7 +93,7 @@
         let slot = bound.document.slot_count.slot_of(key_hash);
         let entry = match self.handle.table.enter(slot, key_hash) {
             Ok(entry) => entry,
-            Err(error) => return self.not_owner(request, error),
+            Err(error) => return self.not_owner_reply(request, error),
         };
         let now = self.clock.now();
         if !self.handle.table.lease_holds(now) {
@@ -104,11 +109,11 @@
         }
         let admittance = entry.admittance;
         let context = RequestContext { gate: self, bound, request, deadline, entry: Some(entry) };
-        let key = RequestKey { key_hash, slot, id: request.id, age: age_in_system(request) };
+        let key = RequestKey { key_hash, slot, id: request.id, age: record_age(request) };
         context.run_at_most_once(now, &admittance, key, caller).await
     }
 
-    async fn unkeyed(
+    async fn handle_unkeyed(
         &self,
         bound: &BoundUpstream,
         request: &GateRequest,
@@ -126,19 +131,18 @@
         let grant = Grant { token: fence, first_token: fence, since: Timestamp::ZERO };
         let admittance = Admittance { unit: WHOLE_SERVICE, grant, fence, returned: None };
         let key_hash = KeyHash(request.id.0 as u64);
-        let key =
-            RequestKey { key_hash, slot: Slot(0), id: request.id, age: age_in_system(request) };
+        let key = RequestKey { key_hash, slot: Slot(0), id: request.id, age: record_age(request) };
         let context = RequestContext { gate: self, bound, request, deadline, entry: None };
         context.run_at_most_once(now, &admittance, key, caller).await
     }
 
-    /// A resend may come here though its first sending ran at a member that is gone.
+    /// Whether a resend may have run before, at a member that has since left the service.
     fn may_have_run_elsewhere(&self, bound: &BoundUpstream, now: Timestamp, age: Duration) -> bool {
-        let certain_since = self.members_changed() + MEMBERS_SKEW_MAX;
-        !bound.document.keyed && !age.is_zero() && now - age < certain_since
+        let settled_at = self.members_changed_at() + MEMBERS_SKEW_MAX;
+        !bound.document.keyed && !age.is_zero() && now - age < settled_at
     }
 
-    /// The member that keeps the record of a request that is not idempotent, if not this one.
+    /// The member that keeps the record of a non-idempotent request, if it is not this one.
     fn other_designated_member(
         &self,
         bound: &BoundUpstream,
@@ -156,26 +160,26 @@
         }
     }
 
-    /// Waits until the upstream has taken the grant of a slot that control has admitted.
+    /// Waits until the upstream has accepted the grant of a slot that control has admitted.
     async fn wait_for_grant(&self, slot: Slot, deadline: Timestamp) -> bool {
         let until = deadline.min(self.clock.now() + GRANT_WAIT);
         let now = || self.clock.now();
         self.leases.wait_usable(slot, self.clock.instant(until), now).await
     }
 
-    fn not_owner(&self, request: &GateRequest, error: NotAdmitted) -> GateReply {
+    fn not_owner_reply(&self, request: &GateRequest, error: NotAdmitted) -> GateReply {
         let snapshot = self.snapshots.load();
         let routes = snapshot.services.get(&request.service).map(|it| &it.routes);
         let (Some(Routes::ByKey(routes)), Some(key_hash)) = (routes, request.key_hash) else {
             return GateReply::NotOwner { owner: error.owner, route_version: 0 };
         };
-        let known = || routes.route(key_hash).owner.clone();
-        let owner = error.owner.or_else(known).filter(|it| *it != self.own);
+        let routed_owner = || routes.route(key_hash).owner.clone();
+        let owner = error.owner.or_else(routed_owner).filter(|it| *it != self.own);
         GateReply::NotOwner { owner, route_version: routes.route_version }
     }
 
-    /// An upstream that is not asked for its health is lost when it takes no connection, until it
-    /// announces itself again.
+    /// Reports an upstream that refuses connections as lost, if its health is not probed. Its next
+    /// announcement makes it available again.
     fn note_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
         let unreachable = matches!(error, CallError::NotSent { .. });
         if unreachable && !bound.upstream.is_asked_for_health() {
@@ -187,14 +191,14 @@
         let upstream = Arc::clone(upstream);
         tokio::spawn(async move {
             if let Ok(Err(error)) = timeout(CANCEL_TIMEOUT, upstream.cancel(id)).await {
-                log::debug!(target: "gate", "{error}.");
+                log::debug!(target: "gate", "Cancelling a request failed: {error}.");
             }
         });
     }
 }
 
 impl RequestContext<'_> {
-    /// Sees to it that a request that is not idempotent runs at most once.
+    /// Ensures that a non-idempotent request runs at most once.
     async fn run_at_most_once(
         self,
         now: Timestamp,
@@ -202,17 +206,17 @@
         key: RequestKey,
         caller: &mut Caller,
     ) -> GateReply {
-        // Without resends there is nothing to know a request again by.
+        // Without resends there is no id by which a repeated request could be recognized.
         if self.request.idempotent || !self.bound.document.resends {
             return self.run_unrecorded(caller).await;
         }
         let gate = self.gate;
-        let records = gate.records.get().expect("a bound gate has its records");
+        let records = gate.records.get().expect("the records exist once an upstream is bound");
         let running = match records.begin(now, &gate.handle.table, admittance, key) {
             RecordLookup::Run(running) => running,
             RecordLookup::Attach(reply) => {
                 let left = self.deadline.since(now);
-                // Not counted as in flight: the first sending is.
+                // Not counted as in flight, since the first sending is.
                 drop(self);
                 return match timeout(left, reply).await {
                     Ok(Ok(reply)) => reply,
@@ -222,7 +226,7 @@
             }
             RecordLookup::Replay(answer) => return GateReply::Answered(answer),
             // The owner changed while ingress held a first sending. This sending has not run, and a
-            // caller that still waits for it has made no other.
+            // caller that still waits for it has not sent another one.
             RecordLookup::Unknown(UnknownReason::NoRecord) if self.request.age.is_zero() => {
                 return GateReply::not_run(NotRunReason::NoOwner);
             }
@@ -237,7 +241,8 @@
                 false => GateReply::unknown(UnknownReason::NoRecord),
             };
         }
-        // The entry must live until the record has ended: a closing unit waits for it.
+        // The entry must live until the record is finished, since closing the unit waits for the
+        // entry.
         let (reply, entry) = self.run_and_keep_entry(caller).await;
         records.finish(gate.clock.now(), running, &reply);
         drop(entry);
@@ -253,26 +258,27 @@
         (reply, self.entry)
     }
 
-    /// To the upstream, or back with the reason why not.
+    /// Sends the request to the upstream, or returns the reply that states why it was not sent.
     async fn admit_and_send(&self, caller: &mut Caller) -> Result<GateReply, Box<GateReply>> {
         let _alone = self
             .acquire_suspect_permit(caller)
             .await
             .inspect_err(|it| self.record_refused_load(it))?;
-        let permit = self.queue(caller).await.inspect_err(|it| self.record_refused_load(it))?;
+        let permit =
+            self.wait_for_slot(caller).await.inspect_err(|it| self.record_refused_load(it))?;
         let clearance = self.check_clearance()?;
         Ok(self.send(permit, clearance).await)
     }
 
-    /// A request under which an upstream may have ended waits until no other such request is here.
+    /// Waits until no other request is running that an upstream may have crashed on.
     async fn acquire_suspect_permit(
         &self,
         caller: &mut Caller,
     ) -> Result<Option<SemaphorePermit<'_>>, Box<GateReply>> {
-        match self.gate.quarantine.standing(self.request.content) {
+        match self.gate.quarantine.status(self.request.content) {
             QuarantineStatus::Clear => return Ok(None),
             QuarantineStatus::Suspect => {}
-            QuarantineStatus::Quarantined => return Err(quarantined()),
+            QuarantineStatus::Quarantined => return Err(quarantined_reply()),
         }
         let until = self.gate.clock.instant(self.queue_until().0);
         let alone = timeout_at(until, self.gate.suspect_permit.acquire());
@@ -282,7 +288,7 @@
         }
     }
 
-    /// The rule of the document that the request falls under, for what it is expected to take.
+    /// The route of the document that matches the request; it selects the expected service time.
     fn route(&self) -> Option<RouteIndex> {
         if let Some(kind) = self.request.kind {
             return Some(RouteIndex(kind.into()));
@@ -298,13 +304,13 @@
         Some(RouteIndex(found.index))
     }
 
-    /// Until when it is worth its while to wait for a slot, and of what use the answer will be then. One
-    /// whose answer can't be of full use any more, as after a first try elsewhere or a refusal, gets what
-    /// those that can leave over.
+    /// Latest time until which the request waits for a slot, and whether its answer can still meet
+    /// the objective by then. A request that can no longer meet it, as after a first attempt
+    /// elsewhere or a refusal, only gets capacity that timely requests leave unused.
     fn queue_until(&self) -> (Timestamp, Timeliness) {
         let class = self.bound.document.classes.iter().find(|it| it.name == self.request.class);
-        let bounded = class.is_some_and(|it| !it.queues_past_objective);
-        let Some(objective) = self.request.objective.filter(|_| bounded) else {
+        let is_bounded = class.is_some_and(|it| !it.queues_past_objective);
+        let Some(objective) = self.request.objective.filter(|_| is_bounded) else {
             return (self.deadline, Timeliness::InTime);
         };
         let now = self.gate.clock.now();
@@ -322,7 +328,7 @@
     }
 
     /// Waits for a slot of the upstream.
-    async fn queue(&self, caller: &mut Caller) -> Result<Permit, Box<GateReply>> {
+    async fn wait_for_slot(&self, caller: &mut Caller) -> Result<Permit, Box<GateReply>> {
         let (until, timeliness) = self.queue_until();
         let offer = self.bound.queue.offer(&self.request.class, self.route(), until, timeliness);
         let place = match offer {
@@ -332,7 +338,7 @@
         into_permit(self.wait_while_admitted(place.wait(), caller).await?)
     }
 
-    /// Waits for something as long as the caller is there and the key has not left.
+    /// Waits for `wait` to complete, while the caller is connected and the key is admitted.
     async fn wait_while_admitted<T>(
         &self,
         wait: impl Future<Output = T>,
@@ -346,22 +352,22 @@
                 _ = caller.closed() => {
                     return Err(Box::new(GateReply::not_run(NotRunReason::Cancelled)));
                 }
-                // Whoever waits for a key that has left is sent after it at once.
+                // A request that waits for a key that was moved is redirected at once.
                 _ = changes.changed() => drop(self.check_clearance()?),
             }
         }
     }
 
-    /// The last check before the upstream.
+    /// Performs the last check before the request is sent to the upstream.
     fn check_clearance(&self) -> Result<Option<Clearance>, Box<GateReply>> {
         let now = self.gate.clock.now();
         if now >= self.deadline {
             return Err(Box::new(GateReply::not_run(NotRunReason::DeadlineExceeded)));
         }
         if self.gate.quarantine.is_quarantined(self.request.content) {
-            return Err(quarantined());
+            return Err(quarantined_reply());
         }
-        // By now another state may be bound than the one that the request came under.
+        // The gate may have bound another state since the request arrived.
         if self.gate.bound.load().as_ref().is_some_and(|it| it.is_closed(now)) {
             return Err(Box::new(GateReply::not_run(NotRunReason::Draining)));
         }
@@ -375,11 +381,11 @@
             Err(_) if !self.gate.handle.table.lease_holds(now) => {
                 Err(Box::new(GateReply::not_run(NotRunReason::NoOwner)))
             }
-            Err(error) => Err(Box::new(self.gate.not_owner(self.request, error))),
+            Err(error) => Err(Box::new(self.gate.not_owner_reply(self.request, error))),
         }
     }
 
-    /// Until when the upstream may work on the request.
+    /// Latest time until which the upstream may run the request.
     fn upstream_deadline(&self, clearance: Option<&Clearance>) -> Timestamp {
         match (clearance, fence_check(self.bound)) {
             (Some(it), FenceCheck::Unchecked) => self.deadline.min(it.lease_until - LEASE_MARGIN),
@@ -387,8 +393,8 @@
         }
     }
 
-    /// The same on the upstream's own clock, where it announces one: a request that it reads after
-    /// a freeze does not run.
+    /// Converts the deadlines to the upstream's own clock, if it announces one, so that an upstream
+    /// that was frozen does not run a request that it reads too late.
     fn clock_bounds(&self, clearance: Option<&Clearance>, until: Timestamp) -> Option<ClockBounds> {
         let clock = &self.gate.upstream_clock;
         let start_before = clearance.map_or(until, |it| it.lease_until.min(until));
@@ -398,7 +404,8 @@
         })
     }
 
-    /// The slot and key that the request counts for; no slot where the key is owned apart from it.
+    /// The slot and key to which the load of the request is added. There is no slot if the key is
+    /// owned separately from its slot.
     fn load_key(&self) -> Option<(Option<Slot>, KeyHash)> {
         let (key_hash, entry) = (self.request.key_hash?, self.entry.as_ref()?);
         let in_slot = matches!(entry.admittance.unit, RecordUnit::Slot(_));
@@ -414,13 +421,16 @@
         }
     }
 
-    /// Gives the request to the upstream, once.
+    /// Sends the request to the upstream, once.
     async fn send(&self, mut permit: Permit, clearance: Option<Clearance>) -> GateReply {
         let gate = self.gate;
         let started = gate.clock.now();
         let until = self.upstream_deadline(clearance.as_ref());
         if let Some(it) = &clearance {
-            assert!(it.checked_at < it.lease_until, "a request passed the gate without a lease");
+            assert!(
+                it.checked_at < it.lease_until,
+                "a request passed the last check without a lease"
+            );
         }
         if started >= until {
             let reason = match until < self.deadline {
@@ -433,7 +443,7 @@
         let remaining = until.since(started);
         let run =
             gate.upstream_runs.begin(started, self.entry.as_ref().map(Entry::slot), remaining);
-        let watched = gate.unanswered.begin(gate.clock, self.request.content);
+        let tracked_run = gate.unanswered.begin(gate.clock, self.request.content);
         let call = self.bound.upstream.call(upstream::Request {
             method: self.request.method.clone(),
             path: self.request.path.clone(),
@@ -447,17 +457,17 @@
         let cancel_guard = CancelGuard { context: self, armed: true };
         let result = self.wait_for_end(call, until).await;
         cancel_guard.disarm();
-        if result.is_end_of_run() {
+        if result.has_ended_run() {
             run.finish();
         }
-        watched.end(result.run_end());
+        tracked_run.end(result.run_end());
         let ended = gate.clock.now();
         if let Some((slot, key_hash)) = self.load_key() {
             gate.handle.load.add(slot, key_hash, ended.since(started));
         }
         gate.metrics.upstream(&self.bound.document.team, &self.request.class, ended.since(started));
         match result {
-            // The deadline that it gave up at may be that of the lease, not the caller's.
+            // The deadline that the upstream exceeded may be that of the lease, not the caller's.
             CallEnd::Answered(answer) if is_upstream_timeout(&answer, ended, until) => {
                 gate.record_response(ended);
                 GateReply::unknown(UnknownReason::DeadlineExceeded)
@@ -465,7 +475,7 @@
             CallEnd::Answered(answer) => {
                 gate.record_response(ended);
                 gate.quarantine.record_answer(self.request.content);
-                // An upstream that fails fast must not look like one that works fast.
+                // An upstream that fails fast must not be measured as one that works fast.
                 permit.completion = match answer.status.is_server_error() {
                     true => Completion::Aborted,
                     false => Completion::Answered,
@@ -473,12 +483,12 @@
                 GateReply::Answered(answer)
             }
             CallEnd::Failed(error) => {
-                log::debug!(target: "gate", "{error}.");
+                log::debug!(target: "gate", "A request to the upstream failed: {error}.");
                 gate.note_unreachable(self.bound, &error);
                 if !matches!(error, CallError::NotSent { .. } | CallError::Lost { .. }) {
                     gate.record_response(ended);
                 }
-                failed(&mut permit, &error)
+                failure_reply(&mut permit, &error)
             }
             CallEnd::Abandoned(reason) => {
                 gate.cancel_upstream(&self.bound.upstream, self.request.id);
@@ -518,7 +528,7 @@
     }
 }
 
-/// Cancels a request at the upstream when its caller is gone with the task that waits for it.
+/// Cancels a request at the upstream when the task that waits for it is dropped with its caller.
 struct CancelGuard<'a> {
     context: &'a RequestContext<'a>,
     armed: bool,
@@ -539,11 +549,11 @@
     }
 }
 
-/// How a call to the upstream ended.
+/// Result of a call to the upstream.
 enum CallEnd {
     Answered(upstream::Answer),
     Failed(CallError),
-    /// This side gave it up.
+    /// The gate stopped waiting for the answer.
     Abandoned(UnknownReason),
 }
 
@@ -559,8 +569,8 @@
         }
     }
 
-    /// Whether the upstream does not work on it any more, as far as that is known.
-    fn is_end_of_run(&self) -> bool {
+    /// Whether the upstream is known to have stopped running the request.
+    fn has_ended_run(&self) -> bool {
         match self {
             CallEnd::Answered(_)
             | CallEnd::Failed(CallError::NotSent { .. } | CallError::Refused { .. }) => true,
@@ -570,12 +580,13 @@
     }
 }
 
-/// The age that counts for records: what the caller says, and the time in this system.
-fn age_in_system(request: &GateRequest) -> Duration {
+/// The age of the request for its record: the age that the caller states, and the time spent in
+/// this system.
+fn record_age(request: &GateRequest) -> Duration {
     request.age + request.held
 }
 
-/// The upstream says that it gave up, at its deadline.
+/// Whether the answer states that the upstream timed out at its deadline.
 fn is_upstream_timeout(answer: &upstream::Answer, ended: Timestamp, until: Timestamp) -> bool {
     answer.status == StatusCode::GATEWAY_TIMEOUT && ended + UPSTREAM_TIMEOUT_MARGIN >= until
 }
@@ -584,33 +595,33 @@
     match verdict {
         AdmissionDecision::Go(permit) => Ok(permit),
         AdmissionDecision::Refused { reason, retry_after } => {
-            Err(Box::new(refused(reason, retry_after)))
+            Err(Box::new(refusal_reply(reason, retry_after)))
         }
-        AdmissionDecision::Wait(_) => unreachable!("a verdict ends the wait"),
+        AdmissionDecision::Wait(_) => unreachable!("a request that has waited is not queued again"),
     }
 }
 
 fn fence_check(bound: &BoundUpstream) -> FenceCheck {
-    // An upstream that enforces leases ends by itself what outlasts them.
+    // An upstream that enforces leases ends requests that outlast them by itself.
     if bound.upstream.key_leases().are_enforced() {
         return FenceCheck::Checked;
     }
-    // Both must say so: the document is what the team answers for.
+    // Both must declare the check, because the team is accountable for the document.
     match bound.document.upstream.checks_fence && bound.announcement.checks_fence {
         true => FenceCheck::Checked,
         false => FenceCheck::Unchecked,
     }
 }
 
-fn quarantined() -> Box<GateReply> {
+fn quarantined_reply() -> Box<GateReply> {
     Box::new(GateReply::not_run(NotRunReason::Quarantined))
 }
 
-fn refused(reason: NotRunReason, retry_after: Option<Duration>) -> GateReply {
+fn refusal_reply(reason: NotRunReason, retry_after: Option<Duration>) -> GateReply {
     GateReply::Failed { outcome: Outcome::NotRun(reason), retry_after }
 }
 
-fn failed(permit: &mut Permit, error: &CallError) -> GateReply {
+fn failure_reply(permit: &mut Permit, error: &CallError) -> GateReply {
     match error {
         CallError::NotSent { .. } => {
             permit.completion = Completion::NotSent;
@@ -618,7 +629,7 @@
         }
         CallError::Refused { retry_after, .. } => {
             permit.completion = Completion::NotSent;
-            refused(NotRunReason::Refused, *retry_after)
+            refusal_reply(NotRunReason::Refused, *retry_after)
         }
         CallError::Lost { .. } => GateReply::unknown(UnknownReason::ConnectionLost),
         CallError::Broken { .. } => GateReply::unknown(UnknownReason::BrokenAnswer),
--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -65,12 +65,12 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn standing(&self, request: Fingerprint) -> QuarantineStatus {
+    pub(crate) fn status(&self, request: Fingerprint) -> QuarantineStatus {
         self.table().status(request)
     }
 
     pub(crate) fn is_quarantined(&self, request: Fingerprint) -> bool {
-        self.standing(request) == QuarantineStatus::Quarantined
+        self.status(request) == QuarantineStatus::Quarantined
     }
 
     /// An upstream has answered the request.
