--- a/crates/agent/src/gate/admission_queue.rs
+++ b/crates/agent/src/gate/admission_queue.rs
@@ -1,4 +1,4 @@
-//! The way into one upstream: its slots and its queue, for one version of its document.
+//! Admission to one upstream: its slots and its queue, under one version of its document.
 
 use std::{
     collections::HashMap,
@@ -24,19 +24,19 @@
 
 use crate::{clock::Clock, request::whole_us};
 
-/// What a request is expected to take until some have been measured.
+/// Expected service time of a request until some have been measured.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
-/// How many mean deviations above the mean a request is given room to run.
+/// Number of mean deviations above the mean service time that a request is given to run.
 const SERVICE_TIME_DEVIATIONS: f64 = 4.0;
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
-/// Admission, shared by the requests of the traffic threads.
+/// Admission to the upstream, shared by the requests of the traffic threads.
 #[derive(Debug)]
 pub(crate) struct AdmissionQueue {
     clock: Clock,
     classes: HashMap<ClassName, ClassIndex>,
     state: Mutex<QueueState>,
-    /// A request has begun to wait.
+    /// Notifies the expiry task that a request has been queued.
     queued: Arc<Notify>,
     ticker: Mutex<Option<AbortHandle>>,
 }
@@ -49,7 +49,7 @@
     decisions: Vec<Decision>,
 }
 
-/// What a lane says to a request that arrives.
+/// Result of offering a request to the queue.
 #[derive(Debug)]
 pub(crate) enum AdmissionDecision {
     Go(Permit),
@@ -57,26 +57,26 @@
     Refused { reason: NotRunReason, retry_after: Option<Duration> },
 }
 
-/// One of the upstream's slots; dropped, it goes to the next request.
+/// One of the upstream's slots. Dropping it passes the slot to the next request.
 #[derive(Debug)]
 pub(crate) struct Permit {
     queue: Arc<AdmissionQueue>,
     ticket: Ticket,
-    /// How the request ended: never given to the upstream, until said otherwise.
+    /// How the request ended; `NotSent` unless it was sent to the upstream.
     pub(crate) completion: Completion,
 }
 
-/// A place in the queue; dropped, it is given up.
+/// A queued request. Dropping it removes the request from the queue.
 #[derive(Debug)]
 pub(crate) struct QueuedRequest {
     queue: Arc<AdmissionQueue>,
     ticket: Ticket,
     verdict: oneshot::Receiver<Verdict>,
-    done: bool,
+    is_decided: bool,
 }
 
 impl AdmissionQueue {
-    /// A lane whose upstream starts cold, on the runtime that calls.
+    /// Creates the queue of an upstream and spawns its expiry task on the current runtime.
     pub(crate) fn start(
         clock: Clock,
         document: &ServiceDocument,
@@ -111,7 +111,8 @@
             queued: Arc::default(),
             ticker: Mutex::default(),
         });
-        let task = tokio::spawn(tick(Arc::downgrade(&queue), Arc::clone(&queue.queued), clock));
+        let task =
+            tokio::spawn(expire_queued(Arc::downgrade(&queue), Arc::clone(&queue.queued), clock));
         *queue.ticker.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
         queue
     }
@@ -120,7 +121,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a request in, or refuses it at once.
+    /// Admits, queues or refuses a request.
     pub(crate) fn offer(
         self: &Arc<AdmissionQueue>,
         class: &ClassName,
@@ -128,7 +129,7 @@
         deadline: Timestamp,
         timeliness: Timeliness,
     ) -> AdmissionDecision {
-        let class = self.class(class);
+        let class = self.class_index(class);
         let now = self.clock.now();
         let mut lock = self.state();
         let state = &mut *lock;
@@ -138,10 +139,10 @@
             &mut state.rng,
             &mut state.decisions,
         );
-        let own = state.decisions.iter().position(|it| it.ticket == ticket);
-        let own = own.map(|it| state.decisions.swap_remove(it).verdict);
+        let own_verdict = state.decisions.iter().position(|it| it.ticket == ticket);
+        let own_verdict = own_verdict.map(|it| state.decisions.swap_remove(it).verdict);
         self.deliver(now, state);
-        match own {
+        match own_verdict {
             Some(verdict) => self.decision_of(ticket, verdict),
             None => {
                 let (sender, verdict) = oneshot::channel();
@@ -152,19 +153,24 @@
                     queue: Arc::clone(self),
                     ticket,
                     verdict,
-                    done: false,
+                    is_decided: false,
                 })
             }
         }
     }
 
-    /// What a request is expected to take.
-    pub(crate) fn expected(&self, class: &ClassName, route: Option<RouteIndex>) -> Duration {
-        self.state().admission.expected_service_time(self.class(class), route)
+    /// Returns the expected service time of a request.
+    pub(crate) fn expected_service_time(
+        &self,
+        class: &ClassName,
+        route: Option<RouteIndex>,
+    ) -> Duration {
+        self.state().admission.expected_service_time(self.class_index(class), route)
     }
 
-    /// An ingress with another version of the document may know other classes.
-    fn class(&self, name: &ClassName) -> ClassIndex {
+    /// Returns the index of a class. An ingress with another version of the document may use a
+    /// class that this queue does not have; its requests count for the first class.
+    fn class_index(&self, name: &ClassName) -> ClassIndex {
         self.classes.get(name).copied().unwrap_or(ClassIndex(0))
     }
 
@@ -189,11 +195,13 @@
         }
     }
 
-    /// Hands out verdicts. A slot given to one that has left goes to the next.
+    /// Sends verdicts to the queued requests. A slot given to a request that was dropped goes to
+    /// the next one.
     fn deliver(&self, now: Timestamp, state: &mut QueueState) {
         while let Some(Decision { ticket, verdict }) = state.decisions.pop() {
-            let heard = state.waiting.remove(&ticket).is_some_and(|it| it.send(verdict).is_ok());
-            if verdict == Verdict::Start && !heard {
+            let is_delivered =
+                state.waiting.remove(&ticket).is_some_and(|it| it.send(verdict).is_ok());
+            if verdict == Verdict::Start && !is_delivered {
                 state.admission.finish(
                     now,
                     ticket,
@@ -220,16 +228,17 @@
         state.admission.next_wakeup(now)
     }
 
-    /// How busy the lane is, and what requests of a class and kind take.
+    /// Returns the load of the queue and the service time of requests of a class and kind.
     pub(crate) fn gate_load(&self, class: &ClassName, kind: Option<u8>) -> GateLoad {
         let now = self.clock.now();
         let admission = &self.state().admission;
         let route = kind.map(|it| RouteIndex(it.into()));
-        let of_kind = admission.measured_service_time(self.class(class), route);
+        let of_kind = admission.measured_service_time(self.class_index(class), route);
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
-        // One that is cold works off its queue as a single slot would that takes the time between two starts.
+        // A cold upstream works off its queue like a single slot whose service time is the interval
+        // between two starts.
         let (slots, service) = match admission.cold_start_interval(now) {
-            Some(step) => (1, step),
+            Some(interval) => (1, interval),
             None => (admission.slots_at(now), admission.mean_service_time()),
         };
         GateLoad {
@@ -241,7 +250,7 @@
         }
     }
 
-    /// Requests that run, and requests that wait.
+    /// Returns the number of running and the number of queued requests.
     pub(crate) fn load(&self) -> (usize, usize) {
         let state = self.state();
         (state.admission.running(), state.admission.queued())
@@ -257,8 +266,8 @@
     }
 }
 
-/// Refuses what can no longer finish, when it can no longer finish.
-async fn tick(queue: Weak<AdmissionQueue>, queued: Arc<Notify>, clock: Clock) {
+/// Refuses queued requests as soon as they can no longer finish in time.
+async fn expire_queued(queue: Weak<AdmissionQueue>, queued: Arc<Notify>, clock: Clock) {
     loop {
         let Some(next) = queue.upgrade().map(|it| it.tick()) else { return };
         match next {
@@ -277,17 +286,17 @@
     /// Waits for the verdict.
     pub(crate) async fn wait(mut self) -> AdmissionDecision {
         let verdict = (&mut self.verdict).await;
-        self.done = true;
+        self.is_decided = true;
         match verdict {
             Ok(verdict) => self.queue.decision_of(self.ticket, verdict),
-            Err(_) => unreachable!("a place in the queue is kept until its verdict"),
+            Err(_) => unreachable!("a queued request is kept until its verdict"),
         }
     }
 }
 
 impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        if self.done {
+        if self.is_decided {
             return;
         }
         let mut state = self.queue.state();
@@ -296,7 +305,7 @@
             return;
         }
         drop(state);
-        // The verdict came at the same moment.
+        // The verdict may have been sent at the same moment.
         if let Ok(Verdict::Start) = self.verdict.try_recv() {
             self.queue.finish(self.ticket, Completion::NotSent);
         }
--- a/crates/agent/src/gate/records.rs
+++ b/crates/agent/src/gate/records.rs
@@ -1,4 +1,5 @@
-//! At-most-once records of what the gate has admitted, grant by grant.
+//! At-most-once records of the requests that the gate has admitted, with a table for each granted
+//! slot or key.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -32,12 +33,12 @@
     }
 }
 
-/// How a unit's table came about.
+/// Origin of the records of a unit.
 #[derive(Debug, Clone, Copy)]
 enum TableOrigin {
-    /// Handed over by a former owner, and not used yet.
-    Imported { at: Timestamp },
-    /// In use since a grant of this token.
+    /// Handed over by a former owner and not used yet.
+    Imported { imported_at: Timestamp },
+    /// In use since a grant under this token.
     Granted { first_token: Token, epoch: u64 },
 }
 
@@ -45,14 +46,16 @@
 struct RecordTables {
     records: Records<Kept>,
     units: HashMap<RecordUnit, TableOrigin>,
-    /// Keys that came back to their slot, and when, and have been dealt with.
+    /// Keys that have returned to their slot and whose records have been merged, with the time of
+    /// return.
     merged: HashSet<(KeyHash, Timestamp)>,
     attached: HashMap<RunningRequest, Vec<oneshot::Sender<GateReply>>>,
-    /// Rises with each table that is opened, so that none is taken for a former one.
+    /// Increases with each table that is opened, so that a table can't be mistaken for an earlier
+    /// one.
     epoch: u64,
 }
 
-/// A request that has a record as running.
+/// A request that is recorded as running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct RunningRequest {
     unit: RecordUnit,
@@ -60,11 +63,11 @@
     id: RequestId,
 }
 
-/// What the records say to a request.
+/// Result of looking up a request in the records.
 #[derive(Debug)]
 pub(crate) enum RecordLookup {
     Run(RunningRequest),
-    /// It runs already: its reply will come here too.
+    /// The request is running already; the receiver gets its reply too.
     Attach(oneshot::Receiver<GateReply>),
     Replay(Answer),
     Unknown(UnknownReason),
@@ -75,8 +78,8 @@
 #[derive(Debug)]
 pub(crate) struct RequestRecords {
     tables: Mutex<RecordTables>,
-    /// How old a handover may be when the grant comes: less than it takes for another owner to
-    /// have come and gone in between.
+    /// Highest age that handed-over records may have when the grant takes effect; shorter than the
+    /// time in which another owner could hold the unit in between.
     import_age_max: Duration,
 }
 
@@ -96,7 +99,7 @@
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks a request up and records it as running if it is new.
+    /// Looks up a request and records it as running if it is new.
     pub(crate) fn begin(
         &self,
         now: Timestamp,
@@ -105,7 +108,7 @@
         key: RequestKey,
     ) -> RecordLookup {
         let tables = &mut *self.tables();
-        let epoch = tables.ready(now, table, admittance, &key, self.import_age_max);
+        let epoch = tables.prepare_table(now, table, admittance, &key, self.import_age_max);
         let unit = admittance.unit;
         match tables.records.begin(now, unit, key.key_hash, key.id, key.age) {
             BeginResult::Run => RecordLookup::Run(RunningRequest { unit, epoch, id: key.id }),
@@ -122,16 +125,16 @@
         }
     }
 
-    /// Ends a record with the reply, and gives the reply to those attached. A table that was
-    /// handed over or dropped meanwhile is left alone.
+    /// Finishes a record with the reply and sends the reply to the attached resends. A table that
+    /// was handed over or dropped in the meantime is left unchanged.
     pub(crate) fn finish(&self, now: Timestamp, running: RunningRequest, reply: &GateReply) {
         let RunningRequest { unit, epoch, id } = running;
         let tables = &mut *self.tables();
-        let current = matches!(
+        let is_current = matches!(
             tables.units.get(&unit), Some(TableOrigin::Granted { epoch: it, .. }) if *it == epoch
         );
         match (reply, reply.outcome()) {
-            _ if !current => {}
+            _ if !is_current => {}
             (GateReply::Answered(answer), _) => {
                 tables.records.finish(now, unit, id, Kept(Arc::new(answer.clone())));
             }
@@ -141,13 +144,13 @@
             (_, Outcome::NotRun(_) | Outcome::Answered) => tables.records.discard(unit, id),
         }
         for sender in tables.attached.remove(&running).into_iter().flatten() {
-            // Whoever resent it may have hung up.
+            // The caller that sent the request again may have disconnected.
             _ = sender.send(reply.clone());
         }
     }
 
-    /// Closes a unit and returns its records in wire form. A key that follows its slot is taken
-    /// out of the slot's table.
+    /// Closes a unit and returns its records in wire form. The records of a key that follows its
+    /// slot are taken out of the slot's table.
     pub(crate) fn export(
         &self,
         now: Timestamp,
@@ -155,8 +158,8 @@
         slot_of: impl Fn(KeyHash) -> Slot,
     ) -> Option<Bytes> {
         let tables = &mut *self.tables();
-        let known = tables.units.remove(&unit);
-        let records = match (known, unit) {
+        let origin = tables.units.remove(&unit);
+        let records = match (origin, unit) {
             (Some(_), _) => tables.records.export(now, unit),
             (None, RecordUnit::Key(key_hash)) => {
                 tables.records.export_key(now, RecordUnit::Slot(slot_of(key_hash)), key_hash)
@@ -173,7 +176,7 @@
         Some(wire::encode(&records.ok()?).into())
     }
 
-    /// Takes over a former owner's records, to be used if the grant follows soon.
+    /// Takes over the records of a former owner. They are used if the grant follows soon enough.
     pub(crate) fn import(
         &self,
         now: Timestamp,
@@ -190,17 +193,17 @@
             tables.records.export(now, unit);
         }
         tables.records.import(now, unit, records);
-        tables.units.insert(unit, TableOrigin::Imported { at: now });
+        tables.units.insert(unit, TableOrigin::Imported { imported_at: now });
         Ok(())
     }
 
-    /// Forgets what has been kept long enough.
+    /// Removes records that have been kept long enough.
     pub(crate) fn tick(&self, now: Timestamp) {
         self.tables().records.tick(now);
     }
 }
 
-/// What a record is looked up by.
+/// The values by which a record is looked up.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestKey {
     pub(crate) key_hash: KeyHash,
@@ -210,8 +213,8 @@
 }
 
 impl RecordTables {
-    /// Makes sure that the unit's table is that of the grant; returns its epoch.
-    fn ready(
+    /// Ensures that the unit's table belongs to the grant, and returns its epoch.
+    fn prepare_table(
         &mut self,
         now: Timestamp,
         table: &GateTable,
@@ -219,15 +222,17 @@
         key: &RequestKey,
         import_age_max: Duration,
     ) -> u64 {
-        let Admittance { unit, grant, returned, .. } = *admittance;
+        let Admittance { unit, grant, returned_at, .. } = *admittance;
         let epoch = match self.units.get(&unit) {
             Some(TableOrigin::Granted { first_token, epoch })
                 if *first_token == grant.first_token =>
             {
                 *epoch
             }
-            Some(TableOrigin::Imported { at }) if grant.since.since(*at) <= import_age_max => {
-                self.opened(unit, grant.first_token)
+            Some(TableOrigin::Imported { imported_at })
+                if grant.since.since(*imported_at) <= import_age_max =>
+            {
+                self.mark_granted(unit, grant.first_token)
             }
             _ => {
                 self.records.export(now, unit);
@@ -235,22 +240,22 @@
                     Some(slot) => self.split(now, unit, slot, key.key_hash),
                     None => self.records.open(grant.since, unit),
                 }
-                self.opened(unit, grant.first_token)
+                self.mark_granted(unit, grant.first_token)
             }
         };
-        if let (RecordUnit::Slot(_), Some(returned)) = (unit, returned) {
-            self.merge(now, unit, key.key_hash, returned, import_age_max);
+        if let (RecordUnit::Slot(_), Some(returned_at)) = (unit, returned_at) {
+            self.merge(now, unit, key.key_hash, returned_at, import_age_max);
         }
         epoch
     }
 
-    fn opened(&mut self, unit: RecordUnit, first_token: Token) -> u64 {
+    fn mark_granted(&mut self, unit: RecordUnit, first_token: Token) -> u64 {
         self.epoch += 1;
         self.units.insert(unit, TableOrigin::Granted { first_token, epoch: self.epoch });
         self.epoch
     }
 
-    /// The slot that a key followed until now, if it is held here without a gap.
+    /// Returns the slot that a key has followed so far, if this gate has held it without a gap.
     fn slot_held_without_gap(
         &self,
         table: &GateTable,
@@ -270,31 +275,34 @@
 
     fn split(&mut self, now: Timestamp, unit: RecordUnit, slot: RecordUnit, key_hash: KeyHash) {
         let records = self.records.export_key(now, slot, key_hash);
-        self.records.import(now, unit, records.expect("the slot's table is open"));
+        self.records.import(now, unit, records.expect("the slot must have an open table"));
     }
 
-    /// A key that was owned apart follows its slot again: with its records if they came along,
-    /// else the slot's table is complete only since then.
+    /// Merges the records of a key that was owned separately into the table of its slot. If the
+    /// records were not handed over, the slot's table is complete only since the return of the key.
     fn merge(
         &mut self,
         now: Timestamp,
         slot: RecordUnit,
         key_hash: KeyHash,
-        returned: Timestamp,
+        returned_at: Timestamp,
         import_age_max: Duration,
     ) {
-        if !self.merged.insert((key_hash, returned)) {
+        if !self.merged.insert((key_hash, returned_at)) {
             return;
         }
         let unit = RecordUnit::Key(key_hash);
-        let usable = match self.units.remove(&unit) {
-            Some(TableOrigin::Imported { at }) => returned.since(at) <= import_age_max,
+        let is_usable = match self.units.remove(&unit) {
+            Some(TableOrigin::Imported { imported_at }) => {
+                returned_at.since(imported_at) <= import_age_max
+            }
             Some(TableOrigin::Granted { .. }) => true,
             None => false,
         };
-        let records = self.records.export(now, unit).filter(|_| usable);
-        let none = || UnitRecords { complete_age: now.since(returned), records: Vec::new() };
-        self.records.import(now, slot, records.unwrap_or_else(none));
+        let records = self.records.export(now, unit).filter(|_| is_usable);
+        let no_records =
+            || UnitRecords { complete_age: now.since(returned_at), records: Vec::new() };
+        self.records.import(now, slot, records.unwrap_or_else(no_records));
     }
 }
 
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -129,7 +129,7 @@
         let now = self.clock.now();
         let fence = Token::default();
         let grant = Grant { token: fence, first_token: fence, since: Timestamp::ZERO };
-        let admittance = Admittance { unit: WHOLE_SERVICE, grant, fence, returned: None };
+        let admittance = Admittance { unit: WHOLE_SERVICE, grant, fence, returned_at: None };
         let key_hash = KeyHash(request.id.0 as u64);
         let key = RequestKey { key_hash, slot: Slot(0), id: request.id, age: record_age(request) };
         let context = RequestContext { gate: self, bound, request, deadline, entry: None };
@@ -315,7 +315,7 @@
         };
         let now = self.gate.clock.now();
         let left = self.deadline.since(now);
-        let expected = || self.bound.queue.expected(&self.request.class, self.route());
+        let expected = || self.bound.queue.expected_service_time(&self.request.class, self.route());
         let (queue_time, timeliness) = match self.request.has_come_back {
             _ if objective.is_zero() => (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late),
             true if objective < expected() => {
