--- a/crates/agent/src/gate/ends/mod.rs
+++ b/crates/agent/src/gate/ends/mod.rs
@@ -94,7 +94,7 @@
             target: "gate",
             "The upstream has ended ({why}), at work on {}.", listed.join(" "),
         );
-        self.quarantine.upstream_ended(in_flight);
+        self.quarantine.record_crash(in_flight);
     }
 }
 
--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that end upstreams, as all agents together have seen it.
+//! Requests on which upstreams crash, as observed by all agents together.
 //!
-//! The gate beside an upstream that has ended writes down what was at work, in an object of its own. Each agent
-//! follows these objects by itself, for a harmful request may come to any ingress and be for any service; and what is
-//! known outlives the agents.
+//! The gate beside a crashed upstream records the requests that were in flight in an object of its
+//! own. Each agent follows these objects by itself, since a harmful request may arrive at any
+//! ingress and for any service, and the records outlive the agents.
 
 #[cfg(test)]
 mod tests;
@@ -19,8 +19,8 @@
 use tokio::{sync::mpsc, time::sleep};
 use traffic::{CrashId, Quarantine, QuarantineStatus};
 
-/// Upstreams end rarely, so that most watches end without news. Word of an end is to be there before the request
-/// is sent again, so the pauses after failures are short.
+/// Crashes are rare, so most watches return nothing. A crash must be known to all agents before the
+/// request is sent again, so the delays after failures are short.
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
     wait: Duration::from_secs(29),
     call_every_min: Duration::from_millis(10),
@@ -29,34 +29,35 @@
 };
 const WRITE_PAUSE: Duration = Duration::from_millis(50);
 const WRITE_PAUSE_MAX: Duration = Duration::from_secs(1);
-/// Ends that an instance keeps written down.
-const ENDS_KEPT: usize = 16;
-/// Requests of one end that are written down.
-const REQUESTS_KEPT: usize = 256;
+/// Number of crashes that the object of an instance keeps.
+const CRASHES_KEPT: usize = 16;
+/// Number of requests that the record of one crash keeps.
+const REQUESTS_PER_CRASH_MAX: usize = 256;
 
-/// What this agent knows; shared by ingress and gate.
+/// The quarantine as known to this agent; shared by ingress and gate.
 #[derive(Debug)]
 pub(crate) struct SharedQuarantine {
     table: Mutex<Quarantine>,
-    to_write: mpsc::UnboundedSender<ToWrite>,
+    pending_writes: mpsc::UnboundedSender<PendingWrite>,
 }
 
-/// Why there is something to write down.
+/// Reason for a write to the object of this instance.
 #[derive(Debug)]
-enum ToWrite {
-    End(EndRecord),
-    /// The store has come back from an older copy, in which some of it may be missing.
-    AllAgain,
+enum PendingWrite {
+    Crash(EndRecord),
+    /// The store was rolled back (restored from an older snapshot), which may lack some of the
+    /// crashes.
+    StoreRolledBack,
 }
 
 impl SharedQuarantine {
-    /// Follows the store and writes to it, on the runtime that calls.
+    /// Spawns the tasks that follow the store and write to it, on the current runtime.
     pub(crate) fn start(store: Arc<dyn ObjectStore>, own: InstanceName) -> Arc<SharedQuarantine> {
-        let (to_write, news) = mpsc::unbounded_channel();
-        let quarantine = Arc::new(SharedQuarantine { table: Mutex::default(), to_write });
-        let (path, known) = (ends_path(&own), None);
-        let writer = Writer { store: Arc::clone(&store), path, known, kept: Vec::new() };
-        tokio::spawn(writer.run(news));
+        let (pending_writes, writes) = mpsc::unbounded_channel();
+        let quarantine = Arc::new(SharedQuarantine { table: Mutex::default(), pending_writes });
+        let (path, stored) = (ends_path(&own), None);
+        let writer = Writer { store: Arc::clone(&store), path, stored, crashes: Vec::new() };
+        tokio::spawn(writer.run(writes));
         tokio::spawn(follow(store, Arc::downgrade(&quarantine)));
         quarantine
     }
@@ -73,36 +74,36 @@
         self.status(request) == QuarantineStatus::Quarantined
     }
 
-    /// An upstream has answered the request.
+    /// Clears a request that an upstream has answered.
     pub(crate) fn record_answer(&self, request: Fingerprint) {
         self.table().record_answer(request);
     }
 
-    /// The upstream beside this agent has ended, with these requests at work.
-    pub(crate) fn upstream_ended(&self, at_work: Vec<Fingerprint>) {
-        let mut requests = self.table().exclude_answered(at_work);
+    /// Records a crash of the upstream beside this agent with these requests in flight.
+    pub(crate) fn record_crash(&self, in_flight: Vec<Fingerprint>) {
+        let mut requests = self.table().exclude_answered(in_flight);
         if requests.is_empty() {
             return;
         }
-        if requests.len() > REQUESTS_KEPT {
-            log::warn!(target: "quarantine", "{} requests were at work; {REQUESTS_KEPT} are written down.", requests.len());
-            requests.truncate(REQUESTS_KEPT);
+        if requests.len() > REQUESTS_PER_CRASH_MAX {
+            log::warn!(target: "quarantine", "The upstream crashed with {} requests in flight; only {REQUESTS_PER_CRASH_MAX} of them are recorded.", requests.len());
+            requests.truncate(REQUESTS_PER_CRASH_MAX);
         }
-        let end = EndRecord { id: rand::random(), requests };
-        self.take(&end);
-        self.write(ToWrite::End(end));
+        let crash = EndRecord { id: rand::random(), requests };
+        self.apply(&crash);
+        self.request_write(PendingWrite::Crash(crash));
     }
 
-    fn write(&self, what: ToWrite) {
-        if self.to_write.send(what).is_err() {
-            log::error!(target: "quarantine", "Nobody writes down any more what ends upstreams.");
+    fn request_write(&self, write: PendingWrite) {
+        if self.pending_writes.send(write).is_err() {
+            log::error!(target: "quarantine", "The task that writes crash records has stopped; new crashes are not shared with other agents.");
         }
     }
 
-    fn take(&self, end: &EndRecord) {
-        let quarantined = self.table().record_crash(CrashId(end.id), &end.requests);
+    fn apply(&self, crash: &EndRecord) {
+        let quarantined = self.table().record_crash(CrashId(crash.id), &crash.requests);
         for it in quarantined {
-            log::warn!(target: "quarantine", "Request {it} is sent to no upstream any more: several have ended under it.");
+            log::warn!(target: "quarantine", "Request {it} is quarantined: several upstreams crashed while running it.");
         }
     }
 }
@@ -111,13 +112,13 @@
     let mut follower = Follower::new(store, ENDS_PREFIX, FOLLOWER_TIMES).from_an_aged_list();
     let mut era = None;
     loop {
-        let changes = follower.next_after_failures("What ended upstreams").await;
+        let changes = follower.next_after_failures("Crash records").await;
         let Some(quarantine) = quarantine.upgrade() else { return };
         if era.replace(follower.era()).is_some_and(|it| it != follower.era()) {
-            quarantine.write(ToWrite::AllAgain);
+            quarantine.request_write(PendingWrite::StoreRolledBack);
         }
-        for end in changes.iter().filter_map(read).flat_map(|it| it.ends) {
-            quarantine.take(&end);
+        for crash in changes.iter().filter_map(read).flat_map(|it| it.ends) {
+            quarantine.apply(&crash);
         }
     }
 }
@@ -127,66 +128,67 @@
     let object = serde_json::from_slice(body);
     object
         .inspect_err(|error| {
-            log::error!(target: "quarantine", "{} is passed over: {error}.", change.path);
+            log::error!(target: "quarantine", "Skipped {}, which is not a valid crash record: {error}.", change.path);
         })
         .ok()
 }
 
-/// Writes the object of this instance. Nobody else does, but for earlier lives of this agent.
+/// Writes the object of this instance. Other writers of it can only be earlier incarnations of this
+/// agent.
 struct Writer {
     store: Arc<dyn ObjectStore>,
     path: String,
-    /// None: it has to be read first.
-    known: Option<(ObjectVersion, EndsObject)>,
-    /// What the object is to hold, as far as this life of the agent knows.
-    kept: Vec<EndRecord>,
+    /// The object as last read or written, with its version; `None` if it has to be read first.
+    stored: Option<(ObjectVersion, EndsObject)>,
+    /// The crashes that the object should contain, as far as this incarnation of the agent knows.
+    crashes: Vec<EndRecord>,
 }
 
 impl Writer {
-    async fn run(mut self, mut news: mpsc::UnboundedReceiver<ToWrite>) {
-        while let Some(what) = news.recv().await {
-            self.keep(what);
+    async fn run(mut self, mut writes: mpsc::UnboundedReceiver<PendingWrite>) {
+        while let Some(write) = writes.recv().await {
+            self.add(write);
             let mut pause = WRITE_PAUSE;
             while let Err(error) = self.write().await {
-                log::info!(target: "quarantine", "{error}; trying again.");
-                self.known = None;
+                log::info!(target: "quarantine", "Writing crash records failed: {error}; retrying.");
+                self.stored = None;
                 sleep(pause).await;
                 pause = (pause * 2).min(WRITE_PAUSE_MAX);
-                // What has come meanwhile goes along.
-                while let Ok(what) = news.try_recv() {
-                    self.keep(what);
+                // Includes crashes that were reported in the meantime.
+                while let Ok(write) = writes.try_recv() {
+                    self.add(write);
                 }
             }
         }
     }
 
-    fn keep(&mut self, what: ToWrite) {
-        match what {
-            ToWrite::End(end) => self.kept.push(end),
-            ToWrite::AllAgain => self.known = None,
+    fn add(&mut self, write: PendingWrite) {
+        match write {
+            PendingWrite::Crash(crash) => self.crashes.push(crash),
+            PendingWrite::StoreRolledBack => self.stored = None,
         }
-        let surplus = self.kept.len().saturating_sub(ENDS_KEPT);
-        self.kept.drain(..surplus);
+        let surplus = self.crashes.len().saturating_sub(CRASHES_KEPT);
+        self.crashes.drain(..surplus);
     }
 
     async fn write(&mut self) -> Result<(), StoreError> {
-        let (version, mut object) = match self.known.take() {
-            Some(known) => known,
+        let (version, mut object) = match self.stored.take() {
+            Some(stored) => stored,
             None => self.read().await?,
         };
         let missing: Vec<EndRecord> =
-            self.kept.iter().filter(|it| !object.ends.contains(it)).cloned().collect();
+            self.crashes.iter().filter(|it| !object.ends.contains(it)).cloned().collect();
         if missing.is_empty() {
-            self.known = Some((version, object));
+            self.stored = Some((version, object));
             return Ok(());
         }
         object.ends.extend(missing);
-        let surplus = object.ends.len().saturating_sub(ENDS_KEPT);
+        let surplus = object.ends.len().saturating_sub(CRASHES_KEPT);
         object.ends.drain(..surplus);
-        let body = serde_json::to_vec(&object).expect("a wire type has a JSON form");
+        let body = serde_json::to_vec(&object).expect("crash records must serialize to JSON");
         let version = self.store.update(&self.path, version, Bytes::from(body)).await?;
-        self.kept.clone_from(&object.ends);
-        self.known = Some((version, object));
+        self.crashes.clone_from(&object.ends);
+        self.stored = Some((version, object));
         Ok(())
     }
 
@@ -195,7 +197,7 @@
             return Ok(Default::default());
         };
         let ends = serde_json::from_slice(&object.body).unwrap_or_else(|error| {
-            log::error!(target: "quarantine", "{} is written anew: {error}.", self.path);
+            log::error!(target: "quarantine", "Replacing {}, which is not a valid crash record: {error}.", self.path);
             EndsObject::default()
         });
         Ok((object.version, ends))
