--- a/crates/agent/src/gate/handle.rs
+++ b/crates/agent/src/gate/handle.rs
@@ -1,4 +1,4 @@
-//! The control thread's hold on the gate.
+//! The control thread's handle of the gate.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     gate::{load::LoadTable, table::GateTable},
 };
 
-/// What the gate has to do outside the control thread.
+/// Work of the gate that is carried out outside the control thread.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum GateTask {
     Prepare {
@@ -22,35 +22,36 @@
     Close {
         unit: RecordUnit,
         token: Token,
-        to: Option<Instance>,
+        successor: Option<Instance>,
     },
-    /// Everything that the upstream was granted runs out.
+    /// Lets all grants of the upstream expire.
     DropAll,
-    /// Have the upstream give up what earlier sessions or lives of this agent granted it.
+    /// Releases the upstream's grants of earlier sessions or incarnations of this agent.
     Clear {
         token: Token,
     },
-    /// Tell the upstream of a grant.
+    /// Sends a grant to the upstream.
     Grant {
         slot: Slot,
         token: Token,
     },
 }
 
-/// Changes what the gate admits. No call ever waits.
+/// Controls what the gate admits. None of its methods blocks.
 #[derive(Debug, Clone)]
 pub struct GateHandle {
     pub(crate) clock: Clock,
     pub(crate) table: Arc<GateTable>,
     pub(crate) load: Arc<LoadTable>,
-    /// What the upstream is given while it is cold; of the lives of it that follow each other the later one
-    /// is taken to have been given what the earlier was.
+    /// Limits the requests that the upstream gets while it is cold. An incarnation that follows
+    /// another is counted as having received the requests of its predecessor.
     pub(crate) warmup: SharedWarmup,
     tasks: mpsc::UnboundedSender<GateTask>,
 }
 
 impl GateHandle {
-    /// A gate that admits nothing, and the tasks that it hands to the traffic threads.
+    /// Creates a handle whose gate admits nothing, and the receiver of the tasks for the traffic
+    /// threads.
     pub(crate) fn new(clock: Clock) -> (GateHandle, mpsc::UnboundedReceiver<GateTask>) {
         let (tasks, receiver) = mpsc::unbounded_channel();
         let table = Arc::new(GateTable::new());
@@ -58,8 +59,8 @@
         (GateHandle { clock, table, load: Arc::default(), warmup, tasks }, receiver)
     }
 
-    /// Applies the gate commands of one step, in order. Admissions, refusals and the lease hold as
-    /// soon as this returns; `Prepare` and `Close` end with a [`crate::report::Report`].
+    /// Applies the gate commands of one step, in order. Admissions, refusals and the lease are in
+    /// effect when this returns; `Prepare` and `Close` end with a [`crate::report::Report`].
     pub fn apply(&self, commands: &[GateCommand]) {
         self.table.apply(self.clock.now(), commands);
         for command in commands {
@@ -69,11 +70,11 @@
                 }
                 GateCommand::Close { slot, token, to } => {
                     let unit = RecordUnit::Slot(*slot);
-                    GateTask::Close { unit, token: *token, to: to.clone() }
+                    GateTask::Close { unit, token: *token, successor: to.clone() }
                 }
                 GateCommand::CloseKey { key_hash, token, to } => {
                     let unit = RecordUnit::Key(*key_hash);
-                    GateTask::Close { unit, token: *token, to: to.clone() }
+                    GateTask::Close { unit, token: *token, successor: to.clone() }
                 }
                 GateCommand::Admit { slot, token } => {
                     GateTask::Grant { slot: *slot, token: *token }
@@ -83,22 +84,22 @@
                 _ => continue,
             };
             if self.tasks.send(task).is_err() {
-                log::debug!(target: "gate", "The traffic threads have ended.");
+                log::debug!(target: "gate", "Dropped a gate task: the traffic threads have ended.");
             }
         }
     }
 
-    /// The upstream has said for how much longer it is cold.
+    /// Sets for how much longer the upstream is cold, as it has announced.
     pub fn update_cold_for(&self, cold_for: Duration) {
         self.warmup.with(|it| it.set_cold_period(self.clock.now(), cold_for));
     }
 
-    /// The upstream may have turned cold since it was last heard.
+    /// Treats the upstream as cold until its announcements show that it is warm.
     pub fn mark_possibly_cold(&self) {
         self.warmup.with(|it| it.invalidate());
     }
 
-    /// The load since the last call, for [`ownership::Input::Load`].
+    /// Returns the load since the last call, for [`ownership::Input::Load`].
     pub fn take_load(&self) -> LoadReport {
         self.load.take(self.clock.now(), |slot| self.table.slot_in_flight(slot))
     }
--- a/crates/agent/src/gate/health.rs
+++ b/crates/agent/src/gate/health.rs
@@ -1,4 +1,4 @@
-//! Notices an upstream that hangs: no answers, and silence at its health endpoint.
+//! Detects an upstream that hangs: it neither answers requests nor its health endpoint.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,21 +10,21 @@
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Silence after which an upstream counts as lost.
+/// Time without any answer after which an upstream counts as lost.
 const UNRESPONSIVE_MAX: Duration = Duration::from_millis(1000);
 
-/// Asks for the health, and reports each change.
+/// Probes the health of the upstream and reports each change of its state.
 pub(super) async fn run(gate: Arc<Gate>) {
     let mut tick = interval(PROBE_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut told: Option<UpstreamState> = None;
+    let mut reported_state: Option<UpstreamState> = None;
     loop {
         tick.tick().await;
         let Some(bound) = gate.bound.load_full() else { continue };
         if !bound.upstream.is_asked_for_health() {
             continue;
         }
-        let asked = gate.clock.now();
+        let probed_at = gate.clock.now();
         let health = timeout(PROBE_TIMEOUT, bound.upstream.health()).await;
         let now = gate.clock.now();
         let state = match health {
@@ -39,13 +39,13 @@
             _ if now.since(gate.last_response()) > UNRESPONSIVE_MAX => UpstreamState::Lost,
             _ => continue,
         };
-        // This process was paused: the silence was its own.
-        if state == UpstreamState::Lost && now.since(asked) > PROBE_TIMEOUT * 2 {
+        // A probe that took this long shows that this process was paused, not the upstream.
+        if state == UpstreamState::Lost && now.since(probed_at) > PROBE_TIMEOUT * 2 {
             gate.record_response(now);
             continue;
         }
-        if told != Some(state) {
-            told = Some(state);
+        if reported_state != Some(state) {
+            reported_state = Some(state);
             gate.reporter.deliver(Report::Upstream(state)).await;
         }
     }
--- a/crates/agent/src/gate/load.rs
+++ b/crates/agent/src/gate/load.rs
@@ -1,5 +1,5 @@
-//! How much upstream time the slots and the heaviest keys took since the last report, or would have
-//! taken if there had been room.
+//! Upstream time that the slots and the heaviest keys have used since the last report, including
+//! the estimated time of requests refused for lack of capacity.
 
 use std::{
     collections::HashMap,
@@ -11,32 +11,33 @@
 use ownership::{KeyLoad, LoadReport, SlotLoad};
 use traffic::Sketch;
 
-/// How many slots a report names.
+/// Number of slots in a report.
 const SLOTS_MAX: usize = 64;
-/// How many keys a report names.
+/// Number of keys in a report.
 const KEYS_MAX: usize = 16;
-/// How many keys are counted at a time.
+/// Number of keys that are tracked at a time.
 const KEYS_TRACKED_MAX: usize = 128;
 
-/// A request refused for want of room counts as this share of what those that ran took on average. The
-/// load that this answers: busy neighbouring keys ask for several times what their upstream can do. What
-/// runs never shows more than a full upstream, beside others that may be nearly as full. Not the whole,
-/// for the caller comes back and is counted again.
+/// Weight of a request refused for lack of capacity, relative to the mean time of those that ran.
+/// Without refused requests the load can't exceed that of a full upstream, even if busy
+/// neighbouring keys request several times its capacity, so it would not stand out from upstreams
+/// that are nearly full. The weight is less than one because the caller tries again and is counted
+/// again.
 const REFUSED_WEIGHT: f64 = 0.5;
 
 #[derive(Debug)]
 struct Loads {
     since: Timestamp,
     total_us: u64,
-    /// Requests that ran, and what they took.
+    /// Number of requests that ran, and their total time in microseconds.
     ran: u64,
     ran_us: u64,
     slots: HashMap<Slot, u64>,
-    /// Each with the slot that it follows, if it does.
+    /// The heaviest keys, each with the slot that it follows, if it follows one.
     keys: Sketch<(KeyHash, Option<Slot>)>,
 }
 
-/// Load of the local upstream; bounded in size whatever the number of keys.
+/// Load of the local upstream. Its size is bounded regardless of the number of keys.
 #[derive(Debug)]
 pub(crate) struct LoadTable(Mutex<Loads>);
 
@@ -47,19 +48,20 @@
 }
 
 impl LoadTable {
-    /// Adds the upstream time of one request. `slot` is none for a key owned apart from its slot.
-    pub(crate) fn add(&self, slot: Option<Slot>, key_hash: KeyHash, spent: Duration) {
-        let load_us = u64::try_from(spent.as_micros()).unwrap_or(u64::MAX);
+    /// Adds the upstream time of one request. `slot` is `None` for a key that is owned separately
+    /// from its slot.
+    pub(crate) fn add(&self, slot: Option<Slot>, key_hash: KeyHash, upstream_time: Duration) {
+        let load_us = u64::try_from(upstream_time.as_micros()).unwrap_or(u64::MAX);
         let mut loads = self.lock();
         loads.ran += 1;
         loads.ran_us = loads.ran_us.saturating_add(load_us);
         loads.add(slot, key_hash, load_us);
     }
 
-    /// Adds a request that was refused for want of room.
+    /// Adds a request that was refused for lack of capacity.
     pub(crate) fn add_refused(&self, slot: Option<Slot>, key_hash: KeyHash) {
         let mut loads = self.lock();
-        // Without any that ran there is nothing to judge it by.
+        // Without requests that ran, there is no mean time to estimate from.
         let Some(mean_us) = loads.ran_us.checked_div(loads.ran) else { return };
         loads.add(slot, key_hash, (mean_us as f64 * REFUSED_WEIGHT) as u64);
     }
@@ -68,12 +70,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The load since the last call, heaviest first.
+    /// Returns the load since the last call, heaviest slots and keys first.
     pub(crate) fn take(&self, now: Timestamp, in_flight: impl Fn(Slot) -> u32) -> LoadReport {
-        let fresh = Loads::new(now);
-        let mut lock = self.lock();
-        let loads = std::mem::replace(&mut *lock, fresh);
-        drop(lock);
+        let empty = Loads::new(now);
+        let mut current = self.lock();
+        let loads = std::mem::replace(&mut *current, empty);
+        drop(current);
         loads.report(now, in_flight)
     }
 }
@@ -108,18 +110,19 @@
         LoadReport { period_ms, total_us: self.total_us, slots, keys }
     }
 
-    /// The heaviest keys, whose load is taken out of that of their slots: whoever places slots
-    /// and keys must not count it twice.
+    /// Takes the heaviest keys and subtracts their load from that of their slots, so that placement
+    /// does not count it twice.
     fn take_heaviest_keys(&mut self) -> Vec<KeyLoad> {
-        // What is certain of each: the sketch may have counted others' load with it.
+        // The error is subtracted because the sketch may count the load of other keys with that of
+        // a key.
         let heaviest = self.keys.heaviest(KEYS_TRACKED_MAX);
         let mut keys: Vec<_> =
             heaviest.into_iter().map(|it| (it.key, it.weight - it.error)).collect();
         keys.sort_by_key(|((key_hash, _), load_us)| (std::cmp::Reverse(*load_us), *key_hash));
         keys.truncate(KEYS_MAX);
         for ((_, slot), load_us) in &keys {
-            if let Some(of_slot) = slot.and_then(|it| self.slots.get_mut(&it)) {
-                *of_slot = of_slot.saturating_sub(*load_us);
+            if let Some(slot_load_us) = slot.and_then(|it| self.slots.get_mut(&it)) {
+                *slot_load_us = slot_load_us.saturating_sub(*load_us);
             }
         }
         keys.into_iter().map(|((key_hash, _), load_us)| KeyLoad { key_hash, load_us }).collect()
--- a/crates/agent/src/gate/upstream_clock.rs
+++ b/crates/agent/src/gate/upstream_clock.rs
@@ -1,17 +1,17 @@
-//! What the upstream's own clock shows, so that bounds can be told in it.
+//! Conversion of deadlines to the upstream's own clock.
 //!
-//! Remaining times count from when a request is read. A process that was frozen reads what had
-//! reached it before much later, and would run it under a grant that has long ended. A point on its
-//! own clock has passed by then.
+//! A remaining time counts from when the upstream reads the request. A process that was frozen
+//! reads earlier requests late and would run them under grants that have long ended. A deadline on
+//! its own clock has passed by then.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
 use model::Timestamp;
 
-/// No reading yet, or an upstream that announces none.
-const NONE: i64 = i64::MIN;
+/// Value without a reading, or for an upstream that announces none.
+const NO_READING: i64 = i64::MIN;
 
-/// How far the upstream's clock is ahead of this process's, at the least.
+/// Lower bound on the offset of the upstream's clock from this process's clock.
 #[derive(Debug)]
 pub(crate) struct UpstreamClock {
     offset_ms: AtomicI64,
@@ -19,30 +19,33 @@
 
 impl Default for UpstreamClock {
     fn default() -> UpstreamClock {
-        UpstreamClock { offset_ms: AtomicI64::new(NONE) }
+        UpstreamClock { offset_ms: AtomicI64::new(NO_READING) }
     }
 }
 
 impl UpstreamClock {
-    /// Takes the reading of an announcement that had arrived by `at`. The upstream's clock has gone
-    /// on since it was read, so the offset errs to the safe side: bounds come out too early.
+    /// Takes the clock reading of an announcement that had arrived by `at`. The upstream's clock
+    /// has advanced since the reading, so the offset errs on the safe side: deadlines come out too
+    /// early.
     pub(crate) fn update(&self, reading_ms: Option<u64>, at: Timestamp) {
-        let offset =
-            reading_ms.and_then(|it| i64::try_from(it).ok()).map_or(NONE, |it| it - to_ms_up(at));
+        let offset = reading_ms
+            .and_then(|it| i64::try_from(it).ok())
+            .map_or(NO_READING, |it| it - ms_rounded_up(at));
         self.offset_ms.store(offset, Ordering::Relaxed);
     }
 
-    /// A point in time on the upstream's clock, in milliseconds, rounded down; none: unknown.
+    /// Converts a point in time to milliseconds on the upstream's clock, rounded down. Returns
+    /// `None` without a reading.
     pub(crate) fn to_upstream_ms(&self, at: Timestamp) -> Option<u64> {
         let offset = self.offset_ms.load(Ordering::Relaxed);
         let at_ms = i64::try_from(at.ns / 1_000_000).ok()?;
         match offset {
-            NONE => None,
+            NO_READING => None,
             offset => Some(u64::try_from(at_ms + offset).unwrap_or(0)),
         }
     }
 }
 
-fn to_ms_up(at: Timestamp) -> i64 {
+fn ms_rounded_up(at: Timestamp) -> i64 {
     i64::try_from(at.ns.div_ceil(1_000_000)).unwrap_or(i64::MAX)
 }
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -1,4 +1,5 @@
-//! Work that control hands to the gate: prepare an upstream, close a unit, tell of a grant.
+//! Tasks that control hands to the gate: preparing the upstream for a slot, closing a unit, sending
+//! a grant.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,18 +17,18 @@
     report::Report,
 };
 
-/// How often records and the snapshot are looked after without cause.
+/// Interval at which expired records are removed.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(10);
 const PREPARE_RETRY_DELAY: Duration = Duration::from_millis(100);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many tasks are started in one go.
+/// Number of tasks that are started together at most.
 const BATCH_MAX: usize = 4096;
-/// How often a closing unit is looked at.
+/// Interval at which the requests in flight of a closing unit are counted.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// What of the time for a handover is left for the records.
+/// Part of the time for a handover that is reserved for transferring the records.
 const RECORDS_TRANSFER_TIME: Duration = Duration::from_millis(300);
-/// How often the records are offered to the new owner.
+/// Number of attempts to hand the records over to the new owner.
 const RECORDS_TRANSFER_ATTEMPTS: usize = 2;
 
 pub(super) async fn run(gate: Arc<Gate>, mut tasks: mpsc::UnboundedReceiver<GateTask>) {
@@ -52,22 +53,26 @@
     }
 }
 
-/// Starts tasks; what needs no work is answered in one go.
+/// Starts tasks. Those that need no work are reported together.
 async fn start_all(gate: &Arc<Gate>, tasks: impl Iterator<Item = GateTask>) {
     let (mut prepared, mut closed) = (Vec::new(), Vec::new());
     let now = gate.clock.now();
-    let leased =
+    let enforces_leases =
         gate.bound.load().as_ref().is_some_and(|it| it.upstream.key_leases().are_enforced());
     for task in tasks {
         match task {
-            GateTask::Prepare { slot, token } if leased => prepared.push((slot, token)),
-            GateTask::Close { unit: RecordUnit::Slot(slot), token, to } if leased => {
-                if !gate.leases.close(now, slot, token, to) {
-                    log::info!(target: "gate", "Slot {slot} of {token} counts as closed: the upstream was not granted it.");
+            GateTask::Prepare { slot, token } if enforces_leases => prepared.push((slot, token)),
+            GateTask::Close { unit: RecordUnit::Slot(slot), token, successor }
+                if enforces_leases =>
+            {
+                if !gate.leases.close(now, slot, token, successor) {
+                    log::info!(target: "gate", "Slot {slot} under token {token} is reported as closed at once: the upstream was never granted it.");
                     closed.push((slot, token));
                 }
             }
-            GateTask::Grant { slot, token } if leased => gate.leases.admit(now, slot, token),
+            GateTask::Grant { slot, token } if enforces_leases => {
+                gate.leases.admit(now, slot, token)
+            }
             GateTask::DropAll => gate.leases.drop_all(),
             GateTask::Clear { token } => gate.leases.clear(token),
             task => start(gate, task),
@@ -88,8 +93,8 @@
         GateTask::Prepare { slot, token } => {
             tokio::spawn(async move { gate.prepare(slot, token).await });
         }
-        GateTask::Close { unit, token, to } => {
-            tokio::spawn(async move { gate.close(unit, token, to).await });
+        GateTask::Close { unit, token, successor } => {
+            tokio::spawn(async move { gate.close(unit, token, successor).await });
         }
         GateTask::Grant { slot, token } => {
             tokio::spawn(async move { gate.send_grant(slot, token).await });
@@ -98,9 +103,9 @@
 }
 
 impl Gate {
-    /// Asks until the upstream is warm; then says so.
+    /// Asks the upstream to prepare a slot until it is warm, then reports the slot as prepared.
     async fn prepare(&self, slot: Slot, token: Token) {
-        let asking = async {
+        let prepare_until_warm = async {
             loop {
                 let bound = self.bound.load_full();
                 let result = match &bound {
@@ -109,18 +114,22 @@
                 };
                 match result {
                     Ok(()) => return,
-                    Err(error) => log::debug!(target: "gate", "Slot {slot}: {error}."),
+                    Err(error) => {
+                        log::debug!(target: "gate", "Preparing slot {slot} failed: {error}; retrying.")
+                    }
                 }
                 sleep(PREPARE_RETRY_DELAY).await;
             }
         };
-        match timeout(PREPARE_TIMEOUT, asking).await {
+        match timeout(PREPARE_TIMEOUT, prepare_until_warm).await {
             Ok(()) => self.reporter.deliver(Report::Prepared { slot, token }).await,
-            Err(_) => log::warn!(target: "gate", "The upstream did not prepare slot {slot}."),
+            Err(_) => {
+                log::warn!(target: "gate", "The upstream did not prepare slot {slot} in time; giving up.")
+            }
         }
     }
 
-    /// Tells an upstream that checks fence tokens of a grant; requests carry the token anyway.
+    /// Sends a grant to an upstream that checks fence tokens. Requests carry the token in any case.
     async fn send_grant(&self, slot: Slot, token: Token) {
         let Some(bound) = self.bound.load_full() else { return };
         if !bound.announcement.checks_fence {
@@ -129,15 +138,15 @@
         let remaining = self.handle.table.lease_until().since(self.clock.now());
         let grant = bound.upstream.grant(slot, token, remaining);
         if let Ok(Err(error)) = timeout(GRANT_TIMEOUT, grant).await {
-            log::debug!(target: "gate", "{error}.");
+            log::debug!(target: "gate", "Sending a grant failed: {error}.");
         }
     }
 
-    /// Waits for what is in flight, hands the records over, and says that the unit is closed.
-    async fn close(&self, unit: RecordUnit, token: Token, to: Option<Instance>) {
+    /// Waits for the requests in flight, hands the records over and reports the unit as closed.
+    async fn close(&self, unit: RecordUnit, token: Token, successor: Option<Instance>) {
         self.wait_until_idle(unit).await;
         if let Some(records) = self.export(unit) {
-            self.hand_over_records(unit, token, to, records).await;
+            self.hand_over_records(unit, token, successor, records).await;
         }
         let report = match unit {
             RecordUnit::Slot(slot) => Report::Closed { slot, token },
@@ -152,17 +161,17 @@
             Some(bound) => bound.document.ownership.handover_max,
             None => return,
         };
-        let empty = async {
+        let idle = async {
             while table.in_flight(unit) > 0 {
                 sleep(CLOSE_POLL_INTERVAL).await;
             }
         };
-        let mut empty = std::pin::pin!(empty);
+        let mut idle = std::pin::pin!(idle);
         let idle_timeout = handover_max.saturating_sub(RECORDS_TRANSFER_TIME);
-        if timeout(idle_timeout, &mut empty).await.is_err() {
-            log::warn!(target: "gate", "{unit:?} is closed with requests in flight; they are cancelled.");
+        if timeout(idle_timeout, &mut idle).await.is_err() {
+            log::warn!(target: "gate", "Cancelling the requests still in flight on {unit:?}: the time to close it is over.");
             table.stop(unit);
-            empty.await;
+            idle.await;
             table.clear_stop(unit);
         }
     }
@@ -177,10 +186,11 @@
         &self,
         unit: RecordUnit,
         token: Token,
-        to: Option<Instance>,
+        successor: Option<Instance>,
         records: bytes::Bytes,
     ) {
-        let (Some(to), Some(links), Some(bound)) = (to, self.links.get(), self.bound.load_full())
+        let (Some(successor), Some(links), Some(bound)) =
+            (successor, self.links.get(), self.bound.load_full())
         else {
             return;
         };
@@ -191,14 +201,14 @@
         };
         let handover = Handover { service, unit, token, records };
         for _ in 0..RECORDS_TRANSFER_ATTEMPTS {
-            if links.hand_over(&to, &handover).await {
+            if links.hand_over(&successor, &handover).await {
                 return;
             }
         }
-        log::warn!(target: "gate", "{to} did not take the records of {unit:?}: resends will end unknown.");
+        log::warn!(target: "gate", "{successor} did not accept the records of {unit:?}; resends will have an unknown outcome.");
     }
 
-    /// Takes over records that another gate hands over.
+    /// Takes over records, or a handover token, that another gate hands over.
     pub(super) fn take_records(&self, from: &Instance, handover: Handover) -> bool {
         let (Some(records), Some(bound)) = (self.records.get(), self.bound.load_full()) else {
             return false;
@@ -208,8 +218,8 @@
         }
         let unit = match handover.unit {
             Unit::Slots { first, last } => {
-                let text = String::from_utf8_lossy(&handover.records).as_ref().into();
-                self.leases.store_handover_token(self.clock.now(), (first, last), text);
+                let handover_token = String::from_utf8_lossy(&handover.records).as_ref().into();
+                self.leases.store_handover_token(self.clock.now(), (first, last), handover_token);
                 return true;
             }
             Unit::Slot(slot) => RecordUnit::Slot(slot),
@@ -218,7 +228,7 @@
         match records.import(self.clock.now(), unit, &handover.records) {
             Ok(()) => true,
             Err(error) => {
-                log::warn!(target: "gate", "Records of {unit:?} from {from} are malformed: {error}.");
+                log::warn!(target: "gate", "Rejected malformed records of {unit:?} from {from}: {error}.");
                 false
             }
         }
