--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -107,7 +107,7 @@
         let Some((service, local)) = local_service(&snapshot) else { return };
         let former = self.bound.load_full();
         if former.as_ref().is_some_and(|it| !it.announcement.is_of_same_life(&local.announcement)) {
-            self.upstream_ended("a new incarnation has announced itself");
+            self.record_upstream_crash("a new incarnation announced itself");
         }
         let bound = match self.next_bound(former.as_deref(), service, local) {
             Ok(bound) => bound,
--- a/crates/agent/src/gate/ends/mod.rs
+++ b/crates/agent/src/gate/crash/mod.rs
@@ -1,7 +1,7 @@
-//! What an upstream had at work when it ended.
+//! Detection of upstream crashes, and of the requests that were in flight at the time.
 //!
-//! A lost connection alone proves nothing: the upstream may live on. It has ended if nobody listens at its
-//! address afterwards, or if another life of it announces itself.
+//! A lost connection alone proves nothing, since the upstream may still be running. It has ended if
+//! its address refuses connections afterwards, or if a new incarnation announces itself.
 
 #[cfg(test)]
 mod tests;
@@ -20,62 +20,63 @@
 
 use crate::{clock::Clock, gate::Gate};
 
-/// The connections of an upstream that ends are lost within this time of each other. Runs that were given up this
-/// long before may have been at work as well.
+/// All connections of an upstream that crashes are lost within this time of each other. Runs
+/// abandoned within this time before the loss may have been in flight as well.
 const SIMULTANEOUS_LOSS_WINDOW: Duration = Duration::from_millis(250);
-/// Runs without an answer that are kept for the case that the upstream has ended.
+/// Number of runs without an answer that are kept for the case that the upstream has crashed.
 const UNANSWERED_MAX: usize = 1024;
-/// How long after a lost connection the upstream's address is tried: the others are lost by then.
+/// Delays after a lost connection before the upstream's address is probed; the other connections
+/// are lost by then.
 const GONE_PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(50)];
 const GONE_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The runs of one upstream that have no answer.
+/// The runs of one upstream that got no answer.
 #[derive(Debug, Default)]
 pub(super) struct UnansweredRuns {
     state: Mutex<State>,
-    /// A connection was lost.
-    lost: Notify,
+    /// Notifies of a lost connection.
+    connection_lost: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// And when each was lost or given up.
+    /// The runs, each with the time at which it was lost or abandoned.
     runs: VecDeque<(Fingerprint, Timestamp)>,
-    /// When a connection was last lost; none: the upstream has answered since.
+    /// When a connection was last lost; `None` if the upstream has answered since.
     lost_at: Option<Timestamp>,
 }
 
-/// A run at the upstream. Dropped before its end is known, it was given up.
+/// A run at the upstream. Dropping it before its end is known counts as abandoning it.
 #[derive(Debug)]
 pub(super) struct TrackedRun<'a> {
     runs: &'a UnansweredRuns,
     clock: Clock,
     fingerprint: Fingerprint,
-    began: Timestamp,
+    started_at: Timestamp,
     end: RunEnd,
 }
 
-/// How a run ended, as far as is known.
+/// The known end of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RunEnd {
     Answered,
-    /// It never reached the upstream, or the upstream refused it.
+    /// The run did not reach the upstream, or the upstream refused it.
     NotRun,
-    /// Its connection was lost, or its answer broke off.
+    /// The connection was lost, or the answer was cut off.
     Lost,
-    /// Its caller has left, or its time was over.
+    /// The caller disconnected, or the deadline passed.
     Abandoned,
 }
 
-/// Looks after each lost connection whether the upstream has ended.
+/// Checks after each lost connection whether the upstream has crashed.
 pub(super) async fn run(gate: Arc<Gate>) {
     loop {
-        gate.unanswered.lost.notified().await;
-        for after in GONE_PROBE_DELAYS {
-            sleep(after).await;
+        gate.unanswered.connection_lost.notified().await;
+        for delay in GONE_PROBE_DELAYS {
+            sleep(delay).await;
             let Some(bound) = gate.bound.load_full() else { continue };
             if matches!(timeout(GONE_PROBE_TIMEOUT, bound.upstream.is_gone()).await, Ok(true)) {
-                gate.upstream_ended("nobody listens at its address");
+                gate.record_upstream_crash("its address refuses connections");
                 break;
             }
         }
@@ -83,16 +84,16 @@
 }
 
 impl Gate {
-    /// The upstream's life is over: tells what it had at work.
-    pub(super) fn upstream_ended(&self, why: &str) {
+    /// Records a crash of the upstream with the runs that were in flight.
+    pub(super) fn record_upstream_crash(&self, reason: &str) {
         let in_flight = self.unanswered.take();
         if in_flight.is_empty() {
             return;
         }
-        let listed: Vec<String> = in_flight.iter().map(ToString::to_string).collect();
+        let fingerprints: Vec<String> = in_flight.iter().map(ToString::to_string).collect();
         log::warn!(
             target: "gate",
-            "The upstream has ended ({why}), at work on {}.", listed.join(" "),
+            "The upstream has crashed ({reason}) with these requests in flight: {}.", fingerprints.join(" "),
         );
         self.quarantine.record_crash(in_flight);
     }
@@ -104,11 +105,12 @@
     }
 
     pub(super) fn begin(&self, clock: Clock, fingerprint: Fingerprint) -> TrackedRun<'_> {
-        let began = clock.now();
-        TrackedRun { runs: self, clock, fingerprint, began, end: RunEnd::Abandoned }
+        let started_at = clock.now();
+        TrackedRun { runs: self, clock, fingerprint, started_at, end: RunEnd::Abandoned }
     }
 
-    /// The upstream has ended: what it had at work, each once. Nothing if no connection to it was lost.
+    /// Returns the runs that were in flight when the upstream crashed, without duplicates. There
+    /// are none if no connection was lost.
     pub(super) fn take(&self) -> Vec<Fingerprint> {
         let mut state = self.state();
         let Some(lost_at) = state.lost_at.take() else { return Vec::new() };
@@ -122,12 +124,12 @@
         in_flight
     }
 
-    fn ended(&self, run: &TrackedRun<'_>) {
+    fn record_end(&self, run: &TrackedRun<'_>) {
         let now = run.clock.now();
         let mut state = self.state();
         match run.end {
-            // It lived when it began this run, after the loss.
-            RunEnd::Answered if state.lost_at.is_some_and(|it| it < run.began) => {
+            // The upstream was running when this run began, which was after the loss.
+            RunEnd::Answered if state.lost_at.is_some_and(|it| it < run.started_at) => {
                 state.lost_at = None;
                 state.runs.clear();
             }
@@ -135,7 +137,7 @@
             RunEnd::Lost => {
                 state.lost_at = Some(now);
                 state.keep(run.fingerprint, now);
-                self.lost.notify_one();
+                self.connection_lost.notify_one();
             }
             RunEnd::Abandoned => state.keep(run.fingerprint, now),
         }
@@ -159,6 +161,6 @@
 
 impl Drop for TrackedRun<'_> {
     fn drop(&mut self) {
-        self.runs.ended(self);
+        self.runs.record_end(self);
     }
 }
--- a/crates/agent/src/gate/ends/tests.rs
+++ b/crates/agent/src/gate/crash/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what counts as at work when an upstream ends.
+//! Tests of which runs count as in flight when an upstream crashes.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const C: Fingerprint = Fingerprint(3);
 
 #[tokio::test(start_paused = true)]
-async fn what_was_lost_or_given_up_at_the_end_was_at_work() {
+async fn runs_lost_or_abandoned_at_the_crash_were_in_flight() {
     let (runs, clock) = (UnansweredRuns::default(), Clock::start());
     drop(runs.begin(clock, C));
     sleep(Duration::from_secs(1)).await;
@@ -24,11 +24,11 @@
     first.end(RunEnd::Lost);
     second.end(RunEnd::Lost);
     assert_eq!(runs.take(), [A, B]);
-    assert_eq!(runs.take(), [], "an end counts once");
+    assert_eq!(runs.take(), [], "a crash is reported once");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_upstream_that_answers_a_later_run_has_not_ended() {
+async fn an_upstream_that_answers_a_later_run_has_not_crashed() {
     let (runs, clock) = (UnansweredRuns::default(), Clock::start());
     let earlier = runs.begin(clock, B);
     sleep(Duration::from_millis(10)).await;
@@ -36,7 +36,11 @@
     earlier.end(RunEnd::Answered);
     sleep(Duration::from_millis(10)).await;
     let later = runs.begin(clock, C);
-    assert_eq!(runs.take(), [A], "an answer to an earlier run may have been on its way");
+    assert_eq!(
+        runs.take(),
+        [A],
+        "the answer to an earlier run may have been in flight at the crash"
+    );
     later.end(RunEnd::Answered);
     runs.begin(clock, A).end(RunEnd::Lost);
     sleep(Duration::from_millis(10)).await;
@@ -45,7 +49,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_lost_connection_nothing_was_at_work() {
+async fn no_run_was_in_flight_if_no_connection_was_lost() {
     let (runs, clock) = (UnansweredRuns::default(), Clock::start());
     drop(runs.begin(clock, A));
     runs.begin(clock, B).end(RunEnd::NotRun);
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -4,7 +4,7 @@
 //! for a slot of the upstream, a last check of grant and lease, the upstream.
 
 mod bound;
-mod ends;
+mod crash;
 mod handle;
 mod health;
 mod admission_queue;
@@ -45,7 +45,7 @@
 };
 
 use bound::BoundUpstream;
-use ends::UnansweredRuns;
+use crash::UnansweredRuns;
 use leases::Leases;
 use records::RequestRecords;
 use run::Caller;
@@ -133,7 +133,7 @@
         tokio::spawn(worker::run(Arc::clone(&gate), parts.tasks));
         tokio::spawn(health::run(Arc::clone(&gate)));
         tokio::spawn(leases::run(Arc::clone(&gate)));
-        tokio::spawn(ends::run(Arc::clone(&gate)));
+        tokio::spawn(crash::run(Arc::clone(&gate)));
         gate
     }
 
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -20,7 +20,7 @@
         Gate,
         admission_queue::{AdmissionDecision, Permit},
         bound::BoundUpstream,
-        ends::RunEnd,
+        crash::RunEnd,
         records::{RecordLookup, RequestKey},
         table::{Admittance, Clearance, Entry, Grant, NotAdmitted},
     },
--- a/crates/agent/src/gate/upstream_runs/tests.rs
+++ b/crates/agent/src/gate/upstream_runs/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what the upstream may still work on.
+//! Tests of the bounds on requests that the upstream may still be running.
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn an_answered_run_is_over_and_one_that_was_cut_off_lasts_until_its_deadline() {
+fn an_answered_run_has_ended_and_a_disconnected_one_may_last_until_its_deadline() {
     let runs = UpstreamRuns::default();
     let second = Duration::from_secs(1);
     let answered = runs.begin(at(0), Some(Slot(1)), second);
-    let cut = runs.begin(at(0), Some(Slot(2)), second);
-    assert!(ends(&runs, 10, 1) > at(1000), "its clock may be slow");
+    let disconnected = runs.begin(at(0), Some(Slot(2)), second);
+    assert!(ends(&runs, 10, 1) > at(1000), "the bound must allow for a slow clock of the upstream");
     answered.finish();
-    drop(cut);
+    drop(disconnected);
     assert_eq!(runs.ongoing(at(10), Slot(0), Slot(1)), OngoingRuns::default());
     let ongoing = runs.ongoing(at(10), Slot(0), Slot(9));
     assert_eq!((ongoing.running, ongoing.unanswered), (0, 1));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_run_that_follows_one_that_was_cut_off_does_not_shorten_its_time() {
+fn an_answered_run_does_not_shorten_the_bound_of_an_earlier_disconnected_one() {
     let runs = UpstreamRuns::default();
     drop(runs.begin(at(0), Some(Slot(1)), Duration::from_secs(2)));
     runs.begin(at(10), Some(Slot(1)), Duration::from_secs(1)).finish();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn runs_of_an_earlier_life_of_the_agent_may_go_on_in_every_slot() {
+fn runs_of_an_earlier_incarnation_of_the_agent_may_continue_in_every_slot() {
     let runs = UpstreamRuns::default();
     runs.assume_earlier_runs_until(at(1500));
     assert_eq!(ends(&runs, 1499, 7), at(1500));
