--- a/crates/agent/src/gate/leases/tests/exchange.rs
+++ b/crates/agent/src/gate/leases/tests/exchange.rs
@@ -16,7 +16,7 @@
     tests::fakes::instance,
 };
 
-const RUNS_MAX: usize = 20;
+const RANGES_MAX: usize = 20;
 
 fn announced(held: &[SlotRange]) -> AnnouncedSlots {
     AnnouncedSlots { held: held.to_vec(), released: Vec::new() }
@@ -27,10 +27,10 @@
 }
 
 fn answer(leases: &mut SlotLeases, now: u64, lease_until: u64) -> AnnouncementAnswer {
-    leases.answer(at(now), at(now), at(lease_until), RUNS_MAX)
+    leases.answer(at(now), at(now), at(lease_until), RANGES_MAX)
 }
 
-/// A book whose slots 1 to 4 were granted at 0 under token 1, which an announcement at 870 shows.
+/// Leases of slots 1 to 4, granted at 0 under token 1 and confirmed by an announcement at 870.
 fn granted() -> SlotLeases {
     let mut leases = SlotLeases::default();
     for slot in 1..=4 {
@@ -42,15 +42,15 @@
 }
 
 #[test]
-fn an_answer_grants_all_that_is_admitted_for_no_longer_than_the_lease() {
+fn an_answer_grants_all_admitted_slots_for_no_longer_than_the_lease() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     assert!(leases.has_pending_changes(at(0), at(2500)));
-    // Heard 500 ms before it is answered: the time counts from then.
-    let answer = leases.answer(at(500), at(0), at(2500), RUNS_MAX);
+    // The announcement is received 500 ms before it is answered; the hold counts from its receipt.
+    let answer = leases.answer(at(500), at(0), at(2500), RANGES_MAX);
     assert!(answer.hold.mul_f64(1.02) <= 2500 * MS, "{answer:?}");
     assert!(!leases.has_pending_changes(at(500), at(2500)));
-    assert!(!leases.is_usable(at(500), Slot(1)), "the upstream has not read it yet");
+    assert!(!leases.is_usable(at(500), Slot(1)), "the upstream has not read the answer yet");
     assert!(leases.is_usable(at(510), Slot(1)));
     assert!(!leases.is_usable(at(2500), Slot(1)));
 }
@@ -64,15 +64,15 @@
 }
 
 #[test]
-fn a_slot_is_closed_once_an_announcement_shows_it_given_up() {
+fn a_slot_is_closed_once_an_announcement_shows_it_released() {
     let mut leases = granted();
     let successor = instance("other", "127.0.0.1:1".parse().unwrap());
     assert!(leases.close(at(900), Slot(2), token(1), Some(successor.clone())));
     assert!(leases.has_pending_changes(at(900), at(3400)));
     assert_eq!(ranges(&answer(&mut leases, 900, 3400)), [range(1, 1, 1), range(3, 4, 1)]);
     let effects = leases.apply_announcement(at(1000), &announced(&[range(1, 4, 1)]));
-    assert!(effects.transfers.is_empty(), "it still works on a request");
-    assert!(effects.is_releasing, "so it is answered at once, and tells soon");
+    assert!(effects.transfers.is_empty(), "the slot still has a request running");
+    assert!(effects.is_releasing, "the announcement must be answered at once");
     let released = ReleasedRange { first: Slot(2), last: Slot(2), handover: "warm".into() };
     let next =
         AnnouncedSlots { held: vec![range(1, 1, 1), range(3, 4, 1)], released: vec![released] };
@@ -85,14 +85,15 @@
     assert_eq!(effects.transfers, [transfer]);
     assert!(
         take_closed(&mut leases, at(1100)).is_empty(),
-        "its token is on the way to the next owner"
+        "the handover token has not reached the next owner"
     );
     assert_eq!(release_ended(&mut leases, at(1101), range(2, 2, 1), true), [(Slot(2), token(1))]);
 }
 
-/// The answer that grants it may be read after the announcement was sent that does not show it.
+/// The upstream may read the answer that grants the slot after it has sent the announcement that
+/// lacks it.
 #[test]
-fn what_was_just_granted_is_not_closed_because_it_is_not_shown_yet() {
+fn a_slot_just_granted_is_not_closed_by_an_announcement_that_lacks_it() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     answer(&mut leases, 0, 2500);
@@ -103,9 +104,10 @@
     assert_eq!(leases.apply_announcement(at(1200), &announced(&[])).transfers.len(), 1);
 }
 
-/// An answer that renews it may still be on its way to an upstream whose hold has just run out.
+/// An answer that renews the slot may still be in flight to an upstream whose hold has just
+/// expired.
 #[test]
-fn what_no_answer_has_left_out_is_not_closed_because_it_is_not_shown() {
+fn a_slot_that_no_answer_omitted_is_not_closed_by_an_announcement_that_lacks_it() {
     let mut leases = granted();
     answer(&mut leases, 900, 3400);
     leases.close(at(950), Slot(1), token(1), None);
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn without_announcements_a_slot_is_closed_when_its_time_is_over() {
+fn without_announcements_a_slot_is_closed_when_its_hold_has_expired() {
     let mut leases = granted();
     leases.close(at(900), Slot(1), token(1), None);
     assert!(take_closed(&mut leases, at(2400)).is_empty());
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn what_an_earlier_life_of_the_agent_granted_is_given_up_before_anything_is_granted() {
+fn grants_of_an_earlier_incarnation_of_the_agent_are_released_before_anything_is_granted() {
     let mut leases = SlotLeases::default();
     leases.apply_announcement(at(0), &announced(&[range(0, 7, 1)]));
     leases.clear(token(5));
@@ -142,15 +144,20 @@
         at(100),
         &AnnouncedSlots { held: vec![range(3, 3, 1)], released: vec![released] },
     );
-    assert_eq!(leases.take_cleared(), None, "it still works on a request");
+    assert_eq!(leases.take_cleared(), None, "a slot still has a request running");
     answer(&mut leases, 100, 2500);
     leases.apply_announcement(at(200), &announced(&[]));
     assert_eq!(leases.take_cleared(), Some(token(5)));
     let answer = answer(&mut leases, 200, 2700);
-    assert_eq!(answer.grants, [(range(1, 1, 6), Some("warm".into()))], "it comes back warm");
+    assert_eq!(
+        answer.grants,
+        [(range(1, 1, 6), Some("warm".into()))],
+        "the grant must pass on the handover token"
+    );
 }
 
-/// An announcement that was sent before the first answer may be older than the last grant of an earlier life.
+/// An announcement that was sent before the first answer may be older than the last grant of an
+/// earlier incarnation.
 #[test]
 fn an_upstream_counts_as_cleared_only_after_an_answer_that_grants_nothing() {
     let mut leases = SlotLeases::default();
@@ -163,10 +170,13 @@
 }
 
 #[test]
-fn another_life_of_the_upstream_holds_nothing_and_is_cleared_at_once() {
+fn a_new_incarnation_of_the_upstream_holds_no_slots_and_is_cleared_at_once() {
     let mut leases = granted();
     leases.follow_incarnation(at(900), &(Some("i-1".into()), Some(1)));
-    assert!(leases.is_usable(at(900), Slot(1)), "the first life that is known is no other one");
+    assert!(
+        leases.is_usable(at(900), Slot(1)),
+        "the first known incarnation must not reset the leases"
+    );
     leases.follow_incarnation(at(900), &(Some("i-1".into()), Some(2)));
     assert!(!leases.is_usable(at(900), Slot(1)));
     leases.clear(token(5));
@@ -174,7 +184,7 @@
 }
 
 #[test]
-fn a_token_that_never_takes_effect_is_told_of() {
+fn a_token_that_never_takes_effect_is_reported_as_refused() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     for round in 0..2 {
@@ -183,36 +193,44 @@
             leases.apply_announcement(at(round * 870 + 870), &announced(&[])).refused_token,
             None
         );
-        assert!(!leases.is_usable(at(round * 870 + 870), Slot(1)), "the upstream does not hold it");
+        assert!(
+            !leases.is_usable(at(round * 870 + 870), Slot(1)),
+            "the upstream does not hold the slot"
+        );
     }
     answer(&mut leases, 1740, 5000);
     assert_eq!(leases.apply_announcement(at(2610), &announced(&[])).refused_token, Some(token(1)));
 }
 
 #[test]
-fn late_and_doubled_announcements_are_known() {
+fn late_and_duplicate_announcements_are_rejected() {
     let mut leases = SlotLeases::default();
     assert!(leases.accept_sequence(3));
     assert!(!leases.accept_sequence(3) && !leases.accept_sequence(2));
     assert!(leases.accept_sequence(4));
 }
 
-/// An upstream gives up what is left out of an answer, so what does not fit may not be what it holds.
+/// The upstream releases every slot that an answer omits, so an answer without room must not omit
+/// held slots.
 #[test]
-fn where_runs_do_not_fit_new_ones_wait_and_held_ones_stay() {
+fn if_ranges_do_not_fit_new_ones_are_deferred_and_held_ones_stay() {
     let mut leases = SlotLeases::default();
     for slot in 0..100 {
         leases.admit(at(0), Slot(slot * 2), token(1));
     }
     let first = answer(&mut leases, 0, 2500);
-    assert_eq!(first.grants.len(), RUNS_MAX * 3 / 4, "there is room left for cuts");
-    assert_eq!(first.deferred, 100 - RUNS_MAX * 3 / 4);
+    assert_eq!(
+        first.grants.len(),
+        RANGES_MAX * 3 / 4,
+        "room must be left for ranges that are split"
+    );
+    assert_eq!(first.deferred, 100 - RANGES_MAX * 3 / 4);
     leases.apply_announcement(at(870), &announced(&ranges(&first)));
     assert_eq!(ranges(&answer(&mut leases, 870, 3370)), ranges(&first));
 }
 
 #[test]
-fn where_cuts_do_not_fit_slots_are_given_up_later() {
+fn if_split_ranges_do_not_fit_slots_are_released_later() {
     let mut leases = SlotLeases::default();
     for slot in 0..100 {
         leases.admit(at(0), Slot(slot), token(1));
@@ -223,29 +241,35 @@
         leases.close(at(900), Slot(slot * 2), token(1), None);
     }
     assert_eq!(ranges(&answer(&mut leases, 900, 3400)), [range(0, 99, 1)]);
-    assert!(leases.has_pending_changes(at(901), at(3400)), "they are still to be given up");
+    assert!(
+        leases.has_pending_changes(at(901), at(3400)),
+        "the closed slots must still be released"
+    );
 }
 
-/// An upstream that takes answers within a second of its announcement, in the order in which they were sent.
+/// An upstream that reads answers within a second of its announcement, in the order in which they
+/// were sent.
 #[derive(Default)]
-struct Model {
-    /// Slot, token, until when in true time, and until when it works on a request after it was left out.
+struct UpstreamModel {
+    /// Slot, token, end of the hold in true time, and end of the request on the slot after an
+    /// answer omitted it.
     held: BTreeMap<u16, (Token, Timestamp, Option<Timestamp>)>,
     released: Vec<ReleasedRange>,
     sequence: u64,
 }
 
-impl Model {
-    fn run_out(&mut self, now: Timestamp) {
+impl UpstreamModel {
+    fn expire(&mut self, now: Timestamp) {
         self.held.retain(|_, it| it.1 > now);
-        let done = self.held.extract_if(.., |_, it| it.2.is_some_and(|busy| busy <= now));
-        for (slot, _) in done {
+        let ended =
+            self.held.extract_if(.., |_, it| it.2.is_some_and(|request_end| request_end <= now));
+        for (slot, _) in ended {
             let (first, last) = (Slot(slot), Slot(slot));
             self.released.push(ReleasedRange { first, last, handover: "warm".into() });
         }
     }
 
-    fn announces(&mut self) -> (u64, AnnouncedSlots) {
+    fn announce(&mut self) -> (u64, AnnouncedSlots) {
         self.sequence += 1;
         let held = self.held.iter();
         let held =
@@ -253,7 +277,7 @@
         (self.sequence, AnnouncedSlots { held: held.collect(), released: self.released.clone() })
     }
 
-    fn try_extend(
+    fn apply_answer(
         &mut self,
         rng: &mut Pcg64Mcg,
         now: Timestamp,
@@ -277,28 +301,30 @@
     }
 }
 
-struct Announced {
+struct AnnouncementInFlight {
     sent_at: Timestamp,
     arrives_at: Timestamp,
     sequence: u64,
     announced: AnnouncedSlots,
 }
 
-struct Answered {
+struct AnswerInFlight {
     sent_at: Timestamp,
     arrives_at: Timestamp,
     answer: AnnouncementAnswer,
 }
 
-/// Announcements that are late, lost or overtake each other, answers that are lost or slow, a clock that is
-/// slow: whatever comes, the upstream holds no slot after the book has said that it is closed, nothing
-/// outlasts the lease, and what it holds and is to hold is never left out of an answer.
+/// Guards against a slot that counts as closed while the upstream still holds it. Announcements are
+/// late, lost or reordered, answers are lost or slow, and the upstream's clock is slow. No slot may
+/// be held after it was reported as closed, no hold may outlast the lease, and no answer may omit a
+/// slot that the upstream holds and is to hold.
 #[test]
-fn random_upstreams() {
-    fn play(seed: u64) {
+fn no_slot_is_closed_while_a_random_announcing_upstream_holds_it() {
+    fn simulate(seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut leases, mut upstream) = (SlotLeases::default(), Model::default());
-        let (mut announcements, mut answers): (Vec<Announced>, Vec<Answered>) = Default::default();
+        let (mut leases, mut upstream) = (SlotLeases::default(), UpstreamModel::default());
+        let (mut announcements, mut answers): (Vec<AnnouncementInFlight>, Vec<AnswerInFlight>) =
+            Default::default();
         let (mut lease_until, mut next_at, mut last_arrival) = (at(0), at(0), at(0));
         let mut open: Option<(Timestamp, Timestamp)> = None;
         let mut transfers: Vec<(Timestamp, SlotRange)> = Vec::new();
@@ -321,16 +347,21 @@
                 }
                 _ => {}
             }
-            upstream.run_out(now);
+            upstream.expire(now);
             if next_at <= now {
-                let (sequence, announced) = upstream.announces();
-                let way = match rng.random_range(0..20) {
+                let (sequence, announced) = upstream.announce();
+                let latency = match rng.random_range(0..20) {
                     0 => 1500,
                     1 => 400,
                     _ => rng.random_range(0..15),
                 };
-                let arrives_at = now + way * MS;
-                announcements.push(Announced { sent_at: now, arrives_at, sequence, announced });
+                let arrives_at = now + latency * MS;
+                announcements.push(AnnouncementInFlight {
+                    sent_at: now,
+                    arrives_at,
+                    sequence,
+                    announced,
+                });
                 let period =
                     if upstream.held.values().any(|it| it.2.is_some()) { 100 } else { 870 };
                 next_at = now + period * MS;
@@ -348,20 +379,20 @@
                     || now.since(received_at) > 600 * MS)
             {
                 open = None;
-                let answer = leases.answer(now, received_at, lease_until, RUNS_MAX);
+                let answer = leases.answer(now, received_at, lease_until, RANGES_MAX);
                 let until = received_at + answer.hold.mul_f64(1.02);
                 let granted = !answer.grants.is_empty();
                 assert!(!granted || until <= lease_until, "seed {seed}: a hold outlasts the lease");
-                let way = if rng.random_bool(0.05) { 500 } else { rng.random_range(0..40) };
-                last_arrival = last_arrival.max(now + way * MS);
+                let latency = if rng.random_bool(0.05) { 500 } else { rng.random_range(0..40) };
+                last_arrival = last_arrival.max(now + latency * MS);
                 if rng.random_bool(0.9) {
-                    answers.push(Answered { sent_at, arrives_at: last_arrival, answer });
+                    answers.push(AnswerInFlight { sent_at, arrives_at: last_arrival, answer });
                 }
             }
             for it in answers.extract_if(.., |it| it.arrives_at <= now) {
                 if it.arrives_at.since(it.sent_at) <= 1000 * MS {
                     upstream.released.clear();
-                    upstream.try_extend(&mut rng, now, it.sent_at, &it.answer);
+                    upstream.apply_answer(&mut rng, now, it.sent_at, &it.answer);
                 }
             }
             let mut closed = take_closed(&mut leases, now);
@@ -371,15 +402,18 @@
             for (slot, token) in closed {
                 let held = upstream.held.get(&slot.0);
                 let holds = held.is_some_and(|it| it.0 == token && it.1 > now);
-                assert!(!holds, "seed {seed}: slot {slot} is closed at {now:?} and held");
+                assert!(
+                    !holds,
+                    "seed {seed}: slot {slot} was closed at {now:?} while the upstream holds it"
+                );
                 current[usize::from(slot.0)].take_if(|it| *it == token.sequence);
                 closed_count += 1;
             }
         }
-        assert!(closed_count > 0, "seed {seed}: nothing was ever closed");
+        assert!(closed_count > 0, "seed {seed}: no slot was closed");
     }
     fn property(seed: u64) {
-        play(seed);
+        simulate(seed);
     }
     QuickCheck::new()
         .tests(200)
--- a/crates/agent/src/gate/leases/tests/mod.rs
+++ b/crates/agent/src/gate/leases/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the book of leases.
+//! Tests of the leases of slots.
 
 mod exchange;
 
@@ -42,7 +42,7 @@
     calls.iter().filter_map(range).collect()
 }
 
-/// Admits slots and has the upstream take their grants at once.
+/// Sends the due grants and has the upstream accept them at once.
 fn granted(leases: &mut SlotLeases, now: Timestamp, lease_until: Timestamp) {
     for call in leases.due_calls(now, lease_until) {
         let Call::Grant { range, hold, .. } = call else { continue };
@@ -50,12 +50,12 @@
     }
 }
 
-/// Slots that are closed at an upstream which works on nothing.
+/// Returns the closed slots of an upstream that runs no requests.
 fn take_closed(leases: &mut SlotLeases, now: Timestamp) -> Vec<(Slot, Token)> {
     leases.take_closed(now, |_| Timestamp::ZERO)
 }
 
-/// The same after the end of a release.
+/// Ends a release, then returns the closed slots of an upstream that runs no requests.
 fn release_ended(
     leases: &mut SlotLeases,
     now: Timestamp,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn neighbours_under_one_token_are_one_grant() {
+fn adjacent_slots_under_one_token_are_granted_in_one_call() {
     let mut leases = SlotLeases::default();
     for slot in [1, 2, 3, 7] {
         leases.admit(at(0), Slot(slot), token(1));
@@ -75,38 +75,44 @@
     leases.admit(at(0), Slot(4), token(2));
     let calls = leases.due_calls(at(0), at(1500));
     assert_eq!(grants(&calls), [range(1, 3, 1), range(4, 4, 2), range(7, 7, 1)]);
-    assert!(leases.due_calls(at(0), at(1500)).is_empty(), "they are on their way");
+    assert!(leases.due_calls(at(0), at(1500)).is_empty(), "the grants are in flight");
 }
 
 #[test]
-fn a_slot_is_usable_once_the_upstream_has_taken_its_grant_and_while_it_lasts() {
+fn a_slot_is_usable_from_the_acceptance_of_its_grant_to_the_end_of_its_hold() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     assert!(!leases.is_usable(at(0), Slot(1)));
     let calls = leases.due_calls(at(0), at(1500));
-    assert!(!leases.is_usable(at(0), Slot(1)), "no answer yet");
+    assert!(!leases.is_usable(at(0), Slot(1)), "the grant has not been answered");
     let Call::Grant { range, hold, .. } = &calls[0] else { panic!("{calls:?}") };
-    assert!(hold.mul_f64(1.02) < 1500 * MS, "a slow clock must not outlast the lease");
+    assert!(
+        hold.mul_f64(1.02) < 1500 * MS,
+        "the hold must end before the lease even on a slow clock"
+    );
     leases.finish_grant(at(5), *range, at(0), *hold, GrantOutcome::Accepted);
     assert!(leases.is_usable(at(1400), Slot(1)));
     assert!(!leases.is_usable(at(1500), Slot(1)));
 }
 
 #[test]
-fn nothing_is_granted_before_earlier_lives_are_cleared() {
+fn nothing_is_granted_before_the_grants_of_earlier_incarnations_are_released() {
     let mut leases = SlotLeases::default();
     leases.clear(token(1));
     leases.admit(at(0), Slot(1), token(2));
     assert_eq!(leases.due_calls(at(0), at(1500)), [Call::Clear { token: token(1) }]);
     assert!(leases.due_calls(at(100), at(1500)).is_empty(), "the upstream has not answered");
     leases.finish_clear(token(9));
-    assert!(leases.due_calls(at(100), at(1500)).is_empty(), "that was another one");
+    assert!(
+        leases.due_calls(at(100), at(1500)).is_empty(),
+        "the end of another revocation must not end this one"
+    );
     leases.finish_clear(token(1));
     assert_eq!(grants(&leases.due_calls(at(200), at(1500))), [range(1, 1, 2)]);
 }
 
 #[test]
-fn renewals_follow_the_lease_but_not_each_step_of_it() {
+fn a_grant_is_renewed_only_if_the_lease_has_grown_enough() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
@@ -115,15 +121,18 @@
 }
 
 #[test]
-fn without_a_lease_nothing_is_granted() {
+fn nothing_is_granted_without_a_lease() {
     let mut leases = SlotLeases::default();
     leases.admit(at(1000), Slot(1), token(1));
     assert!(leases.due_calls(at(1000), at(0)).is_empty());
-    assert!(leases.due_calls(at(1000), at(1050)).is_empty(), "too short to be of use");
+    assert!(
+        leases.due_calls(at(1000), at(1050)).is_empty(),
+        "a hold this short must not be granted"
+    );
 }
 
 #[test]
-fn a_closing_slot_is_not_used_and_is_closed_by_the_upstreams_answer() {
+fn a_closing_slot_is_not_usable_and_is_closed_by_the_answer_to_its_release() {
     let mut leases = SlotLeases::default();
     for slot in 1..=4 {
         leases.admit(at(0), Slot(slot), token(1));
@@ -132,7 +141,10 @@
     let successor = instance("other", "127.0.0.1:1".parse().unwrap());
     assert!(leases.close(at(10), Slot(2), token(1), Some(successor.clone())));
     assert!(leases.close(at(10), Slot(3), token(1), Some(successor)));
-    assert!(!leases.close(at(10), Slot(3), token(9), None), "another token");
+    assert!(
+        !leases.close(at(10), Slot(3), token(9), None),
+        "the slot is not held under this token"
+    );
     assert!(!leases.is_usable(at(10), Slot(2)));
     assert!(leases.is_usable(at(10), Slot(1)));
     let calls = leases.due_calls(at(10), at(1500));
@@ -142,23 +154,27 @@
     assert_eq!(closed, [(Slot(2), token(1)), (Slot(3), token(1))]);
 }
 
-/// The upstream never answers a release: the slot is closed once it cannot hold it any more.
+/// The upstream never answers a release, so the slot is closed once its hold has expired.
 #[test]
-fn a_lost_release_delays_the_close_until_the_grant_has_run_out() {
+fn an_unanswered_release_delays_the_close_until_the_hold_has_expired() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(3000));
     leases.close(at(0), Slot(1), token(1), None);
     assert_eq!(releases(&leases.due_calls(at(0), at(3000))), [range(1, 1, 1)]);
     assert!(release_ended(&mut leases, at(1800), range(1, 1, 1), false).is_empty());
-    assert_eq!(releases(&leases.due_calls(at(1800), at(4000))), [range(1, 1, 1)], "asked again");
+    assert_eq!(
+        releases(&leases.due_calls(at(1800), at(4000))),
+        [range(1, 1, 1)],
+        "the release must be retried"
+    );
     assert!(release_ended(&mut leases, at(2900), range(1, 1, 1), false).is_empty());
     let closed = take_closed(&mut leases, at(3100));
     assert_eq!(closed, [(Slot(1), token(1))]);
 }
 
 #[test]
-fn a_released_slot_is_closed_when_the_work_on_it_has_ended() {
+fn a_released_slot_is_closed_when_its_requests_have_ended() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     leases.admit(at(0), Slot(2), token(1));
@@ -169,20 +185,23 @@
     leases.finish_release(at(20), range(1, 2, 1), true);
     let runs_until = |slot: Slot| if slot == Slot(2) { at(700) } else { at(0) };
     assert_eq!(leases.take_closed(at(20), runs_until), [(Slot(1), token(1))]);
-    assert!(leases.due_calls(at(30), at(1500)).is_empty(), "it is not released again");
+    assert!(
+        leases.due_calls(at(30), at(1500)).is_empty(),
+        "an answered release must not be repeated"
+    );
     assert!(leases.take_closed(at(699), runs_until).is_empty());
     assert_eq!(leases.take_closed(at(700), runs_until), [(Slot(2), token(1))]);
 }
 
 #[test]
-fn a_slot_that_is_closed_twice_waits_for_its_work_all_the_same() {
+fn a_slot_that_is_closed_twice_still_waits_for_its_requests() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
     leases.due_calls(at(10), at(1500));
     assert!(leases.close(at(15), Slot(1), token(1), None));
-    assert!(leases.due_calls(at(15), at(1500)).is_empty(), "the release is on its way");
+    assert!(leases.due_calls(at(15), at(1500)).is_empty(), "the release is in flight");
     leases.finish_release(at(20), range(1, 1, 1), true);
     assert!(leases.close(at(25), Slot(1), token(1), None));
     assert!(leases.take_closed(at(30), |_| at(700)).is_empty());
@@ -190,7 +209,7 @@
 }
 
 #[test]
-fn a_released_slot_waits_for_work_no_longer_than_it_would_have_been_held() {
+fn a_released_slot_waits_for_its_requests_at_most_until_the_end_of_its_hold() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
@@ -202,7 +221,7 @@
 }
 
 #[test]
-fn a_handover_token_goes_with_the_grant_that_follows_it() {
+fn a_handover_token_is_passed_with_the_next_grant_of_its_slots() {
     let mut leases = SlotLeases::default();
     leases.store_handover_token(at(0), Slot(2), Slot(3), Arc::from("warm"));
     for slot in 1..=3 {
@@ -219,7 +238,7 @@
 }
 
 #[test]
-fn another_life_of_the_upstream_holds_nothing() {
+fn a_new_incarnation_of_the_upstream_holds_no_slots() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     granted(&mut leases, at(0), at(1500));
@@ -227,9 +246,9 @@
     assert!(!leases.is_usable(at(100), Slot(1)));
 }
 
-/// The upstream may take the two in either order.
+/// The upstream may process the two calls in either order.
 #[test]
-fn a_release_waits_for_a_grant_that_is_on_its_way() {
+fn a_release_waits_for_a_grant_in_flight() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     let calls = leases.due_calls(at(0), at(1500));
@@ -240,8 +259,8 @@
     assert_eq!(releases(&leases.due_calls(at(5), at(1500))), [range(1, 1, 1)]);
 }
 
-/// A call on its way to the upstream of the random runs.
-struct OnItsWay {
+/// A call in flight to the upstream of the randomized test.
+struct CallInFlight {
     sent_at: Timestamp,
     arrives_at: Timestamp,
     ends_at: Timestamp,
@@ -250,13 +269,13 @@
     has_arrived: bool,
 }
 
-/// What an upstream may hold: slot, token, until when in true time.
+/// Slots that the upstream holds: slot, token, and the end of the hold in true time.
 type Held = Vec<(u16, u64, Timestamp)>;
 
-/// The call arrives. A grant may be applied at once or later, but its time counts from now.
-fn arrive(
+/// Delivers a call. A grant may be applied at once or later, but its hold counts from the arrival.
+fn deliver(
     rng: &mut Pcg64Mcg,
-    it: &mut OnItsWay,
+    it: &mut CallInFlight,
     held: &mut Held,
     late: &mut Vec<(Timestamp, (u16, u64, Timestamp))>,
 ) {
@@ -282,26 +301,27 @@
     }
 }
 
-/// An upstream as the platform describes it: calls arrive in any order; grants may be applied late,
-/// and then count from when they arrived; its clock may be 2% slow; answers may be lost; it works on slots that
-/// it has released. Whatever comes, it holds no slot after the book has said that the slot is closed, nor after
-/// the lease, nor works on it under a hold that would last, and is not asked for a slot it does not hold.
+/// Guards against a slot that counts as closed while the upstream still holds it or runs requests
+/// on it. Calls arrive in any order, grants are applied late, answers are lost, the upstream's
+/// clock is up to 2% slow, and it continues requests on released slots. No slot may be held after
+/// it was reported as closed or after the lease, no request may run under a hold that would still
+/// last, and no request may be sent for a slot that is not held.
 #[test]
-fn random_upstreams() {
-    fn play(seed: u64) {
+fn no_slot_is_closed_while_a_random_upstream_holds_it() {
+    fn simulate(seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut leases = SlotLeases::default();
         let mut lease_until = at(0);
         let mut held: Held = Vec::new();
         let mut sequence = 0;
         let mut current: Vec<Option<u64>> = vec![None; 8];
-        let mut waiting: Vec<OnItsWay> = Vec::new();
-        // Grants without an answer that are still to be applied, and when.
+        let mut in_flight: Vec<CallInFlight> = Vec::new();
+        // Unanswered grants that are still to be applied, with the time at which they are.
         let mut late: Vec<(Timestamp, (u16, u64, Timestamp))> = Vec::new();
-        // Until when it works on each slot, and would hold it if nothing was released.
+        // Latest end of the requests on each slot, and of its hold if nothing were released.
         let mut runs_until = [Timestamp::ZERO; 8];
         let mut would_hold_until = [Timestamp::ZERO; 8];
-        let mut work_rng = Pcg64Mcg::seed_from_u64(!seed);
+        let mut request_rng = Pcg64Mcg::seed_from_u64(!seed);
         for reconcile_by_calls in 0..2000 {
             let now = at(reconcile_by_calls * 5);
             for (_, grant) in late.extract_if(.., |it| it.0 <= now) {
@@ -327,27 +347,27 @@
                     let until = now + hold.mul_f64(1.02);
                     assert!(until <= lease_until, "seed {seed}: a grant outlasts the lease");
                 }
-                let way = rng.random_range(0..20) * MS;
-                waiting.push(OnItsWay {
+                let latency = rng.random_range(0..20) * MS;
+                in_flight.push(CallInFlight {
                     sent_at: now,
-                    arrives_at: now + way,
-                    ends_at: now + way + rng.random_range(0..100) * MS,
+                    arrives_at: now + latency,
+                    ends_at: now + latency + rng.random_range(0..100) * MS,
                     call,
                     is_answered: rng.random_bool(0.8),
                     has_arrived: false,
                 });
             }
-            waiting.sort_by_key(|it| it.arrives_at);
-            for it in waiting.iter_mut().filter(|it| !it.has_arrived && it.arrives_at <= now) {
-                arrive(&mut rng, it, &mut held, &mut late);
+            in_flight.sort_by_key(|it| it.arrives_at);
+            for it in in_flight.iter_mut().filter(|it| !it.has_arrived && it.arrives_at <= now) {
+                deliver(&mut rng, it, &mut held, &mut late);
             }
             for (slot, _, until) in &held {
                 let would_hold = &mut would_hold_until[usize::from(*slot)];
                 *would_hold = (*would_hold).max(*until);
             }
-            let works = |slot: Slot| runs_until[usize::from(slot.0)];
-            let mut closed = leases.take_closed(now, works);
-            for it in waiting.extract_if(.., |it| it.ends_at <= now) {
+            let request_end = |slot: Slot| runs_until[usize::from(slot.0)];
+            let mut closed = leases.take_closed(now, request_end);
+            for it in in_flight.extract_if(.., |it| it.ends_at <= now) {
                 match it.call {
                     Call::Grant { range, hold, .. } => {
                         let end = if it.is_answered {
@@ -359,7 +379,7 @@
                     }
                     Call::Release { range, .. } => {
                         leases.finish_release(now, range, it.is_answered);
-                        closed.extend(leases.take_closed(now, works));
+                        closed.extend(leases.take_closed(now, request_end));
                     }
                     Call::Clear { token } => leases.finish_clear(token),
                 }
@@ -368,25 +388,34 @@
                 let holds = |it: &(u16, u64, Timestamp)| {
                     it.0 == slot.0 && it.1 == token.sequence && now < it.2
                 };
-                assert!(!held.iter().any(holds), "seed {seed}: closed {slot} is held");
-                let at_work_until = works(slot).min(would_hold_until[usize::from(slot.0)]);
-                assert!(at_work_until <= now, "seed {seed}: closed {slot} is worked on");
+                assert!(
+                    !held.iter().any(holds),
+                    "seed {seed}: slot {slot} was closed at {now:?} while the upstream holds it"
+                );
+                let request_ends_at = request_end(slot).min(would_hold_until[usize::from(slot.0)]);
+                assert!(
+                    request_ends_at <= now,
+                    "seed {seed}: slot {slot} was closed at {now:?} while a request runs on it"
+                );
                 if current[usize::from(slot.0)] == Some(token.sequence) {
                     current[usize::from(slot.0)] = None;
                 }
             }
             for slot in (0..8).filter(|it| leases.is_usable(now, Slot(*it))) {
                 let holds = held.iter().any(|it| it.0 == slot && now < it.2);
-                assert!(holds, "seed {seed}: {slot} is used but not held");
-                if work_rng.random_bool(0.02) {
-                    let work = &mut runs_until[usize::from(slot)];
-                    *work = (*work).max(now + work_rng.random_range(1..3000) * MS);
+                assert!(
+                    holds,
+                    "seed {seed}: slot {slot} is usable at {now:?} but the upstream does not hold it"
+                );
+                if request_rng.random_bool(0.02) {
+                    let request_end = &mut runs_until[usize::from(slot)];
+                    *request_end = (*request_end).max(now + request_rng.random_range(1..3000) * MS);
                 }
             }
         }
     }
     fn property(seed: u64) {
-        play(seed);
+        simulate(seed);
     }
     QuickCheck::new()
         .tests(300)
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -124,7 +124,7 @@
         match timeout(PREPARE_TIMEOUT, prepare_until_warm).await {
             Ok(()) => self.reporter.deliver(Report::Prepared { slot, token }).await,
             Err(_) => {
-                log::warn!(target: "gate", "The upstream did not prepare slot {slot} in time; giving up.")
+                log::warn!(target: "gate", "The upstream did not prepare slot {slot} in time; it is not reported as prepared.")
             }
         }
     }
