--- a/crates/traffic/src/selection/target.rs
+++ b/crates/traffic/src/selection/target.rs
@@ -1,4 +1,4 @@
-//! One target of a service, as callers have found it.
+//! One target of a service, with the latency, failures and load reports observed by this agent.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,41 +7,42 @@
 use super::SelectionConfig;
 use crate::SmoothedDuration;
 
-/// A new target's share of work at the least, so that it gets any.
-const RAMP_MIN: f64 = 0.1;
-/// How much the load that a target claims for itself may add to its cost.
+/// The initial share of a new target; above 0, so that it gets requests.
+const RAMP_SHARE_MIN: f64 = 0.1;
+/// The largest share that the load claimed by a target adds to its cost.
 const HINT_LOAD_WEIGHT: f64 = 0.25;
-/// What a target that calls itself ill adds to its cost.
-const HINT_ILL_WEIGHT: f64 = 1.0;
-/// How fast a measured latency loses its weight when nothing new is measured.
-const LATENCY_FADE: Duration = Duration::from_secs(10);
-/// The share of a new report in the usual backlog.
+/// The share added to the cost of a target that claims to be unhealthy.
+const HINT_UNHEALTHY_WEIGHT: f64 = 1.0;
+/// The time constant with which a measured latency loses its weight while nothing new is measured.
+const LATENCY_DECAY: Duration = Duration::from_secs(10);
+/// The weight of a new report in the mean backlog.
 const BACKLOG_GAIN: f64 = 0.25;
-/// How long a gate is gone by: how fast its machine is and how much it is asked for usually stay what they
-/// are for longer, but one that was slow or full once has to be tried again.
-const HEARD_FOR: Duration = Duration::from_secs(30);
-/// Silence for this many times the usual latency is none: long requests just take long.
-const SILENT_LATENCIES: u32 = 4;
-/// Ejections in a row that lengthen the next one.
-const EJECTIONS_MAX: u32 = 6;
-
-/// Whether a target takes new work at all, as its group says.
+/// The time for which a load report is used. The speed and load of a machine usually stay the same for longer,
+/// but a target that once was slow or full has to be tried again.
+const REPORT_VALIDITY: Duration = Duration::from_secs(30);
+/// A target counts as responsive for at least this many times its mean latency, since the requests in flight
+/// may simply take that long.
+const UNRESPONSIVE_LATENCIES: u32 = 4;
+/// The number of consecutive ejections up to which each one lasts longer.
+const EJECTION_STEPS_MAX: u32 = 6;
+
+/// Whether a target accepts new requests, as announced by its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
     Ready,
-    /// Starting or leaving.
+    /// The target is starting or leaving.
     Closed,
 }
 
-/// What a target's health and load endpoints say; may lag or mislead.
+/// The response of a target's health and load endpoints, which may be out of date or wrong.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct HealthHint {
     pub is_unhealthy: bool,
-    /// 0 idle, 1 full.
+    /// The load, from 0 (idle) to 1 (full).
     pub load: f64,
 }
 
-/// A target as its group announces it.
+/// A target as announced by its group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetSpec {
     pub instance: Instance,
@@ -49,43 +50,43 @@
     pub hint: HealthHint,
 }
 
-/// What a target's gate says of itself with each reply: counted there, so it neither lags by more than a
-/// reply nor misleads.
+/// The load that a target's gate reports with each reply. The gate counts requests itself, so the report is
+/// exact as of that reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GateReport {
-    /// Requests at the upstream, and those that wait for a slot of it.
+    /// The number of requests that run on the upstream or wait for a slot of it.
     pub backlog: u32,
     pub slots: u32,
-    /// What a request takes there, on average over all kinds as they come.
+    /// The mean service time over all requests.
     pub service_time: Duration,
-    /// What one of the kind that was asked for takes there, if any has been measured.
+    /// The kind of the answered request and its mean service time, if one has been measured.
     pub kind_service_time: Option<(u8, Duration)>,
 }
 
-/// A gate's report, and what has become of it since.
+/// The last report of a gate, with the changes since.
 #[derive(Debug, Clone, Copy)]
-struct Reported {
+struct ReceivedReport {
     report: GateReport,
-    at: Timestamp,
-    /// Requests sent to it since.
-    sent: u32,
-    /// The backlogs that it has reported, smoothed.
-    usual_backlog: f64,
+    received: Timestamp,
+    /// The number of requests sent to the target since the report.
+    sent_since: u32,
+    /// The exponentially weighted mean of the reported backlogs.
+    mean_backlog: f64,
 }
 
-/// How a request ended at a target.
+/// The result of a request at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetResult {
     Answered,
-    /// Refused for lack of room: alive, not at fault.
+    /// The target refused the request because it is full. It counts as responsive, and not as failing.
     Shed,
-    /// An error, a broken link, or no answer before the deadline.
+    /// The request failed with an error, a lost connection, or no answer before the deadline.
     Failed,
-    /// The caller took it back: says nothing of the target.
+    /// The caller cancelled the request, which tells nothing about the target.
     Cancelled,
 }
 
-/// A target as it stands.
+/// The state of a target, for the status and the metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetView {
     pub instance: Instance,
@@ -100,14 +101,14 @@
     pub(super) instance: Instance,
     pub(super) state: TargetState,
     pub(super) hint: HealthHint,
-    since: Timestamp,
+    added: Timestamp,
     in_flight: u32,
     latency: SmoothedDuration,
-    reported: Option<Reported>,
-    /// What requests of each kind take there, as its gate last said.
-    kinds: HashMap<u8, (Duration, Timestamp)>,
-    /// The last answer or refusal, or the first request given since it had none in flight.
-    last_sign: Timestamp,
+    last_report: Option<ReceivedReport>,
+    /// The last reported service time of each kind, with the time of the report.
+    kind_service_times: HashMap<u8, (Duration, Timestamp)>,
+    /// The time of the last answer or refusal, or of the first request that was sent while none was in flight.
+    silent_since: Timestamp,
     failures_in_row: u32,
     ejections_in_row: u32,
     ejected_until: Timestamp,
@@ -119,12 +120,12 @@
             instance,
             state: TargetState::Closed,
             hint: HealthHint::default(),
-            since: now,
+            added: now,
             in_flight: 0,
             latency: SmoothedDuration::new(initial_latency),
-            reported: None,
-            kinds: HashMap::new(),
-            last_sign: now,
+            last_report: None,
+            kind_service_times: HashMap::new(),
+            silent_since: now,
             failures_in_row: 0,
             ejections_in_row: 0,
             ejected_until: Timestamp::ZERO,
@@ -141,141 +142,155 @@
         now < self.ejected_until
     }
 
-    /// Requests in flight and no sign of life. Deadlines and cancellations end what is in flight,
-    /// and with it the state: then one request at a time finds out whether it is back.
+    /// Returns whether requests are in flight and the target has not responded for too long. Deadlines and
+    /// cancellations end the requests in flight, and thus this state; then single requests probe whether
+    /// the target has recovered.
     pub(super) fn is_unresponsive(&self, config: &SelectionConfig, now: Timestamp) -> bool {
-        let silence_max = config.unresponsive_after.max(self.latency.mean() * SILENT_LATENCIES);
-        self.in_flight > 0 && now.since(self.last_sign) > silence_max
+        let silence_max =
+            config.unresponsive_after.max(self.latency.mean() * UNRESPONSIVE_LATENCIES);
+        self.in_flight > 0 && now.since(self.silent_since) > silence_max
     }
 
-    pub(super) fn is_busy(&self) -> bool {
+    pub(super) fn has_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
     pub(super) fn start(&mut self, now: Timestamp) {
         if self.in_flight == 0 {
-            self.last_sign = now;
+            self.silent_since = now;
         }
         self.in_flight += 1;
-        if let Some(reported) = &mut self.reported {
-            reported.sent += 1;
+        if let Some(last_report) = &mut self.last_report {
+            last_report.sent_since += 1;
         }
     }
 
     pub(super) fn report(&mut self, now: Timestamp, report: GateReport) {
-        if let Some((kind, takes)) = report.kind_service_time {
-            self.kinds.insert(kind, (takes, now));
+        if let Some((kind, service_time)) = report.kind_service_time {
+            self.kind_service_times.insert(kind, (service_time, now));
         }
         let backlog = f64::from(report.backlog);
-        let usual = self.heard(now).map_or(backlog, |it| it.usual_backlog);
-        let usual_backlog = usual + BACKLOG_GAIN * (backlog - usual);
-        self.reported = Some(Reported { report, at: now, sent: 0, usual_backlog });
+        let former_mean = self.current_report(now).map_or(backlog, |it| it.mean_backlog);
+        let mean_backlog = former_mean + BACKLOG_GAIN * (backlog - former_mean);
+        self.last_report =
+            Some(ReceivedReport { report, received: now, sent_since: 0, mean_backlog });
     }
 
-    /// What a request takes here, on average over all kinds; none: the gate has said nothing for long.
-    pub(super) fn service_s(&self, now: Timestamp) -> Option<f64> {
-        Some(self.heard(now)?.report.service_time.as_secs_f64())
+    /// Returns the mean service time over all kinds, in seconds. `None` if there is no recent report.
+    pub(super) fn mean_service_s(&self, now: Timestamp) -> Option<f64> {
+        Some(self.current_report(now)?.report.service_time.as_secs_f64())
     }
 
-    /// What a request of a kind takes here by itself.
-    pub(super) fn kind_s(&self, now: Timestamp, kind: u8) -> Option<f64> {
-        let (takes, _) = self.kinds.get(&kind).filter(|it| now.since(it.1) <= HEARD_FOR)?;
-        Some(takes.as_secs_f64())
+    /// Returns the service time of a kind, in seconds. `None` if there is no recent report of it.
+    pub(super) fn kind_service_s(&self, now: Timestamp, kind: u8) -> Option<f64> {
+        let (service_time, _) =
+            self.kind_service_times.get(&kind).filter(|it| now.since(it.1) <= REPORT_VALIDITY)?;
+        Some(service_time.as_secs_f64())
     }
 
-    /// How long a request that is sent now waits here for a slot. What the gate last said of its backlog fades
-    /// to what it usually says within the time of a request: an agent hears of each of many gates every few
-    /// seconds, and one that is busy at all times has worked nothing off meanwhile.
-    pub(super) fn wait_s(&self, now: Timestamp) -> Option<f64> {
-        let Reported { report, at, sent, usual_backlog } = self.heard(now)?;
+    /// Returns the expected wait of a request for a slot, in seconds. Within about one service time, the last
+    /// reported backlog loses its weight to the mean backlog: with many gates, an agent gets a report of each
+    /// only every few seconds, and a target under constant load has not reduced its backlog in between.
+    /// Returns `None` if there is no recent report.
+    pub(super) fn queue_wait_s(&self, now: Timestamp) -> Option<f64> {
+        let ReceivedReport { report, received, sent_since, mean_backlog } =
+            self.current_report(now)?;
         let slots = f64::from(report.slots.max(1));
-        let service_s = report.service_time.as_secs_f64();
-        let left = (-now.since(at).as_secs_f64() / service_s.max(f64::MIN_POSITIVE)).exp();
-        let told = f64::from(report.backlog) + f64::from(sent);
-        let backlog = usual_backlog + (told - usual_backlog) * left;
-        Some(service_s * (backlog + 1.0 - slots).max(0.0) / slots)
+        let mean_service_s = report.service_time.as_secs_f64();
+        let weight =
+            (-now.since(received).as_secs_f64() / mean_service_s.max(f64::MIN_POSITIVE)).exp();
+        let reported_backlog = f64::from(report.backlog) + f64::from(sent_since);
+        let backlog = mean_backlog + (reported_backlog - mean_backlog) * weight;
+        Some(mean_service_s * (backlog + 1.0 - slots).max(0.0) / slots)
     }
 
-    fn heard(&self, now: Timestamp) -> Option<Reported> {
-        self.reported.filter(|it| now.since(it.at) <= HEARD_FOR)
+    fn current_report(&self, now: Timestamp) -> Option<ReceivedReport> {
+        self.last_report.filter(|it| now.since(it.received) <= REPORT_VALIDITY)
     }
 
-    /// How old what the gate last said is, if it still counts.
+    /// Returns the age of the last load report. `None` if there is no recent report.
     pub(super) fn load_age(&self, now: Timestamp) -> Option<Duration> {
-        self.heard(now).map(|it| now.since(it.at))
+        self.current_report(now).map(|it| now.since(it.received))
     }
 
     pub(super) fn finish(
         &mut self,
         config: &SelectionConfig,
         now: Timestamp,
-        taken: Duration,
+        elapsed: Duration,
         result: TargetResult,
         may_eject: bool,
     ) {
-        assert!(self.in_flight > 0, "{} ended more requests than it was given", self.instance);
+        assert!(self.in_flight > 0, "{} ended more requests than were sent to it", self.instance);
         self.in_flight -= 1;
         match result {
             TargetResult::Answered => {
-                self.latency.add(taken);
-                self.last_sign = now;
+                self.latency.add(elapsed);
+                self.silent_since = now;
                 self.failures_in_row = 0;
                 self.ejections_in_row = 0;
             }
-            TargetResult::Shed => self.last_sign = now,
-            TargetResult::Failed => self.fail(config, now, may_eject),
+            TargetResult::Shed => self.silent_since = now,
+            TargetResult::Failed => self.record_failure(config, now, may_eject),
             TargetResult::Cancelled => (),
         }
     }
 
-    fn fail(&mut self, config: &SelectionConfig, now: Timestamp, may_eject: bool) {
+    fn record_failure(&mut self, config: &SelectionConfig, now: Timestamp, may_eject: bool) {
         self.failures_in_row += 1;
         if self.failures_in_row < config.eject_failures || !may_eject || self.is_ejected(now) {
             return;
         }
         self.failures_in_row = 0;
-        self.ejections_in_row = (self.ejections_in_row + 1).min(EJECTIONS_MAX);
+        self.ejections_in_row = (self.ejections_in_row + 1).min(EJECTION_STEPS_MAX);
         self.ejected_until = now + config.ejection_duration * self.ejections_in_row;
     }
 
-    /// The expected wait at this target, in seconds: less is better. `best_s` is the
-    /// least latency of any target.
-    pub(super) fn cost_s(&self, config: &SelectionConfig, now: Timestamp, best_s: f64) -> f64 {
-        let ill = if self.hint.is_unhealthy { HINT_ILL_WEIGHT } else { 0.0 };
-        let hint = 1.0 + ill + HINT_LOAD_WEIGHT * self.hint.load.clamp(0.0, 1.0);
-        (self.in_flight_share(config, now) + 1.0) * self.latency_s(now, best_s) * hint
+    /// Returns the expected latency of this target, in seconds, increased by its health and load hints.
+    /// `least_latency_s` is the least measured latency of all targets.
+    pub(super) fn cost_s(
+        &self,
+        config: &SelectionConfig,
+        now: Timestamp,
+        least_latency_s: f64,
+    ) -> f64 {
+        let unhealthy_cost = if self.hint.is_unhealthy { HINT_UNHEALTHY_WEIGHT } else { 0.0 };
+        let hint_factor = 1.0 + unhealthy_cost + HINT_LOAD_WEIGHT * self.hint.load.clamp(0.0, 1.0);
+        (self.scaled_in_flight(config, now) + 1.0)
+            * self.estimated_latency_s(now, least_latency_s)
+            * hint_factor
     }
 
-    /// How much worse a target counts whose last requests have failed: what it says of its load tells
-    /// nothing of its answers.
+    /// Returns the factor on the expected latency for consecutive failures, which a load report does not show.
     pub(super) fn failure_factor(&self) -> f64 {
         f64::from(1 + self.failures_in_row)
     }
 
-    /// The latency measured, if there is any.
-    pub(super) fn measured_s(&self) -> Option<f64> {
+    /// Returns the mean measured latency, in seconds. `None` if none has been measured.
+    pub(super) fn measured_latency_s(&self) -> Option<f64> {
         (self.latency.samples() > 0).then(|| self.latency.mean().as_secs_f64())
     }
 
-    /// What was measured, drawn to the best of all the longer ago that was: else a target that was
-    /// once slow would not be tried again.
-    fn latency_s(&self, now: Timestamp, best_s: f64) -> f64 {
-        let Some(measured_s) = self.measured_s() else { return best_s };
-        let idle = now.since(self.last_sign).as_secs_f64() / LATENCY_FADE.as_secs_f64();
-        best_s + (measured_s - best_s) * (-idle).exp()
+    /// Returns the measured latency, which approaches the least latency of all targets the longer ago the
+    /// target last responded; otherwise a target that was slow once would not be tried again.
+    fn estimated_latency_s(&self, now: Timestamp, least_latency_s: f64) -> f64 {
+        let Some(measured_latency_s) = self.measured_latency_s() else { return least_latency_s };
+        let decay_periods =
+            now.since(self.silent_since).as_secs_f64() / LATENCY_DECAY.as_secs_f64();
+        least_latency_s + (measured_latency_s - least_latency_s) * (-decay_periods).exp()
     }
 
-    /// Requests in flight, over the share that a new target may have.
-    pub(super) fn in_flight_share(&self, config: &SelectionConfig, now: Timestamp) -> f64 {
-        f64::from(self.in_flight) / self.ramp(config, now)
+    /// Returns the requests in flight, divided by the share of the target during its slow start.
+    pub(super) fn scaled_in_flight(&self, config: &SelectionConfig, now: Timestamp) -> f64 {
+        f64::from(self.in_flight) / self.ramp_share(config, now)
     }
 
-    fn ramp(&self, config: &SelectionConfig, now: Timestamp) -> f64 {
+    fn ramp_share(&self, config: &SelectionConfig, now: Timestamp) -> f64 {
         if config.slow_start.is_zero() {
             return 1.0;
         }
-        let passed = now.since(self.since).as_secs_f64() / config.slow_start.as_secs_f64();
-        passed.clamp(RAMP_MIN, 1.0)
+        let ramp_progress = now.since(self.added).as_secs_f64() / config.slow_start.as_secs_f64();
+        ramp_progress.clamp(RAMP_SHARE_MIN, 1.0)
     }
 
     pub(super) fn view(&self, config: &SelectionConfig, now: Timestamp) -> TargetView {
