--- a/crates/traffic/src/quarantine/mod.rs
+++ b/crates/traffic/src/quarantine/mod.rs
@@ -1,7 +1,8 @@
-//! Requests that end the upstreams that run them: which are suspected, and which are sent to none any more.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Each end of an upstream names all that was at work, so most of what it names is innocent. A request that has been
-//! answered is cleared. A suspect is to be run with no other suspect beside it, so that the next end tells.
+//! A crash report lists all requests that were in flight, most of which did not cause the crash. A request that was
+//! answered is no suspect. A suspect must not run concurrently with another suspect, so that the next crash shows
+//! which of them caused it.
 
 #[cfg(test)]
 mod tests;
@@ -11,85 +12,89 @@
 use model::Fingerprint;
 use serde::{Deserialize, Serialize};
 
-/// Ends of upstreams under one request after which it is sent to none any more.
-const ENDS_MAX: usize = 2;
-/// Requests that are remembered as suspects; the oldest are forgotten first.
+/// The number of crashes after which a request that was in flight in all of them is quarantined.
+const CRASHES_MAX: usize = 2;
+/// The most requests that are stored as suspects. The oldest are evicted first.
 const SUSPECTS_MAX: usize = 8 << 10;
-/// Requests that are remembered as answered: between this many and twice as many.
-const CLEARED_MAX: usize = 16 << 10;
+/// The number of requests in one generation of answered requests. Two generations are stored, so at least this many
+/// of the last answered requests are known.
+const ANSWERED_MAX: usize = 16 << 10;
 
-/// One end of an upstream; a report of it may be heard more than once.
+/// Identifier of one crash of an upstream, since the report of a crash may be received more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CrashId(pub u64);
 
-/// How a request stands.
+/// The restrictions on sending a request to upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// It may run beside any other.
+    /// The request may run concurrently with any other.
     Clear,
-    /// An upstream has ended while it was at work: it may run beside no other suspect.
+    /// An upstream crashed while the request was in flight: it must not run concurrently with another suspect.
     Suspect,
-    /// It is given to no upstream.
+    /// The request is not sent to any upstream.
     Quarantined,
 }
 
-/// What is known of the requests of all services.
+/// The suspects and the answered requests of all services.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, BTreeSet<CrashId>>,
-    /// The suspects in the order in which they became that; some may be cleared by now.
-    order: VecDeque<Fingerprint>,
-    cleared: HashSet<Fingerprint>,
-    cleared_before: HashSet<Fingerprint>,
+    /// The suspects in the order in which they were added. May include requests that are no longer suspects.
+    suspects_by_age: VecDeque<Fingerprint>,
+    /// The current generation of answered requests.
+    answered: HashSet<Fingerprint>,
+    /// The generation before.
+    previously_answered: HashSet<Fingerprint>,
 }
 
 impl Quarantine {
     pub fn status(&self, request: Fingerprint) -> QuarantineStatus {
         match self.suspects.get(&request).map(BTreeSet::len) {
             None => QuarantineStatus::Clear,
-            Some(ends) if ends < ENDS_MAX => QuarantineStatus::Suspect,
+            Some(crashes) if crashes < CRASHES_MAX => QuarantineStatus::Suspect,
             Some(_) => QuarantineStatus::Quarantined,
         }
     }
 
-    /// An upstream has answered the request.
+    /// Records that an upstream has answered the request, which clears it of suspicion.
     pub fn record_answer(&mut self, request: Fingerprint) {
         self.suspects.remove(&request);
-        if self.cleared.len() >= CLEARED_MAX {
-            self.cleared_before = std::mem::take(&mut self.cleared);
+        if self.answered.len() >= ANSWERED_MAX {
+            self.previously_answered = std::mem::take(&mut self.answered);
         }
-        self.cleared.insert(request);
+        self.answered.insert(request);
     }
 
-    /// Those of the requests that no upstream is known to have answered.
+    /// Returns the requests without those that are stored as answered.
     pub fn exclude_answered(&self, mut requests: Vec<Fingerprint>) -> Vec<Fingerprint> {
-        requests.retain(|it| !self.is_cleared(*it));
+        requests.retain(|it| !self.is_answered(*it));
         requests
     }
 
-    /// An upstream has ended under one of these requests. Returns those that are quarantined by that.
-    pub fn record_crash(&mut self, end: CrashId, at_work: &[Fingerprint]) -> Vec<Fingerprint> {
+    /// Records that an upstream crashed with these requests in flight. Returns the requests that this crash puts into
+    /// quarantine.
+    pub fn record_crash(&mut self, crash: CrashId, in_flight: &[Fingerprint]) -> Vec<Fingerprint> {
         let mut quarantined = Vec::new();
-        for request in self.exclude_answered(at_work.to_vec()) {
-            let ends = self.suspects.entry(request).or_default();
-            if ends.is_empty() {
-                self.order.push_back(request);
+        for request in self.exclude_answered(in_flight.to_vec()) {
+            let crashes = self.suspects.entry(request).or_default();
+            if crashes.is_empty() {
+                self.suspects_by_age.push_back(request);
             }
-            if ends.insert(end) && ends.len() == ENDS_MAX {
+            if crashes.insert(crash) && crashes.len() == CRASHES_MAX {
                 quarantined.push(request);
             }
         }
-        while self.order.len() > SUSPECTS_MAX {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.suspects_by_age.len() > SUSPECTS_MAX {
+            if let Some(oldest) = self.suspects_by_age.pop_front() {
                 self.suspects.remove(&oldest);
             }
         }
         quarantined
     }
 
-    fn is_cleared(&self, request: Fingerprint) -> bool {
-        self.cleared.contains(&request) || self.cleared_before.contains(&request)
+    fn is_answered(&self, request: Fingerprint) -> bool {
+        self.answered.contains(&request) || self.previously_answered.contains(&request)
     }
 }
--- a/crates/traffic/src/quarantine/tests.rs
+++ b/crates/traffic/src/quarantine/tests.rs
@@ -51,10 +51,10 @@
     fn what_is_never_answered_is_quarantined(ends: Vec<Vec<u8>>, answers: Vec<u8>) -> bool {
         let mut table = Quarantine::default();
         let mut answers = answers.into_iter();
-        for (number, at_work) in ends.iter().enumerate() {
-            let mut at_work: Vec<_> = at_work.iter().map(|it| Fingerprint(u64::from(*it) + 10)).collect();
-            at_work.push(HARMFUL);
-            table.record_crash(CrashId(number as u64), &at_work);
+        for (number, in_flight) in ends.iter().enumerate() {
+            let mut in_flight: Vec<_> = in_flight.iter().map(|it| Fingerprint(u64::from(*it) + 10)).collect();
+            in_flight.push(HARMFUL);
+            table.record_crash(CrashId(number as u64), &in_flight);
             answers.next().into_iter().for_each(|it| table.record_answer(Fingerprint(u64::from(it) + 10)));
         }
         ends.len() < 2 || table.status(HARMFUL) == QuarantineStatus::Quarantined
