--- a/crates/traffic/src/warmup/mod.rs
+++ b/crates/traffic/src/warmup/mod.rs
@@ -1,8 +1,8 @@
-//! How much an upstream is given while it is cold.
+//! The limit on the request rate of a cold upstream.
 //!
-//! The load that this answers: an upstream that has just started, or whose zone has just been opened
-//! again, bears a fraction of its usual rate, and falls over beyond it. All callers reach it through the
-//! one gate beside it, so a limit there holds for all of them together.
+//! An upstream that has just started, or whose zone has just been reopened, handles a fraction of its usual
+//! rate and fails beyond that. All callers reach an upstream through the gate on its own instance, so a limit
+//! at that gate holds for all callers together.
 
 #[cfg(test)]
 mod tests;
@@ -15,83 +15,89 @@
 
 use model::Timestamp;
 
-/// Starts are spread over so many windows a second, each with an equal part of the rate: a burst at the start
-/// of a second would make all that come after it wait for the next one.
+/// The number of windows into which a second is divided, each with an equal share of the rate. With one window
+/// per second, a burst at its start would make all later requests wait for the next second.
 const WINDOWS_PER_S: std::ops::RangeInclusive<u32> = 3..=8;
 
-/// Rates between these are kept to, in requests a second; a higher one is none that slots would allow.
-const RATE_MIN: f64 = 0.001;
-const RATE_MAX: f64 = 10_000.0;
+/// The lowest rate, in requests per second. Lower rates are raised to it.
+const RATE_MIN_PER_S: f64 = 0.001;
+/// The highest rate, in requests per second. A higher one is no limit, since the slots allow less.
+const RATE_MAX_PER_S: f64 = 10_000.0;
 
-/// The starts that one upstream is given, over all its queues and connections.
+/// The rate limit of one upstream, over all its queues and connections.
 #[derive(Debug)]
 pub struct Warmup {
-    /// None: it bears all that its slots take, also while it is cold.
+    /// The limit while the upstream is cold. `None` if only its slots limit it.
     limit: Option<Limit>,
-    coldness: Coldness,
-    /// The last starts, oldest first; no more than one window allows.
+    cold_state: ColdState,
+    /// The times of the last starts, oldest first; at most as many as one window allows.
     starts: VecDeque<Timestamp>,
 }
 
-/// No more than so many starts in any window.
+/// The most starts in any window of the given length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Limit {
     starts: usize,
     window: Duration,
 }
 
-/// What is known of the upstream.
+/// The announced state of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Coldness {
-    /// It has not said whether it is cold, so it counts as cold until it has been heard so often.
-    Unknown { unheard: u32 },
-    /// It has said for how long it stays cold; a time that has passed: it is warm.
+enum ColdState {
+    /// The upstream counts as cold until it has announced this many times that it is warm, or until when it stays
+    /// cold.
+    Unknown { announcements_needed: u32 },
+    /// The upstream has announced until when it stays cold. It is warm if that time has passed.
     Until(Timestamp),
 }
 
 impl Warmup {
-    /// An upstream that nothing is known of. What it was given before `now` is not known either, so a
-    /// cold one gets nothing for the first window.
+    /// Creates the limit for an upstream in unknown state. Requests that it got before `now` are unknown too, so a
+    /// cold upstream gets none during the first window.
     pub fn new(now: Timestamp) -> Warmup {
         let starts = VecDeque::from([now]);
-        Warmup { limit: None, coldness: Coldness::Unknown { unheard: 1 }, starts }
+        Warmup { limit: None, cold_state: ColdState::Unknown { announcements_needed: 1 }, starts }
     }
 
-    /// Sets how many requests a second it bears while it is cold; none: there is no limit.
+    /// Sets the rate while the upstream is cold, in requests per second. `None`, or a rate out of range, removes the
+    /// limit.
     pub fn set_limit(&mut self, per_s: Option<f64>) {
-        let kept_to = per_s.filter(|it| *it > 0.0 && *it <= RATE_MAX);
-        let limit = kept_to.map(|it| Limit::new(it.max(RATE_MIN)));
+        let valid = per_s.filter(|it| *it > 0.0 && *it <= RATE_MAX_PER_S);
+        let limit = valid.map(|it| Limit::new(it.max(RATE_MIN_PER_S)));
         if let (Some(limit), Some(last)) = (limit, self.starts.back().copied()) {
-            // Only as many were kept as the former limit needed.
+            // The previous limit may have needed fewer starts. Missing ones count as the last start.
             self.starts.resize(limit.starts.max(self.starts.len()), last);
         }
         self.limit = limit;
     }
 
-    /// The upstream has said for how much longer it stays cold.
+    /// Records the upstream's announcement of how much longer it stays cold; zero if it is warm.
     pub fn set_cold_period(&mut self, now: Timestamp, cold_for: Duration) {
-        self.coldness = match self.coldness {
-            Coldness::Unknown { unheard } if unheard > 1 && cold_for.is_zero() => {
-                Coldness::Unknown { unheard: unheard - 1 }
+        self.cold_state = match self.cold_state {
+            ColdState::Unknown { announcements_needed }
+                if announcements_needed > 1 && cold_for.is_zero() =>
+            {
+                ColdState::Unknown { announcements_needed: announcements_needed - 1 }
             }
-            _ => Coldness::Until(now + cold_for),
+            _ => ColdState::Until(now + cold_for),
         };
     }
 
-    /// It may have turned cold since it was last heard. Only the second that it says from now on is sure to
-    /// have been said after this: one may be on its way.
+    /// Marks the state as unknown, because the upstream may have turned cold. It takes two announcements to count as
+    /// warm again, since the first one may have been sent before this call.
     pub fn invalidate(&mut self) {
-        self.coldness = Coldness::Unknown { unheard: 2 };
+        self.cold_state = ColdState::Unknown { announcements_needed: 2 };
     }
 
+    /// Returns whether the upstream is cold, or its state is unknown.
     pub fn is_cold(&self, now: Timestamp) -> bool {
-        match self.coldness {
-            Coldness::Unknown { .. } => true,
-            Coldness::Until(until) => now < until,
+        match self.cold_state {
+            ColdState::Unknown { .. } => true,
+            ColdState::Until(until) => now < until,
         }
     }
 
-    /// When it may be given the next request; none: at once.
+    /// Returns when the next request may start. `None` if it may start now.
     pub fn next_start(&self, now: Timestamp) -> Option<Timestamp> {
         let limit = self.limit.filter(|_| self.is_cold(now))?;
         let first_of_window = self.starts.len().checked_sub(limit.starts)?;
@@ -99,16 +105,16 @@
         (at > now).then_some(at)
     }
 
-    /// Counts a request that is given to it, cold or not: it may turn cold within the same second.
+    /// Counts the start of a request. Starts at a warm upstream count too, since it may turn cold within the window.
     pub fn start(&mut self, now: Timestamp) {
-        let kept = self.limit.map_or(1, |it| it.starts);
+        let retained = self.limit.map_or(1, |it| it.starts);
         self.starts.push_back(now);
-        while self.starts.len() > kept {
+        while self.starts.len() > retained {
             self.starts.pop_front();
         }
     }
 
-    /// The time between two starts, while there is a limit on them.
+    /// Returns the average time between two starts. `None` if starts are not limited.
     pub fn start_interval(&self, now: Timestamp) -> Option<Duration> {
         let limit = self.limit.filter(|_| self.is_cold(now))?;
         Some(limit.window.div_f64(limit.starts as f64))
@@ -116,12 +122,13 @@
 }
 
 impl Limit {
-    /// Windows that fill a second keep the rate in any second, wherever it begins; each is rounded up.
+    /// Creates a limit for a rate in requests per second. The windows divide a second, so the rate holds in any
+    /// second, wherever it begins; each window is rounded up.
     fn new(per_s: f64) -> Limit {
         const ROUNDING: Duration = Duration::from_nanos(1);
         let starts = |windows: u32| (per_s / f64::from(windows)).floor() as usize;
-        let all = |windows: &u32| *windows as usize * starts(*windows);
-        match WINDOWS_PER_S.max_by_key(all).map(|it| (it, starts(it))) {
+        let total_starts = |windows: &u32| *windows as usize * starts(*windows);
+        match WINDOWS_PER_S.max_by_key(total_starts).map(|it| (it, starts(it))) {
             Some((windows, starts)) if starts > 0 => {
                 Limit { starts, window: Duration::from_secs(1) / windows + ROUNDING }
             }
@@ -130,7 +137,7 @@
     }
 }
 
-/// The warm-up of one life of an upstream, shared by all queues that lead to it.
+/// The rate limit of one incarnation of an upstream, shared by all its queues.
 #[derive(Debug, Clone)]
 pub struct SharedWarmup(Arc<Mutex<Warmup>>);
 
