--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions on requests: admission, retries, at-most-once records, selection. No I/O.
+//! Decisions on requests: admission, retries, at-most-once records, target selection, quarantine. No I/O.
 //!
-//! Invariant of the architecture: no clock, no threads, no ambient randomness. Each part is a
-//! table that takes the time and, where it draws lots, the caller's seeded generator.
+//! Invariant of the architecture: no clock, no threads, no global random generator. Each part is a state machine that
+//! gets the current time and, for random choices, a seeded generator from its caller.
 
 mod admission;
 mod quarantine;
--- a/crates/traffic/src/sketch/mod.rs
+++ b/crates/traffic/src/sketch/mod.rs
@@ -1,4 +1,4 @@
-//! The heaviest slots or keys in bounded memory: a decaying space-saving sketch.
+//! Estimates the heaviest slots or keys in bounded memory, with a space-saving sketch whose weights decay.
 
 #[cfg(test)]
 mod tests;
@@ -8,7 +8,7 @@
     hash::Hash,
 };
 
-/// One heavy entry. The true weight lies between `weight - error` and `weight`.
+/// One of the heaviest keys. Its true weight lies between `weight - error` and `weight`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeavyHitter<K> {
     pub key: K,
@@ -22,7 +22,7 @@
     error: u64,
 }
 
-/// Counts at most `capacity` keys; every key above `total / capacity` is among them.
+/// A sketch of at most `capacity` keys, which include every key whose weight is above `total / capacity`.
 #[derive(Debug, Clone)]
 pub struct Sketch<K> {
     capacity: usize,
@@ -33,11 +33,12 @@
 
 impl<K: Copy + Ord + Hash> Sketch<K> {
     pub fn new(capacity: usize) -> Sketch<K> {
-        assert!(capacity > 0, "a sketch counts at least one key");
+        assert!(capacity > 0, "a sketch needs room for at least one key");
         Sketch { capacity, counts: HashMap::new(), by_weight: BTreeSet::new(), total: 0 }
     }
 
-    /// Adds weight to a key. A key that is not counted takes the place of the lightest.
+    /// Adds weight to a key. In a full sketch, a key that is not counted replaces the lightest one and takes over its
+    /// weight as possible error.
     pub fn add(&mut self, key: K, weight: u64) {
         self.total += weight;
         let former = match self.counts.get(&key) {
@@ -47,7 +48,8 @@
             }
             None if self.counts.len() < self.capacity => Count { weight: 0, error: 0 },
             None => {
-                let (lightest, evicted) = self.by_weight.pop_first().expect("a full sketch");
+                let (lightest, evicted) =
+                    self.by_weight.pop_first().expect("a full sketch has a lightest key");
                 self.counts.remove(&evicted);
                 Count { weight: lightest, error: lightest }
             }
@@ -55,12 +57,12 @@
         let count = Count { weight: former.weight + weight, error: former.error };
         self.counts.insert(key, count);
         self.by_weight.insert((count.weight, key));
-        assert!(self.counts.len() <= self.capacity, "the sketch outgrew its capacity");
+        assert!(self.counts.len() <= self.capacity, "the sketch has more keys than its capacity");
     }
 
-    /// Multiplies all weights by `factor` (0 to 1) and drops what has come to nothing.
+    /// Multiplies all weights by `factor` (0 to 1), and removes keys whose weight becomes 0.
     pub fn decay(&mut self, factor: f64) {
-        assert!((0.0..=1.0).contains(&factor), "decay makes nothing heavier");
+        assert!((0.0..=1.0).contains(&factor), "the factor of a decay must be between 0 and 1");
         let scale = |it: u64| (it as f64 * factor) as u64;
         self.total = scale(self.total);
         for count in self.counts.values_mut() {
@@ -71,7 +73,7 @@
         self.by_weight = self.counts.iter().map(|(key, it)| (it.weight, *key)).collect();
     }
 
-    /// The heaviest keys first, at most `len`.
+    /// Returns the heaviest keys, at most `len`, by descending weight.
     pub fn heaviest(&self, len: usize) -> Vec<HeavyHitter<K>> {
         let heavy = |&(weight, key): &(u64, K)| {
             let error = self.counts[&key].error;
@@ -80,7 +82,7 @@
         self.by_weight.iter().rev().take(len).map(heavy).collect()
     }
 
-    /// All weight added, decayed alike.
+    /// Returns the sum of all added weights, with the same decay.
     pub fn total(&self) -> u64 {
         self.total
     }
--- a/crates/traffic/src/smoothed.rs
+++ b/crates/traffic/src/smoothed.rs
@@ -1,13 +1,13 @@
-//! A smoothed mean with its spread, as TCP keeps for round-trip times.
+//! An exponentially weighted mean and deviation, as TCP computes them for round-trip times.
 
 use std::time::Duration;
 
-/// Share of a new sample in the mean.
+/// The weight of a new sample in the mean.
 const MEAN_GAIN: f64 = 1.0 / 8.0;
-/// Share of a new sample in the spread.
+/// The weight of a new sample in the deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// Exponentially weighted mean and mean absolute deviation of a duration.
+/// The exponentially weighted mean and mean absolute deviation of a duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SmoothedDuration {
     mean_s: f64,
@@ -16,9 +16,9 @@
 }
 
 impl SmoothedDuration {
-    /// Starts from a guess, which the first sample replaces.
-    pub fn new(guess: Duration) -> SmoothedDuration {
-        let mean_s = guess.as_secs_f64();
+    /// Starts from an initial value, which the first sample replaces.
+    pub fn new(initial: Duration) -> SmoothedDuration {
+        let mean_s = initial.as_secs_f64();
         SmoothedDuration { mean_s, deviation_s: mean_s / 2.0, samples: 0 }
     }
 
@@ -43,12 +43,12 @@
         Duration::from_secs_f64(self.deviation_s)
     }
 
-    /// The mean and `deviations` times the spread: what few samples exceed.
+    /// Returns the mean plus `deviations` times the mean deviation: a value that few samples exceed.
     pub fn upper_bound(&self, deviations: f64) -> Duration {
         Duration::from_secs_f64(self.mean_s + deviations * self.deviation_s)
     }
 
-    /// How many samples have been taken.
+    /// Returns the number of samples.
     pub fn samples(&self) -> u64 {
         self.samples
     }
--- a/crates/traffic/src/split/mod.rs
+++ b/crates/traffic/src/split/mod.rs
@@ -1,50 +1,52 @@
-//! Spreading the requests of a route over services by weight.
+//! Distribution of the requests of a route over services by weight.
 //!
-//! Each agent keeps to the weights by itself, over any dozen requests: the parts of a fleet need not
-//! know of each other, and chance adds nothing to the shares of a route with few requests.
+//! Each agent follows the weights by itself, over any dozen requests. So agents need no coordination, and
+//! the shares are exact even for a route with few requests, where random choices would deviate.
 
 #[cfg(test)]
 mod tests;
 
 use rand::{Rng, RngExt};
 
-/// Takes turns between parts in proportion to their weights, spread as evenly as they can be.
+/// Chooses among services in proportion to their weights, with the choices of each spread evenly (smooth
+/// weighted round-robin).
 #[derive(Debug, Clone)]
 pub struct WeightedRoundRobin {
     weights: Vec<u32>,
-    /// What each part is owed; the sum is 0.
-    owed: Vec<i64>,
+    /// The credit of each service: it grows by the weight with each choice, and the chosen service pays the total.
+    /// The sum is 0.
+    credits: Vec<i64>,
 }
 
 impl WeightedRoundRobin {
-    /// Starts anywhere in the sequence, so that agents that start together do not all begin with the
-    /// same part.
+    /// Starts at a random point of the sequence, so that agents that start together don't all begin with the same
+    /// service.
     pub fn new(weights: impl Into<Vec<u32>>, rng: &mut impl Rng) -> WeightedRoundRobin {
         let weights = weights.into();
-        let owed = vec![0; weights.len()];
-        let mut turns = WeightedRoundRobin { weights, owed };
-        let total = turns.total();
+        let credits = vec![0; weights.len()];
+        let mut robin = WeightedRoundRobin { weights, credits };
+        let total = robin.total();
         for _ in 0..rng.random_range(0..total.clamp(1, 1000)) {
-            turns.next_index();
+            robin.next_index();
         }
-        turns
+        robin
     }
 
     pub fn weights(&self) -> &[u32] {
         &self.weights
     }
 
-    /// The index of the next part; none where no part has any weight.
+    /// Returns the index of the next service. `None` if all weights are 0.
     pub fn next_index(&mut self) -> Option<usize> {
         let total = self.total();
         if total == 0 {
             return None;
         }
-        for (owed, weight) in self.owed.iter_mut().zip(&self.weights) {
-            *owed += i64::from(*weight);
+        for (credit, weight) in self.credits.iter_mut().zip(&self.weights) {
+            *credit += i64::from(*weight);
         }
-        let next = (0..self.owed.len()).max_by_key(|it| (self.owed[*it], usize::MAX - it))?;
-        self.owed[next] -= total;
+        let next = (0..self.credits.len()).max_by_key(|it| (self.credits[*it], usize::MAX - it))?;
+        self.credits[next] -= total;
         Some(next)
     }
 
