--- a/crates/traffic/src/selection/mod.rs
+++ b/crates/traffic/src/selection/mod.rs
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PickedTarget {
     pub instance: Instance,
-    /// `None` if no gate reported its load, so that the target was picked by two random choices.
+    /// `None` if there was only one possible target, or no gate reported its load.
     pub comparison: Option<TargetComparison>,
 }
 
--- a/crates/traffic/src/split/mod.rs
+++ b/crates/traffic/src/split/mod.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, RngExt};
 
 /// Chooses among services in proportion to their weights, with the choices of each spread evenly (smooth
-/// weighted round-robin).
+/// weighted round-schedule).
 #[derive(Debug, Clone)]
 pub struct WeightedRoundRobin {
     weights: Vec<u32>,
@@ -24,12 +24,12 @@
     pub fn new(weights: impl Into<Vec<u32>>, rng: &mut impl Rng) -> WeightedRoundRobin {
         let weights = weights.into();
         let credits = vec![0; weights.len()];
-        let mut robin = WeightedRoundRobin { weights, credits };
-        let total = robin.total();
+        let mut schedule = WeightedRoundRobin { weights, credits };
+        let total = schedule.total();
         for _ in 0..rng.random_range(0..total.clamp(1, 1000)) {
-            robin.next_index();
+            schedule.next_index();
         }
-        robin
+        schedule
     }
 
     pub fn weights(&self) -> &[u32] {
--- a/crates/traffic/src/warmup/mod.rs
+++ b/crates/traffic/src/warmup/mod.rs
@@ -44,8 +44,8 @@
 /// The announced state of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ColdState {
-    /// The upstream counts as cold until it has announced this many times that it is warm, or until when it stays
-    /// cold.
+    /// The state is unknown. The upstream counts as cold until it announces this many times that it is warm, or once
+    /// for how long it stays cold.
     Unknown { announcements_needed: u32 },
     /// The upstream has announced until when it stays cold. It is warm if that time has passed.
     Until(Timestamp),
@@ -59,8 +59,8 @@
         Warmup { limit: None, cold_state: ColdState::Unknown { announcements_needed: 1 }, starts }
     }
 
-    /// Sets the rate while the upstream is cold, in requests per second. `None`, or a rate out of range, removes the
-    /// limit.
+    /// Sets the rate while the upstream is cold, in requests per second. `None`, a rate that is not above 0, and
+    /// one above [`RATE_MAX_PER_S`] remove the limit.
     pub fn set_limit(&mut self, per_s: Option<f64>) {
         let valid = per_s.filter(|it| *it > 0.0 && *it <= RATE_MAX_PER_S);
         let limit = valid.map(|it| Limit::new(it.max(RATE_MIN_PER_S)));
