--- a/crates/traffic/src/quarantine/tests.rs
+++ b/crates/traffic/src/quarantine/tests.rs
@@ -1,62 +1,63 @@
-//! Tests of suspicion.
+//! Tests of the quarantine.
 
 use model::Fingerprint;
 use quickcheck::quickcheck;
 
 use super::{CrashId, Quarantine, QuarantineStatus, SUSPECTS_MAX};
 
-const HARMFUL: Fingerprint = Fingerprint(1);
-const SOUND: Fingerprint = Fingerprint(2);
-const FRESH: Fingerprint = Fingerprint(3);
+const CRASHING: Fingerprint = Fingerprint(1);
+const HARMLESS: Fingerprint = Fingerprint(2);
+const OTHER: Fingerprint = Fingerprint(3);
 
 #[test]
-fn the_second_end_quarantines_and_a_report_heard_twice_counts_once() {
+fn the_second_crash_quarantines_and_a_duplicate_report_counts_once() {
     let mut table = Quarantine::default();
-    assert_eq!(table.status(HARMFUL), QuarantineStatus::Clear);
-    assert_eq!(table.record_crash(CrashId(1), &[HARMFUL]), []);
-    assert_eq!(table.record_crash(CrashId(1), &[HARMFUL]), []);
-    assert_eq!(table.status(HARMFUL), QuarantineStatus::Suspect);
-    assert_eq!(table.record_crash(CrashId(2), &[HARMFUL]), [HARMFUL]);
-    assert_eq!(table.status(HARMFUL), QuarantineStatus::Quarantined);
-    assert_eq!(table.record_crash(CrashId(3), &[HARMFUL]), []);
+    assert_eq!(table.status(CRASHING), QuarantineStatus::Clear);
+    assert_eq!(table.record_crash(CrashId(1), &[CRASHING]), []);
+    assert_eq!(table.record_crash(CrashId(1), &[CRASHING]), []);
+    assert_eq!(table.status(CRASHING), QuarantineStatus::Suspect);
+    assert_eq!(table.record_crash(CrashId(2), &[CRASHING]), [CRASHING]);
+    assert_eq!(table.status(CRASHING), QuarantineStatus::Quarantined);
+    assert_eq!(table.record_crash(CrashId(3), &[CRASHING]), []);
 }
 
 #[test]
-fn a_request_that_was_answered_is_no_suspect_and_a_suspect_is_cleared_by_an_answer() {
+fn an_answer_prevents_and_clears_suspicion() {
     let mut table = Quarantine::default();
-    table.record_answer(SOUND);
-    assert_eq!(table.exclude_answered(vec![HARMFUL, SOUND, FRESH]), [HARMFUL, FRESH]);
-    table.record_crash(CrashId(1), &[HARMFUL, SOUND, FRESH]);
+    table.record_answer(HARMLESS);
+    assert_eq!(table.exclude_answered(vec![CRASHING, HARMLESS, OTHER]), [CRASHING, OTHER]);
+    table.record_crash(CrashId(1), &[CRASHING, HARMLESS, OTHER]);
     assert_eq!(
-        table.status(SOUND),
+        table.status(HARMLESS),
         QuarantineStatus::Clear,
-        "another agent may not know of its answer"
+        "an agent without the answer may report the request"
     );
-    table.record_answer(FRESH);
-    assert_eq!(table.status(FRESH), QuarantineStatus::Clear);
+    table.record_answer(OTHER);
+    assert_eq!(table.status(OTHER), QuarantineStatus::Clear);
 }
 
 #[test]
-fn the_oldest_suspects_are_forgotten() {
+fn the_oldest_suspects_are_evicted() {
     let mut table = Quarantine::default();
-    table.record_crash(CrashId(1), &[HARMFUL]);
+    table.record_crash(CrashId(1), &[CRASHING]);
     let many: Vec<Fingerprint> = (10..10 + SUSPECTS_MAX as u64).map(Fingerprint).collect();
     table.record_crash(CrashId(2), &many);
-    assert_eq!(table.status(HARMFUL), QuarantineStatus::Clear);
+    assert_eq!(table.status(CRASHING), QuarantineStatus::Clear);
     assert_eq!(table.status(many[0]), QuarantineStatus::Suspect);
 }
 
 quickcheck! {
-    /// Whatever is answered in between: what is never answered is quarantined with its second end.
-    fn what_is_never_answered_is_quarantined(ends: Vec<Vec<u8>>, answers: Vec<u8>) -> bool {
+    /// A request that is never answered is quarantined after its second crash, whichever other requests are answered in
+    /// between.
+    fn a_request_that_is_never_answered_is_quarantined(crashes: Vec<Vec<u8>>, answers: Vec<u8>) -> bool {
         let mut table = Quarantine::default();
         let mut answers = answers.into_iter();
-        for (number, in_flight) in ends.iter().enumerate() {
+        for (number, in_flight) in crashes.iter().enumerate() {
             let mut in_flight: Vec<_> = in_flight.iter().map(|it| Fingerprint(u64::from(*it) + 10)).collect();
-            in_flight.push(HARMFUL);
+            in_flight.push(CRASHING);
             table.record_crash(CrashId(number as u64), &in_flight);
             answers.next().into_iter().for_each(|it| table.record_answer(Fingerprint(u64::from(it) + 10)));
         }
-        ends.len() < 2 || table.status(HARMFUL) == QuarantineStatus::Quarantined
+        crashes.len() < 2 || table.status(CRASHING) == QuarantineStatus::Quarantined
     }
 }
--- a/crates/traffic/src/sketch/tests.rs
+++ b/crates/traffic/src/sketch/tests.rs
@@ -5,7 +5,7 @@
 use crate::{Sketch, tests::seeded};
 
 #[test]
-fn decay_forgets_what_has_gone_cold() {
+fn decay_removes_keys_whose_weight_becomes_zero() {
     let mut sketch = Sketch::new(4);
     sketch.add(1, 1000);
     sketch.add(2, 3);
@@ -16,15 +16,15 @@
     assert_eq!(sketch.total(), 650);
 }
 
-/// Weights are bounded on both sides, and no heavy key is missed.
+/// Compares the sketch with exact counts for random additions.
 #[test]
-fn bounds_hold() {
+fn true_weights_lie_within_the_bounds_and_no_heavy_key_is_missed() {
     fn property(adds: Vec<(u8, u8)>) -> bool {
         let capacity = 8;
         let mut sketch = Sketch::new(capacity);
         let mut truth: HashMap<u8, u64> = HashMap::new();
         for (key, weight) in adds {
-            // A skew, so that some keys are heavy.
+            // Skews the distribution, so that some keys are heavy.
             let key = key.leading_zeros() as u8 * 8 + key % 4;
             sketch.add(key, u64::from(weight));
             *truth.entry(key).or_default() += u64::from(weight);
