--- a/crates/traffic/src/admission/tests/mod.rs
+++ b/crates/traffic/src/admission/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of admission, in virtual time.
+//! Tests of admission control, in simulated time.
 
 mod cold;
 mod coming_back;
@@ -36,44 +36,44 @@
     }
 }
 
-/// One admission at a time that the test sets.
+/// An admission with a clock that the test sets.
 struct Fixture {
     admission: Admission,
     rng: Pcg64Mcg,
     now: Timestamp,
-    out: Vec<Decision>,
+    decisions: Vec<Decision>,
 }
 
 impl Fixture {
     fn new(config: AdmissionConfig) -> Fixture {
         let now = Timestamp::from_ms(1000);
         let admission = Admission::new(config, now);
-        Fixture { admission, rng: Pcg64Mcg::seed_from_u64(1), now, out: Vec::new() }
+        Fixture { admission, rng: Pcg64Mcg::seed_from_u64(1), now, decisions: Vec::new() }
     }
 
-    fn offer(&mut self, class: usize, left: Duration) -> Ticket {
+    fn offer(&mut self, class: usize, time_to_deadline: Duration) -> Ticket {
         let arrival = Arrival {
             class: ClassIndex(class),
             route: None,
-            deadline: self.now + left,
+            deadline: self.now + time_to_deadline,
             timeliness: Timeliness::InTime,
         };
-        self.admission.offer(self.now, arrival, &mut self.rng, &mut self.out)
+        self.admission.offer(self.now, arrival, &mut self.rng, &mut self.decisions)
     }
 
     fn finish(&mut self, ticket: Ticket) {
         let completion = Completion::Answered;
-        self.admission.finish(self.now, ticket, completion, &mut self.rng, &mut self.out);
+        self.admission.finish(self.now, ticket, completion, &mut self.rng, &mut self.decisions);
     }
 
     fn tick(&mut self) {
-        self.admission.tick(self.now, &mut self.rng, &mut self.out);
+        self.admission.tick(self.now, &mut self.rng, &mut self.decisions);
     }
 
     fn verdict(&self, ticket: Ticket) -> Option<Verdict> {
-        let of_ticket = self.out.iter().filter(|it| it.ticket == ticket);
+        let of_ticket = self.decisions.iter().filter(|it| it.ticket == ticket);
         let verdicts: Vec<_> = of_ticket.map(|it| it.verdict).collect();
-        assert!(verdicts.len() <= 1, "{ticket:?} got {verdicts:?}");
+        assert!(verdicts.len() <= 1, "{ticket:?} got more than one verdict: {verdicts:?}");
         verdicts.first().copied()
     }
 }
@@ -91,30 +91,30 @@
 }
 
 #[test]
-fn what_can_no_longer_finish_is_refused_at_once() {
+fn a_request_that_can_no_longer_finish_is_refused_at_once() {
     let mut it = Fixture::new(config(1, &[1.0]));
     it.offer(0, ms(900));
     let waiting = it.offer(0, ms(100));
     let wakeup = it.admission.next_wakeup(it.now).unwrap();
-    assert!(wakeup < it.now + ms(100), "the answer is not held back until the deadline");
+    assert!(wakeup < it.now + ms(100), "the request must be refused before its deadline");
     it.now = wakeup;
     it.tick();
     let Some(Verdict::Shed { reason, retry_after }) = it.verdict(waiting) else {
-        panic!("{:?}", it.verdict(waiting));
+        panic!("expected the request to be shed, got {:?}", it.verdict(waiting));
     };
     assert_eq!(reason, NotRunReason::Overloaded);
     assert!(retry_after >= ms(50));
 }
 
 #[test]
-fn a_deadline_that_has_passed_is_expired() {
+fn a_request_with_a_passed_deadline_is_expired() {
     let mut it = Fixture::new(config(1, &[1.0]));
     let ticket = it.offer(0, Duration::ZERO);
     assert_eq!(it.verdict(ticket), Some(Verdict::Expired));
 }
 
 #[test]
-fn a_cancelled_request_frees_its_place() {
+fn a_cancelled_request_leaves_the_queue() {
     let mut it = Fixture::new(AdmissionConfig { queue_len_max: 1, ..config(1, &[1.0]) });
     let running = it.offer(0, ms(900));
     let first = it.offer(0, ms(900));
@@ -132,7 +132,7 @@
     let mut it = Fixture::new(config(1, &[1.0]));
     let running = it.offer(0, ms(900));
     let waiting = it.offer(0, ms(900));
-    it.admission.drain(it.now, &mut it.rng, &mut it.out);
+    it.admission.drain(it.now, &mut it.rng, &mut it.decisions);
     let late = it.offer(0, ms(900));
     it.finish(running);
     for ticket in [waiting, late] {
@@ -160,19 +160,24 @@
 }
 
 #[test]
-fn a_crowd_in_one_class_leaves_room_for_another() {
+fn an_overloaded_class_leaves_queue_room_for_another() {
     let mut it = Fixture::new(AdmissionConfig { queue_len_max: 10, ..config(1, &[1.0, 1.0]) });
     for _ in 0..30 {
         it.offer(0, ms(900));
     }
     let other = it.offer(1, ms(900));
-    assert_eq!(it.verdict(other), None, "the crowd's last gives way");
+    assert_eq!(
+        it.verdict(other),
+        None,
+        "the last request of the overloaded class is refused instead"
+    );
     assert_eq!(it.admission.queued(), 10);
 }
 
-/// Every ticket gets one end, whatever the order of events; the asserts inside hold.
+/// Each ticket gets exactly one decision or is cancelled, in any order of events. The admission checks its own
+/// invariants after each of them.
 #[test]
-fn every_ticket_ends_once() {
+fn every_ticket_gets_one_decision() {
     fn property(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let config = AdmissionConfig { queue_len_max: 8, ..config(3, &[1.0, 4.0]) };
@@ -198,10 +203,10 @@
                 _ => it.tick(),
             }
         }
-        it.admission.drain(it.now, &mut it.rng, &mut it.out);
-        let ended = (0..it.out.len())
-            .filter(|index| cancelled.iter().all(|ticket| it.out[*index].ticket != *ticket));
-        ended.count() == it.out.len()
+        it.admission.drain(it.now, &mut it.rng, &mut it.decisions);
+        let ended = (0..it.decisions.len())
+            .filter(|index| cancelled.iter().all(|ticket| it.decisions[*index].ticket != *ticket));
+        ended.count() == it.decisions.len()
             && open.iter().all(|ticket| cancelled.contains(ticket) || it.verdict(*ticket).is_some())
     }
     seeded(property as fn(u64) -> bool);
--- a/crates/traffic/src/admission/tests/overload.rs
+++ b/crates/traffic/src/admission/tests/overload.rs
@@ -1,6 +1,5 @@
-//! Overload in virtual time: an upstream with random service times, and callers that come at
-//! random at a multiple of what it can serve. Requests that overrun their deadline are left to
-//! run, so that they cost what they cost.
+//! Simulates overload: an upstream with random service times, and random arrivals at a multiple of its
+//! capacity. Requests that exceed their deadline run to their end and occupy their slot until then.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -15,28 +14,28 @@
 };
 
 const SLOTS: usize = 12;
-const RUN: Duration = Duration::from_secs(10);
+const SIMULATED: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    /// Offered, over the upstream's capacity, for each class.
+    /// The offered load of each class, relative to the capacity of the upstream.
     factors: [f64; 2],
     deadline: Duration,
-    /// Exponential service times; else equal ones.
-    is_spread: bool,
-    /// Each with its share of the requests and its mean service time.
+    /// Whether service times are exponentially distributed rather than constant.
+    is_exponential: bool,
+    /// The routes, each with its share of the requests and its mean service time in ms.
     routes: &'static [(f64, f64)],
-    /// Whether the admission is told of routes.
-    is_told: bool,
+    /// Whether arrivals carry their route.
+    knows_routes: bool,
 }
 
 const ONE_ROUTE: &[(f64, f64)] = &[(1.0, 20.0)];
-/// Nine in ten take 5 ms, the others 100 ms.
+/// Nine in ten requests take 5 ms, the others 100 ms.
 const TWO_ROUTES: &[(f64, f64)] = &[(0.9, 5.0), (0.1, 100.0)];
 
 impl Load {
-    fn new(factors: [f64; 2], deadline: Duration, is_spread: bool) -> Load {
-        Load { factors, deadline, is_spread, routes: ONE_ROUTE, is_told: false }
+    fn new(factors: [f64; 2], deadline: Duration, is_exponential: bool) -> Load {
+        Load { factors, deadline, is_exponential, routes: ONE_ROUTE, knows_routes: false }
     }
 
     fn mean_s(&self) -> f64 {
@@ -45,11 +44,11 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Results {
     offered: [u64; 2],
-    good: [u64; 2],
+    in_time: [u64; 2],
     answered: u64,
-    /// Of those, after their deadline.
+    /// The number of answers after the deadline.
     late: u64,
 }
 
@@ -58,39 +57,43 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Arrived {
+struct ArrivedRequest {
     at: Timestamp,
     class: usize,
     mean_s: f64,
 }
 
-struct Run {
+struct Simulation {
     load: Load,
     rng: Pcg64Mcg,
     admission: Admission,
-    arrivals: Vec<Arrived>,
+    arrivals: Vec<ArrivedRequest>,
     ends: BinaryHeap<Reverse<(Timestamp, Ticket)>>,
-    seen: Seen,
+    results: Results,
 }
 
-impl Run {
-    fn new(load: Load, admission: AdmissionConfig, seed: u64) -> Run {
-        Run {
+impl Simulation {
+    fn new(load: Load, admission: AdmissionConfig, seed: u64) -> Simulation {
+        Simulation {
             load,
             rng: Pcg64Mcg::seed_from_u64(seed),
             admission: Admission::new(admission, Timestamp::ZERO),
             arrivals: Vec::new(),
             ends: BinaryHeap::new(),
-            seen: Seen::default(),
+            results: Results::default(),
         }
     }
 
-    fn step(&mut self, now: Timestamp, event: impl FnOnce(&mut Run, &mut Vec<crate::Decision>)) {
-        let mut out = Vec::new();
-        event(self, &mut out);
-        for it in out.iter().filter(|it| it.verdict == Verdict::Start) {
+    fn step(
+        &mut self,
+        now: Timestamp,
+        event: impl FnOnce(&mut Simulation, &mut Vec<crate::Decision>),
+    ) {
+        let mut decisions = Vec::new();
+        event(self, &mut decisions);
+        for it in decisions.iter().filter(|it| it.verdict == Verdict::Start) {
             let mean_s = self.arrivals[it.ticket.0 as usize].mean_s;
-            let service = match self.load.is_spread {
+            let service = match self.load.is_exponential {
                 true => exponential(&mut self.rng, mean_s),
                 false => Duration::from_secs_f64(mean_s),
             };
@@ -99,49 +102,49 @@
     }
 
     fn arrive(&mut self, now: Timestamp, class: usize) {
-        self.seen.offered[class] += 1;
+        self.results.offered[class] += 1;
         let route = self.draw_route();
         let mean_s = self.load.routes[route].1 / 1000.0;
-        // Tickets count up from 0, one for each arrival.
-        self.arrivals.push(Arrived { at: now, class, mean_s });
+        // Tickets are numbered from 0, so they are indexes into `arrivals`.
+        self.arrivals.push(ArrivedRequest { at: now, class, mean_s });
         let arrival = Arrival {
             class: ClassIndex(class),
-            route: self.load.is_told.then_some(RouteIndex(route)),
+            route: self.load.knows_routes.then_some(RouteIndex(route)),
             deadline: now + self.load.deadline,
             timeliness: Timeliness::InTime,
         };
-        self.step(now, |it, out| {
-            it.admission.offer(now, arrival, &mut it.rng, out);
+        self.step(now, |it, decisions| {
+            it.admission.offer(now, arrival, &mut it.rng, decisions);
         });
     }
 
     fn draw_route(&mut self) -> usize {
-        let mut left = self.rng.random_range(0.0..1.0);
+        let mut rest = self.rng.random_range(0.0..1.0);
         let routes = self.load.routes.iter();
-        let past = routes.take_while(|(share, _)| {
-            left -= share;
-            left >= 0.0
+        let skipped = routes.take_while(|(share, _)| {
+            rest -= share;
+            rest >= 0.0
         });
-        past.count().min(self.load.routes.len() - 1)
+        skipped.count().min(self.load.routes.len() - 1)
     }
 
     fn end(&mut self, now: Timestamp, ticket: Ticket) {
-        let Arrived { at, class, .. } = self.arrivals[ticket.0 as usize];
-        self.seen.answered += 1;
+        let ArrivedRequest { at, class, .. } = self.arrivals[ticket.0 as usize];
+        self.results.answered += 1;
         match now <= at + self.load.deadline {
-            true => self.seen.good[class] += 1,
-            false => self.seen.late += 1,
+            true => self.results.in_time[class] += 1,
+            false => self.results.late += 1,
         }
-        self.step(now, |it, out| {
-            it.admission.finish(now, ticket, Completion::Answered, &mut it.rng, out);
+        self.step(now, |it, decisions| {
+            it.admission.finish(now, ticket, Completion::Answered, &mut it.rng, decisions);
         });
     }
 
-    fn run(mut self) -> Seen {
+    fn simulate(mut self) -> Results {
         let capacity = SLOTS as f64 / self.load.mean_s();
         let mut next = [Timestamp::ZERO; 2];
         let mut now = Timestamp::ZERO;
-        while now.since(Timestamp::ZERO) < RUN {
+        while now.since(Timestamp::ZERO) < SIMULATED {
             let class = usize::from(next[1] < next[0]);
             let wakeup = self.admission.next_wakeup(now).unwrap_or(next[class]);
             let end = self.ends.peek().map_or(next[class], |it| it.0.0);
@@ -155,33 +158,33 @@
                 next[class] = now + gap;
                 self.arrive(now, class);
             } else {
-                self.step(now, |it, out| it.admission.tick(now, &mut it.rng, out));
+                self.step(now, |it, decisions| it.admission.tick(now, &mut it.rng, decisions));
             }
         }
-        self.seen
+        self.results
     }
 }
 
-fn run(load: Load, seed: u64) -> Seen {
-    Run::new(load, config(SLOTS, &[1.0, 1.0]), seed).run()
+fn simulate(load: Load, seed: u64) -> Results {
+    Simulation::new(load, config(SLOTS, &[1.0, 1.0]), seed).simulate()
 }
 
-fn check(deadline: Duration, is_spread: bool) {
+fn check(deadline: Duration, is_exponential: bool) {
     let at = |factor: f64| {
         let factors = [factor / 2.0, factor / 2.0];
-        run(Load::new(factors, deadline, is_spread), 7)
+        simulate(Load::new(factors, deadline, is_exponential), 7)
     };
-    let goodput = |it: &Seen| it.good[0] + it.good[1];
+    let goodput = |it: &Results| it.in_time[0] + it.in_time[1];
     let peak = [0.9, 1.0, 1.2, 2.0].map(|it| goodput(&at(it))).into_iter().max().unwrap();
-    let rush = at(3.0);
-    let share = goodput(&rush) as f64 / peak as f64;
-    let late = rush.late as f64 / rush.answered as f64;
-    assert!(share >= 0.9, "goodput fell to {share} of its peak at 3 times capacity");
+    let overload = at(3.0);
+    let share = goodput(&overload) as f64 / peak as f64;
+    let late = overload.late as f64 / overload.answered as f64;
+    assert!(share >= 0.9, "goodput fell to {share} of its peak at three times the capacity");
     assert!(late <= 0.01, "{late} of the answers came after their deadline");
 }
 
 #[test]
-fn goodput_holds_at_three_times_capacity() {
+fn goodput_holds_at_three_times_the_capacity() {
     check(ms(250), false);
     check(ms(150), true);
     check(ms(500), true);
@@ -191,26 +194,32 @@
 #[test]
 fn no_class_starves_another() {
     let load = Load::new([3.0, 0.4], ms(500), true);
-    let seen = run(load, 8);
-    let share = seen.good[1] as f64 / seen.offered[1] as f64;
-    assert!(share >= 0.95, "a class within its share got only {share} of what it asked");
+    let results = simulate(load, 8);
+    let share = results.in_time[1] as f64 / results.offered[1] as f64;
+    assert!(
+        share >= 0.95,
+        "a class within its share had only {share} of its requests answered in time"
+    );
     let load = Load::new([3.0, 3.0], ms(500), true);
     let admission = config(SLOTS, &[1.0, 3.0]);
-    let seen = Run::new(load, admission, 9).run();
-    let ratio = seen.good[1] as f64 / seen.good[0] as f64;
-    assert!((2.5..3.5).contains(&ratio), "shares of 1 and 3 came out as 1 and {ratio}");
+    let results = Simulation::new(load, admission, 9).simulate();
+    let ratio = results.in_time[1] as f64 / results.in_time[0] as f64;
+    assert!((2.5..3.5).contains(&ratio), "weights of 1 and 3 gave shares of 1 and {ratio}");
 }
 
-/// Where a class mixes cheap and dear routes, knowing them apart lets more requests through.
+/// In a class with short and long routes, separate estimates let more requests be answered in time.
 #[test]
-fn costs_by_route_answer_more_requests() {
-    for is_spread in [false, true] {
-        let good = |is_told| {
-            let load = Load::new([1.5, 1.5], ms(500), is_spread);
-            let seen = run(Load { routes: TWO_ROUTES, is_told, ..load }, 10);
-            (seen.good[0] + seen.good[1]) as f64
+fn estimates_by_route_answer_more_requests_in_time() {
+    for is_exponential in [false, true] {
+        let in_time = |knows_routes| {
+            let load = Load::new([1.5, 1.5], ms(500), is_exponential);
+            let results = simulate(Load { routes: TWO_ROUTES, knows_routes, ..load }, 10);
+            (results.in_time[0] + results.in_time[1]) as f64
         };
-        let gain = good(true) / good(false);
-        assert!(gain >= 1.2, "spread {is_spread}: only {gain} times as many");
+        let gain = in_time(true) / in_time(false);
+        assert!(
+            gain >= 1.2,
+            "exponential service times {is_exponential}: only {gain} times as many requests in time"
+        );
     }
 }
--- a/crates/traffic/src/warmup/tests.rs
+++ b/crates/traffic/src/warmup/tests.rs
@@ -43,7 +43,7 @@
     warmup.set_limit(Some(12.0));
     warmup.set_cold_period(at(0), SECOND * 60);
     let starts = start_greedily(&mut warmup, 0, 10_000);
-    assert!(starts_per_s_max(&starts) <= 12, "{}", starts_per_s_max(&starts));
+    assert!(starts_per_s_max(&starts) <= 12, "{} starts in a second", starts_per_s_max(&starts));
     assert!(starts.len() >= 115, "only {} of 120 starts", starts.len());
 }
 
