--- a/crates/traffic/src/records/tests.rs
+++ b/crates/traffic/src/records/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of records: an id is run at most once, whatever is evicted, handed over or lost.
+//! Tests of the at-most-once records: a request runs at most once, even if records are evicted, handed over or lost.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -56,25 +56,29 @@
 }
 
 #[test]
-fn what_did_not_run_may_run_again() {
+fn a_request_that_did_not_run_may_run_again() {
     let mut it = records(10_000);
     assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     it.discard(UNIT, RequestId(1));
-    assert_eq!(begin(&mut it, at(12_010), 1, ms(2000)), BeginResult::NoRecord, "within the margin");
+    assert_eq!(
+        begin(&mut it, at(12_010), 1, ms(2000)),
+        BeginResult::NoRecord,
+        "the request may be older than the table, within the age margin"
+    );
     assert_eq!(begin(&mut it, at(12_010), 1, ms(500)), BeginResult::Run);
 }
 
 #[test]
-fn an_unknown_end_stays_unknown() {
+fn an_unknown_outcome_stays_unknown() {
     let mut it = records(10_000);
     assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     it.finish_unknown(at(10_020), UNIT, RequestId(1), UnknownReason::ConnectionLost);
-    let seen = begin(&mut it, at(10_030), 1, ms(20));
-    assert_eq!(seen, BeginResult::Unknown(UnknownReason::ConnectionLost));
+    let result = begin(&mut it, at(10_030), 1, ms(20));
+    assert_eq!(result, BeginResult::Unknown(UnknownReason::ConnectionLost));
 }
 
 #[test]
-fn a_new_owner_after_a_loss_does_not_reach_back() {
+fn a_new_owner_without_records_refuses_requests_sent_before() {
     let mut it = records(10_000);
     assert_eq!(begin(&mut it, at(10_500), 1, ms(600)), BeginResult::NoRecord);
     assert_eq!(begin(&mut it, at(10_500), 2, Duration::ZERO), BeginResult::Run);
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn an_expired_record_leaves_no_gap() {
+fn an_expired_request_is_not_run_again() {
     let mut it = records(10_000);
     assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
     it.finish(at(10_020), UNIT, RequestId(1), text("first"));
@@ -114,22 +118,22 @@
     assert_eq!(
         begin(&mut it, at(80_000), 2, ms(60_000)),
         BeginResult::Run,
-        "sent after the one dropped"
+        "the request was first sent after the expired one"
     );
 }
 
 #[test]
-fn a_clock_that_has_just_started_does_not_make_old_ids_new() {
+fn imported_ids_older_than_the_clock_are_not_taken_for_new() {
     let mut it = records(10_000);
-    let handed = UnitRecords { complete_age: ms(3_600_000), records: Vec::new() };
-    it.import(at(50), RecordUnit::Slot(Slot(4)), handed);
+    let exported = UnitRecords { complete_age: ms(3_600_000), records: Vec::new() };
+    it.import(at(50), RecordUnit::Slot(Slot(4)), exported);
     let mut begin = |age| it.begin(at(60), RecordUnit::Slot(Slot(4)), KEY, RequestId(1), age);
     assert_eq!(begin(ms(7_200_000)), BeginResult::NoRecord);
     assert_eq!(begin(ms(1_800_000)), BeginResult::Run);
 }
 
 #[test]
-fn a_hot_key_takes_its_own_records_along() {
+fn records_of_a_hot_key_move_with_it() {
     let mut it = records(10_000);
     let (hot, cold) = (KeyHash(8), KeyHash(9));
     for (id, key) in [(1, hot), (2, cold)] {
@@ -139,54 +143,56 @@
         );
         it.finish(at(10_020), UNIT, RequestId(id), text("done"));
     }
-    let handed = it.export_key(at(10_030), UNIT, hot).unwrap();
-    assert_eq!(handed.records.len(), 1);
+    let exported = it.export_key(at(10_030), UNIT, hot).unwrap();
+    assert_eq!(exported.records.len(), 1);
     let unit = RecordUnit::Key(hot);
-    it.import(at(10_040), unit, handed);
+    it.import(at(10_040), unit, exported);
     assert_eq!(
         it.begin(at(10_050), unit, hot, RequestId(1), ms(40)),
         BeginResult::Replay(text("done"))
     );
-    let back = it.export(at(10_060), unit).unwrap();
-    it.import(at(10_070), UNIT, back);
+    let returned = it.export(at(10_060), unit).unwrap();
+    it.import(at(10_070), UNIT, returned);
     assert_eq!(it.len(UNIT), 2);
 }
 
-/// What happened to an id, as seen from outside.
+/// The history of a request id, as known to the test.
 #[derive(Debug, Clone, Copy)]
-struct Truth {
+struct RequestHistory {
     first_sent: Timestamp,
     has_run: bool,
 }
 
-/// Callers that resend, an owner with little memory, handovers and losses.
-fn run(seed: u64, bytes_max: usize, with_loss: bool) -> (u32, u32) {
+/// Simulates new requests and resends, evictions, handovers, and with `with_loss` also losses of all records. Returns
+/// the numbers of replayed and of refused requests.
+fn simulate(seed: u64, bytes_max: usize, with_loss: bool) -> (u32, u32) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut it = records(bytes_max);
-    let mut truths: HashMap<u128, Truth> = HashMap::new();
+    let mut histories: HashMap<u128, RequestHistory> = HashMap::new();
     let mut running: Vec<u128> = Vec::new();
     let mut now = at(10_000);
     let (mut replayed, mut refused) = (0, 0);
     for next_id in 0..400 {
         now = now + ms(rng.random_range(0..300));
-        let is_resend = !truths.is_empty() && rng.random_bool(0.5);
+        let is_resend = !histories.is_empty() && rng.random_bool(0.5);
         let id = if is_resend { rng.random_range(0..next_id) } else { next_id };
-        let truth = truths.entry(id).or_insert(Truth { first_sent: now, has_run: false });
-        // What the age falls short by: less than the margin.
-        let short = ms(rng.random_range(0..900));
+        let history =
+            histories.entry(id).or_insert(RequestHistory { first_sent: now, has_run: false });
+        // The error of a resend's reported age, below the margin.
+        let age_error = ms(rng.random_range(0..900));
         let age = match is_resend {
-            true => now.since(truth.first_sent).saturating_sub(short).max(ms(1)),
+            true => now.since(history.first_sent).saturating_sub(age_error).max(ms(1)),
             false => Duration::ZERO,
         };
         match begin(&mut it, now, id, age) {
             BeginResult::Run => {
-                assert!(!truth.has_run, "request {id} was run twice, seed {seed}");
-                assert!(!running.contains(&id), "request {id} runs already, seed {seed}");
+                assert!(!history.has_run, "request {id} was run twice, seed {seed}");
+                assert!(!running.contains(&id), "request {id} is already running, seed {seed}");
                 running.push(id);
             }
             BeginResult::Attach => assert!(running.contains(&id)),
             BeginResult::Replay(it) => {
-                assert!(truth.has_run);
+                assert!(history.has_run);
                 assert_eq!(it, text(&format!("answer {id}")), "seed {seed}");
                 replayed += 1;
             }
@@ -199,19 +205,19 @@
                 it.discard(UNIT, RequestId(id));
                 continue;
             }
-            truths.get_mut(&id).unwrap().has_run = true;
+            histories.get_mut(&id).unwrap().has_run = true;
             it.finish(now, UNIT, RequestId(id), text(&format!("answer {id}")));
         }
-        let fate = rng.random_range(0..100);
-        if fate < 2 || (fate < 4 && with_loss) {
-            // Whatever runs may have run when its slot goes to another owner.
+        let draw = rng.random_range(0..100);
+        if draw < 2 || (draw < 4 && with_loss) {
+            // A request that is running when its slot moves to another owner may have run.
             for id in running.drain(..) {
-                truths.get_mut(&id).unwrap().has_run = true;
+                histories.get_mut(&id).unwrap().has_run = true;
             }
-            let handed = it.export(now, UNIT).unwrap();
+            let exported = it.export(now, UNIT).unwrap();
             now = now + ms(rng.random_range(0..50));
-            match fate < 2 {
-                true => it.import(now, UNIT, handed),
+            match draw < 2 {
+                true => it.import(now, UNIT, exported),
                 false => it.open(now, UNIT),
             }
         }
@@ -221,28 +227,28 @@
 }
 
 #[test]
-fn no_id_runs_twice() {
+fn no_request_id_runs_twice() {
     fn property(seed: u64) -> bool {
-        run(seed, 3_000, true);
+        simulate(seed, 3_000, true);
         true
     }
     seeded(property as fn(u64) -> bool);
 }
 
-/// With room for all and nothing lost, resends do get their answers.
+/// Without evictions and losses, resends get their answers.
 #[test]
-fn resends_are_answered() {
+fn resends_are_answered_if_no_record_is_lost() {
     fn property(seed: u64) -> bool {
-        let (replayed, refused) = run(seed, 1_000_000, false);
+        let (replayed, refused) = simulate(seed, 1_000_000, false);
         replayed > 4 * refused
     }
     seeded(property as fn(u64) -> bool);
 }
 
 #[test]
-fn handed_over_records_say_that_running_requests_are_unknown() {
+fn running_requests_are_handed_over_as_unknown() {
     let mut it = records(10_000);
     assert_eq!(begin(&mut it, at(10_010), 1, Duration::ZERO), BeginResult::Run);
-    let handed = it.export(at(10_020), UNIT).unwrap();
-    assert_eq!(handed.records[0].end, RecordedOutcome::Unknown(UnknownReason::ConnectionLost));
+    let exported = it.export(at(10_020), UNIT).unwrap();
+    assert_eq!(exported.records[0].end, RecordedOutcome::Unknown(UnknownReason::ConnectionLost));
 }
