--- a/crates/traffic/src/split/mod.rs
+++ b/crates/traffic/src/split/mod.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, RngExt};
 
 /// Chooses among services in proportion to their weights, with the choices of each spread evenly (smooth
-/// weighted round-schedule).
+/// weighted round-robin).
 #[derive(Debug, Clone)]
 pub struct WeightedRoundRobin {
     weights: Vec<u32>,
--- a/crates/traffic/src/warmup/mod.rs
+++ b/crates/traffic/src/warmup/mod.rs
@@ -60,7 +60,7 @@
     }
 
     /// Sets the rate while the upstream is cold, in requests per second. `None`, a rate that is not above 0, and
-    /// one above [`RATE_MAX_PER_S`] remove the limit.
+    /// one above `RATE_MAX_PER_S` remove the limit.
     pub fn set_limit(&mut self, per_s: Option<f64>) {
         let valid = per_s.filter(|it| *it > 0.0 && *it <= RATE_MAX_PER_S);
         let limit = valid.map(|it| Limit::new(it.max(RATE_MIN_PER_S)));
