--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -47,6 +47,7 @@
         self.queue.len()
     }
 
+    /// Adds a request. If no request was waiting, the virtual time of the class is raised to `virtual_time_s`.
     pub(super) fn push(&mut self, it: QueuedRequest, virtual_time_s: f64) {
         if self.queue.is_empty() {
             self.virtual_time_s = self.virtual_time_s.max(virtual_time_s);
--- a/crates/traffic/src/admission/tests/coming_back.rs
+++ b/crates/traffic/src/admission/tests/coming_back.rs
@@ -145,7 +145,13 @@
 #[test]
 fn more_callers_are_answered_in_time_if_late_requests_start_last() {
     let (equal, late_last) = (simulate(false), simulate(true));
-    assert!(late_last.in_time > equal.in_time * 11 / 10, "{late_last:?} {equal:?}");
+    assert!(
+        late_last.in_time > equal.in_time * 11 / 10,
+        "late requests last: {late_last:?}, all equal: {equal:?}"
+    );
     let answered = |it: &Results| it.in_time + it.late;
-    assert!(answered(&late_last) > answered(&equal) * 97 / 100, "{late_last:?} {equal:?}");
+    assert!(
+        answered(&late_last) > answered(&equal) * 97 / 100,
+        "late requests last: {late_last:?}, all equal: {equal:?}"
+    );
 }
--- a/crates/traffic/src/admission/tests/mod.rs
+++ b/crates/traffic/src/admission/tests/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     Admission, AdmissionConfig, Arrival, ClassConfig, ClassIndex, Completion, Decision, Ticket,
-    Timeliness, Verdict, tests::seeded,
+    Timeliness, Verdict, tests::check_seeded,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -209,5 +209,5 @@
         ended.count() == it.decisions.len()
             && open.iter().all(|ticket| cancelled.contains(ticket) || it.verdict(*ticket).is_some())
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
--- a/crates/traffic/src/records/mod.rs
+++ b/crates/traffic/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! At-most-once records: which request ids have been begun, and how they ended.
+//! At-most-once records: which requests have been started, and their outcomes.
 //!
 //! There is one table per unit of ownership (a slot, or a hot key with an entry of its own). Each
 //! table stores the point in time since which it is complete: an id that is missing from the table
@@ -25,7 +25,7 @@
     fn size_bytes(&self) -> usize;
 }
 
-/// Bounds on the records of one unit.
+/// The limits on the records of one unit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordsConfig {
     /// The memory limit for the records of one unit, in bytes.
--- a/crates/traffic/src/records/tests.rs
+++ b/crates/traffic/src/records/tests.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     Answer, BeginResult, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
-    tests::seeded,
+    tests::check_seeded,
 };
 
 const UNIT: RecordUnit = RecordUnit::Slot(Slot(3));
@@ -193,7 +193,7 @@
             BeginResult::Attach => assert!(running.contains(&id)),
             BeginResult::Replay(it) => {
                 assert!(history.has_run);
-                assert_eq!(it, text(&format!("answer {id}")), "seed {seed}");
+                assert_eq!(it, text(&format!("answer {id}")), "wrong answer replayed, seed {seed}");
                 replayed += 1;
             }
             BeginResult::Unknown(_) | BeginResult::NoRecord => refused += 1,
@@ -232,7 +232,7 @@
         simulate(seed, 3_000, true);
         true
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
 
 /// Without evictions and losses, resends get their answers.
@@ -242,7 +242,7 @@
         let (replayed, refused) = simulate(seed, 1_000_000, false);
         replayed > 4 * refused
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
 
 #[test]
--- a/crates/traffic/src/retry/mod.rs
+++ b/crates/traffic/src/retry/mod.rs
@@ -39,7 +39,7 @@
     AfterUpstream,
 }
 
-/// Bounds on retries.
+/// The limits on retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryConfig {
     /// The number of retries that each new request adds to the budget.
@@ -173,7 +173,7 @@
             attempts.redirects += 1;
             return RetryVerdict::FollowRedirect;
         }
-        if let Some(after) = self.wait_for_owner(ended.outcome, attempts, remaining, rng) {
+        if let Some(after) = self.pause_for_owner(ended.outcome, attempts, remaining, rng) {
             return RetryVerdict::Retry { after };
         }
         if let Some(verdict) = self.retry_immediately(ended, may_have_reached, attempts, remaining)
@@ -233,7 +233,7 @@
     }
 
     /// Returns the pause before a request for a key without an owner is retried, if enough time is left.
-    fn wait_for_owner(
+    fn pause_for_owner(
         &self,
         outcome: Outcome,
         attempts: &mut Attempts,
--- a/crates/traffic/src/retry/tests.rs
+++ b/crates/traffic/src/retry/tests.rs
@@ -8,7 +8,7 @@
 
 use super::CONNECTION_LOST_PAUSE;
 use crate::{
-    Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict, tests::seeded,
+    Attempts, ChargePolicy, EndedAttempt, Retries, RetryConfig, RetryVerdict, tests::check_seeded,
 };
 
 const SHED: Outcome = Outcome::NotRun(NotRunReason::Overloaded);
@@ -29,7 +29,11 @@
 
 fn check(outcome: Outcome, is_idempotent: bool, is_retried: bool) {
     let verdict = decide(outcome, is_idempotent, 1000);
-    assert_eq!(matches!(verdict, RetryVerdict::Retry { .. }), is_retried, "{outcome}");
+    assert_eq!(
+        matches!(verdict, RetryVerdict::Retry { .. }),
+        is_retried,
+        "whether {outcome} is retried"
+    );
 }
 
 #[test]
@@ -125,7 +129,7 @@
         }
         f64::from(retries_sent) <= config.budget_max / 2.0 + config.budget_share * requests as f64
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
 
 const REFUSED: Outcome = Outcome::NotRun(NotRunReason::Refused);
--- a/crates/traffic/src/selection/mod.rs
+++ b/crates/traffic/src/selection/mod.rs
@@ -153,11 +153,14 @@
         tried: &[InstanceName],
         rng: &mut impl Rng,
     ) -> Option<PickedTarget> {
-        let takes_work = |it: &&Target| it.takes_work(&self.config, now);
+        let accepts_requests = |it: &&Target| it.accepts_requests(&self.config, now);
         let is_untried = |it: &&Target| !tried.contains(&it.instance.name);
-        let candidates: Vec<usize> = self.indexes(|it| takes_work(&it) && is_untried(&it));
-        let candidates =
-            if candidates.is_empty() { self.indexes(|it| takes_work(&it)) } else { candidates };
+        let candidates: Vec<usize> = self.indexes(|it| accepts_requests(&it) && is_untried(&it));
+        let candidates = if candidates.is_empty() {
+            self.indexes(|it| accepts_requests(&it))
+        } else {
+            candidates
+        };
         let ranking = self.rank_by_reports(now, profile, &candidates, rng);
         let index = match &ranking {
             Some(it) => it.best.0,
--- a/crates/traffic/src/selection/target.rs
+++ b/crates/traffic/src/selection/target.rs
@@ -109,8 +109,8 @@
     kind_service_times: HashMap<u8, (Duration, Timestamp)>,
     /// The time of the last answer or refusal, or of the first request that was sent while none was in flight.
     silent_since: Timestamp,
-    failures_in_row: u32,
-    ejections_in_row: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until: Timestamp,
 }
 
@@ -126,13 +126,13 @@
             last_report: None,
             kind_service_times: HashMap::new(),
             silent_since: now,
-            failures_in_row: 0,
-            ejections_in_row: 0,
+            consecutive_failures: 0,
+            consecutive_ejections: 0,
             ejected_until: Timestamp::ZERO,
         }
     }
 
-    pub(super) fn takes_work(&self, config: &SelectionConfig, now: Timestamp) -> bool {
+    pub(super) fn accepts_requests(&self, config: &SelectionConfig, now: Timestamp) -> bool {
         self.state == TargetState::Ready
             && !self.is_ejected(now)
             && !self.is_unresponsive(config, now)
@@ -227,8 +227,8 @@
             TargetResult::Answered => {
                 self.latency.add(elapsed);
                 self.silent_since = now;
-                self.failures_in_row = 0;
-                self.ejections_in_row = 0;
+                self.consecutive_failures = 0;
+                self.consecutive_ejections = 0;
             }
             TargetResult::Shed => self.silent_since = now,
             TargetResult::Failed => self.record_failure(config, now, may_eject),
@@ -237,13 +237,13 @@
     }
 
     fn record_failure(&mut self, config: &SelectionConfig, now: Timestamp, may_eject: bool) {
-        self.failures_in_row += 1;
-        if self.failures_in_row < config.eject_failures || !may_eject || self.is_ejected(now) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < config.eject_failures || !may_eject || self.is_ejected(now) {
             return;
         }
-        self.failures_in_row = 0;
-        self.ejections_in_row = (self.ejections_in_row + 1).min(EJECTION_STEPS_MAX);
-        self.ejected_until = now + config.ejection_duration * self.ejections_in_row;
+        self.consecutive_failures = 0;
+        self.consecutive_ejections = (self.consecutive_ejections + 1).min(EJECTION_STEPS_MAX);
+        self.ejected_until = now + config.ejection_duration * self.consecutive_ejections;
     }
 
     /// Returns the expected latency of this target, in seconds, increased by its health and load hints.
@@ -263,7 +263,7 @@
 
     /// Returns the factor on the expected latency for consecutive failures, which a load report does not show.
     pub(super) fn failure_factor(&self) -> f64 {
-        f64::from(1 + self.failures_in_row)
+        f64::from(1 + self.consecutive_failures)
     }
 
     /// Returns the mean measured latency, in seconds. `None` if none has been measured.
--- a/crates/traffic/src/selection/tests/many.rs
+++ b/crates/traffic/src/selection/tests/many.rs
@@ -37,26 +37,26 @@
 
 struct Kind {
     /// The request rate in each zone.
-    per_s: [f64; 3],
+    requests_per_s: [f64; 3],
     mean_ms: f64,
     /// The standard deviation of the logarithm of the service time.
-    spread: f64,
+    log_deviation: f64,
     objective: Duration,
     timeout: Duration,
 }
 
 const KINDS: [Kind; 2] = [
     Kind {
-        per_s: [76.0, 61.0, 76.0],
+        requests_per_s: [76.0, 61.0, 76.0],
         mean_ms: 300.0,
-        spread: 0.7,
+        log_deviation: 0.7,
         objective: Duration::from_millis(800),
         timeout: Duration::from_millis(1_500),
     },
     Kind {
-        per_s: [145.0, 116.0, 144.0],
+        requests_per_s: [145.0, 116.0, 144.0],
         mean_ms: 30.0,
-        spread: 0.5,
+        log_deviation: 0.5,
         objective: Duration::from_millis(120),
         timeout: Duration::from_millis(400),
     },
@@ -103,7 +103,7 @@
     /// The reply arrives at the agent: an answer or a refusal.
     Reply {
         request: usize,
-        answered: bool,
+        is_answered: bool,
         report: Option<usize>,
     },
 }
@@ -122,7 +122,7 @@
     specs: Vec<TargetSpec>,
     gates: Vec<Admission>,
     agents: Vec<(Selection, Zone)>,
-    busy: Vec<Vec<bool>>,
+    busy_periods: Vec<Vec<bool>>,
     requests: Vec<Request>,
     requests_by_ticket: Vec<std::collections::HashMap<Ticket, usize>>,
     reports: Vec<GateReport>,
@@ -162,9 +162,10 @@
         });
         let agents: Vec<_> = agents.collect();
         let steps = (SIMULATED.as_millis() / BUSY_PERIOD.as_millis()) as usize + 10;
-        let busy = specs.iter().map(|_| (0..steps).map(|_| rng.random_bool(BUSY_SHARE)).collect());
+        let busy_periods =
+            specs.iter().map(|_| (0..steps).map(|_| rng.random_bool(BUSY_SHARE)).collect());
         let mut simulation = Simulation {
-            busy: busy.collect(),
+            busy_periods: busy_periods.collect(),
             gates: specs.iter().map(|_| admission()).collect(),
             requests_by_ticket: specs.iter().map(|_| Default::default()).collect(),
             results: Results { slot_time_s: vec![0.0; specs.len()], ..Results::default() },
@@ -182,8 +183,8 @@
     fn add_arrivals(&mut self) {
         for (kind, it) in KINDS.iter().enumerate() {
             let mut first_agent = 0;
-            for (per_s, agents) in it.per_s.iter().zip(AGENTS) {
-                let count = (per_s * SIMULATED.as_secs_f64()) as usize;
+            for (requests_per_s, agents) in it.requests_per_s.iter().zip(AGENTS) {
+                let count = (requests_per_s * SIMULATED.as_secs_f64()) as usize;
                 for _ in 0..count {
                     let at = SIMULATED.mul_f64(self.rng.random_range(0.0..1.0));
                     let agent = first_agent + self.rng.random_range(0..agents);
@@ -197,15 +198,16 @@
 
     /// Draws the service time of a request that starts at a target now.
     fn draw_service_time(&mut self, now: Timestamp, target: usize, kind: usize) -> Duration {
-        let Kind { mean_ms, spread, .. } = KINDS[kind];
+        let Kind { mean_ms, log_deviation, .. } = KINDS[kind];
         // Log-normal. The normal variable is approximated by the sum of twelve uniform ones.
         let normal: f64 = (0..12).map(|_| self.rng.random_range(0.0..1.0)).sum::<f64>() - 6.0;
-        let work_ms = mean_ms * (spread * normal - spread * spread / 2.0).exp();
+        let work_ms =
+            mean_ms * (log_deviation * normal - log_deviation * log_deviation / 2.0).exp();
         let mut work_left = Duration::from_secs_f64(work_ms / 1e3 / SPEEDS[target % SPEEDS.len()]);
         let mut at = now;
         loop {
             let step = (at.ns / BUSY_PERIOD.as_nanos() as u64) as usize;
-            let is_busy = self.busy[target].get(step).is_some_and(|it| *it);
+            let is_busy = self.busy_periods[target].get(step).is_some_and(|it| *it);
             let factor = if is_busy { BUSY_FACTOR } else { 1.0 };
             let end = Timestamp { ns: (step as u64 + 1) * BUSY_PERIOD.as_nanos() as u64 };
             let period_left = end.since(at);
@@ -254,7 +256,7 @@
         }
     }
 
-    fn reply(&mut self, now: Timestamp, request: usize, answered: bool) {
+    fn reply(&mut self, now: Timestamp, request: usize, is_answered: bool) {
         let Request { target, kind, .. } = self.requests[request];
         let gate = &self.gates[target];
         let route = Some(RouteIndex(kind));
@@ -269,7 +271,7 @@
         self.reports.push(report);
         let report = Some(self.reports.len() - 1);
         self.events
-            .push(Reverse((now + NETWORK_LATENCY, Event::Reply { request, answered, report })));
+            .push(Reverse((now + NETWORK_LATENCY, Event::Reply { request, is_answered, report })));
     }
 
     fn step(&mut self, now: Timestamp, event: Event) {
@@ -314,16 +316,16 @@
                 self.gates[target].tick(now, &mut self.rng, &mut decisions);
                 self.apply_decisions(now, target, &mut decisions);
             }
-            Event::Reply { request, answered, report } => {
+            Event::Reply { request, is_answered, report } => {
                 let Request { agent, kind, target, arrived, sent, .. } = self.requests[request];
                 let instance = self.specs[target].instance.clone();
                 let selection = &mut self.agents[agent].0;
                 if let Some(report) = report {
                     selection.report(now, &instance, self.reports[report]);
                 }
-                let result = if answered { TargetResult::Answered } else { TargetResult::Shed };
+                let result = if is_answered { TargetResult::Answered } else { TargetResult::Shed };
                 selection.finish(now, &instance, now.since(sent), result);
-                if answered {
+                if is_answered {
                     let is_counted = arrived >= Timestamp::ZERO + WARM_UP;
                     let in_time = now.since(arrived) <= KINDS[kind].objective;
                     self.results.in_time[kind] += u32::from(in_time && is_counted);
--- a/crates/traffic/src/selection/tests/mod.rs
+++ b/crates/traffic/src/selection/tests/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     HealthHint, RequestProfile, Selection, SelectionConfig, TargetResult, TargetSpec, TargetState,
-    tests::seeded,
+    tests::check_seeded,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -199,7 +199,7 @@
         }
         true
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
 
 /// Simulates one agent and targets of different speeds, whose gates report their load with each answer. The load
--- a/crates/traffic/src/sketch/tests.rs
+++ b/crates/traffic/src/sketch/tests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::{Sketch, tests::seeded};
+use crate::{Sketch, tests::check_seeded};
 
 #[test]
 fn decay_removes_keys_whose_weight_becomes_zero() {
@@ -36,5 +36,5 @@
         let heavy = truth.iter().filter(|(_, weight)| **weight > floor);
         bounded && heavy.into_iter().all(|(key, _)| heaviest.iter().any(|it| it.key == *key))
     }
-    seeded(property as fn(Vec<(u8, u8)>) -> bool);
+    check_seeded(property as fn(Vec<(u8, u8)>) -> bool);
 }
--- a/crates/traffic/src/waits/tests.rs
+++ b/crates/traffic/src/waits/tests.rs
@@ -31,7 +31,7 @@
         estimate.observe(first_attempt(&mut rng));
     }
     let waited = estimate.observe(1500 * MS).unwrap();
-    assert!((700 * MS..900 * MS).contains(&waited), "{waited:?}");
+    assert!((700 * MS..900 * MS).contains(&waited), "estimated wait of {waited:?}");
 }
 
 /// With four retries in ten requests, the estimate stays at the timeout of first attempts.
--- a/crates/traffic/src/warmup/tests.rs
+++ b/crates/traffic/src/warmup/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::tests::seeded;
+use crate::tests::check_seeded;
 use model::Timestamp;
 
 use super::Warmup;
@@ -51,7 +51,7 @@
 fn an_upstream_that_announces_it_is_warm_has_no_limit() {
     let mut warmup = Warmup::new(at(0));
     warmup.set_limit(Some(12.0));
-    assert!(warmup.is_cold(at(0)), "the state of the upstream is unknown");
+    assert!(warmup.is_cold(at(0)), "an upstream in unknown state must count as cold");
     warmup.set_cold_period(at(10), Duration::ZERO);
     for _ in 0..100 {
         assert_eq!(warmup.next_start(at(10)), None);
@@ -131,7 +131,7 @@
 /// state. While the upstream counts as cold, no second has more starts than the rate.
 #[test]
 fn no_second_has_more_starts_than_the_rate() {
-    seeded(rate_is_never_exceeded as fn(Vec<(u8, u16)>, u8) -> bool);
+    check_seeded(rate_is_never_exceeded as fn(Vec<(u8, u16)>, u8) -> bool);
 }
 
 fn rate_is_never_exceeded(steps: Vec<(u8, u16)>, rate: u8) -> bool {
