--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -5,7 +5,7 @@
 
 use model::Timestamp;
 
-use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, costs::ServiceTimes};
+use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, service_times::ServiceTimes};
 
 /// The position of a request in the queue of its class. Lower positions start first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/traffic/src/admission/mod.rs
+++ b/crates/traffic/src/admission/mod.rs
@@ -4,7 +4,7 @@
 //! A request that can no longer finish in time is refused at once, not held until its deadline.
 
 mod class;
-mod costs;
+mod service_times;
 
 #[cfg(test)]
 mod tests;
--- a/crates/traffic/src/admission/tests/mod.rs
+++ b/crates/traffic/src/admission/tests/mod.rs
@@ -1,7 +1,7 @@
 //! Tests of admission control, in simulated time.
 
 mod cold;
-mod coming_back;
+mod late_requests;
 mod overload;
 
 use std::time::Duration;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -10,8 +10,8 @@
 mod selection;
 mod sketch;
 mod smoothed;
-mod split;
-mod waits;
+mod weighted_round_robin;
+mod timeout_estimate;
 mod warmup;
 
 #[cfg(test)]
@@ -32,6 +32,6 @@
 };
 pub use sketch::{HeavyHitter, Sketch};
 pub use smoothed::SmoothedDuration;
-pub use split::WeightedRoundRobin;
-pub use waits::TimeoutEstimate;
+pub use timeout_estimate::TimeoutEstimate;
 pub use warmup::{SharedWarmup, Warmup};
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/traffic/src/selection/tests/mod.rs
+++ b/crates/traffic/src/selection/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Tests of target selection.
 
-mod many;
+mod many_agents;
 
 use std::time::Duration;
 
