--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -5,7 +5,7 @@
 
 use model::Timestamp;
 
-use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, costs::ServiceTimes};
+use super::{ClassConfig, Completion, RouteIndex, Ticket, Timeliness, service_times::ServiceTimes};
 
 /// The position of a request in the queue of its class. Lower positions start first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,6 +47,7 @@
         self.queue.len()
     }
 
+    /// Adds a request. If no request was waiting, the virtual time of the class is raised to `virtual_time_s`.
     pub(super) fn push(&mut self, it: QueuedRequest, virtual_time_s: f64) {
         if self.queue.is_empty() {
             self.virtual_time_s = self.virtual_time_s.max(virtual_time_s);
