--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -81,13 +81,13 @@
     fn path(&self) -> String {
         match self {
             WatchPrefix::Document(service) => service_path(service),
-            WatchPrefix::Accepted => ACCEPTED_PATH_PREFIX.to_owned(),
+            WatchPrefix::Accepted => ACCEPTED_PREFIX.to_owned(),
         }
     }
 }
 
 /// The common path prefix of all accepted documents.
-pub(crate) const ACCEPTED_PATH_PREFIX: &str = "accepted/";
+pub(crate) const ACCEPTED_PREFIX: &str = "accepted/";
 
 /// Starts calls to the platform on the runtime of the control thread.
 #[derive(Clone)]
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -11,7 +11,7 @@
 use settings::{Accepted, service_path};
 
 use crate::control::{
-    calls::{ACCEPTED_PATH_PREFIX, WATCH_WAIT, WatchPrefix},
+    calls::{ACCEPTED_PREFIX, WATCH_WAIT, WatchPrefix},
     state::Control,
 };
 
@@ -143,8 +143,7 @@
             let Some(body) = &change.body else { continue };
             match serde_json::from_slice::<Accepted>(body) {
                 Ok(it)
-                    if change.path.strip_prefix(ACCEPTED_PATH_PREFIX)
-                        == Some(it.service.as_str()) =>
+                    if change.path.strip_prefix(ACCEPTED_PREFIX) == Some(it.service.as_str()) =>
                 {
                     self.apply_document(&it.service, it.version, &it.document);
                     self.announce_version(it.service, it.version);
