--- a/crates/agent/src/control/tests/documents.rs
+++ b/crates/agent/src/control/tests/documents.rs
@@ -89,8 +89,8 @@
     foreign.add(&service);
     foreign.update(&instance("a"), routes(1, &["a"]));
     // All known members are unavailable, and a stale route is reported every 100 ms.
-    let asked = (0..30).map(|it| Timestamp::from_ms(1_000 + it * 100));
-    let platform: Vec<u64> = asked
+    let reported_at = (0..30).map(|it| Timestamp::from_ms(1_000 + it * 100));
+    let platform: Vec<u64> = reported_at
         .filter(|it| foreign.begin_query(*it, &service).is_some_and(|it| it.platform.is_some()))
         .map(|it| it.ns / 1_000_000)
         .collect();
@@ -110,8 +110,8 @@
     foreign.update(&instance("a"), routes(1, &["a"]));
     assert!(foreign.has_responsive_members(&service));
     assert_eq!(begin_query(&mut foreign, 3), None);
-    // The members stop answering. The known routes are older than their loss, and a stale read could
-    // return the lost members again.
+    // The members stop answering. The known routes predate their loss, so a stale read could still
+    // return the lost members.
     let later: Vec<_> = (4..9).filter_map(|it| begin_query(&mut foreign, it)).collect();
     assert_eq!(later.first(), Some(&Consistency::Latest));
     assert!(!foreign.has_responsive_members(&service));
--- a/crates/agent/src/control/tests/upstream.rs
+++ b/crates/agent/src/control/tests/upstream.rs
@@ -28,15 +28,15 @@
 }
 
 /// Returns a monitor whose upstream started at 5,000 ms and announced itself at 10 s.
-fn known() -> UpstreamMonitor {
-    let mut state = UpstreamMonitor::default();
-    state.announcement = Some(announcement("i-1", Some(5_000), 7));
-    state.announced_at = Timestamp::from_ms(10_000);
-    state
+fn monitor() -> UpstreamMonitor {
+    let mut monitor = UpstreamMonitor::default();
+    monitor.announcement = Some(announcement("i-1", Some(5_000), 7));
+    monitor.announced_at = Timestamp::from_ms(10_000);
+    monitor
 }
 
 fn kind_at(now_ms: u64, announcement: &Announcement) -> AnnouncementKind {
-    known().classify(Timestamp::from_ms(now_ms), INTERVAL, announcement)
+    monitor().classify(Timestamp::from_ms(now_ms), INTERVAL, announcement)
 }
 
 #[test]
@@ -64,7 +64,7 @@
 
 /// An upstream's wall clock may have been set back between two incarnations.
 #[test]
-fn an_announcement_after_the_timeout_is_a_new_incarnation() {
+fn an_earlier_start_time_is_a_new_incarnation_once_announcements_stop() {
     assert_eq!(
         kind_at(12_000, &announcement("i-2", Some(1_000), 1)),
         AnnouncementKind::NewIncarnation
@@ -80,8 +80,14 @@
 /// Its grants expire without announcements, so the timeout need not be longer than that.
 #[test]
 fn an_upstream_granted_keys_by_announcements_times_out_sooner() {
-    let every = Duration::from_millis(1_500);
-    assert_eq!(announcement_timeout(KeyGrants::Calls, every), Duration::from_secs(4));
-    assert_eq!(announcement_timeout(KeyGrants::Announcements, every), Duration::from_millis(2_250));
-    assert_eq!(announcement_timeout(KeyGrants::Announcements, every * 10), Duration::from_secs(4));
+    let interval = Duration::from_millis(1_500);
+    assert_eq!(announcement_timeout(KeyGrants::Calls, interval), Duration::from_secs(4));
+    assert_eq!(
+        announcement_timeout(KeyGrants::Announcements, interval),
+        Duration::from_millis(2_250)
+    );
+    assert_eq!(
+        announcement_timeout(KeyGrants::Announcements, interval * 10),
+        Duration::from_secs(4)
+    );
 }
--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -47,6 +47,7 @@
 /// The relation of an announcement to the last accepted one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnnouncementKind {
+    /// The announcement is the first one or comes from the known incarnation.
     SameIncarnation,
     NewIncarnation,
     /// The announcement is out of order or comes from another incarnation than the running one.
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Replaces the announced state by draining if this incarnation has announced that it leaves for
+    /// Replaces the announced state with draining if this incarnation has announced that it leaves for
     /// good, since it cannot become ready again.
     fn with_leaving_state(&self, announcement: Announcement) -> Announcement {
         match self.is_leaving {
@@ -164,7 +165,7 @@
         if is_changed {
             log::info!(
                 target: "control",
-                "The announced state of the upstream at {} is now {:?}.", announcement.address, announcement.state,
+                "Received a changed announcement of the upstream at {}: its state is {:?}.", announcement.address, announcement.state,
             );
             self.is_dirty = true;
         }
