--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -1,4 +1,4 @@
-//! The coordinator's own object in the platform, and the one update of it that may be on its way.
+//! The coordinator's object in the platform, and the update of it in flight.
 
 use std::time::Duration;
 
@@ -10,78 +10,88 @@
     rules::{self, Rule},
 };
 
-use super::ConfirmBy;
+use super::ConfirmationPolicy;
 
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+/// The longest delay before a failed call is repeated; jitter shortens it by up to a half.
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(100);
 
-/// An update that has not been acknowledged. Until it is, both the object as acknowledged and
-/// this one may be in force. It is sent again, unchanged, until that is decided: an
-/// acknowledgement or a conflict settles all sendings, however late one of them lands.
+/// An update that has not been acknowledged. Until it is, either the acknowledged object or this
+/// one may be in force. It is sent again, unchanged, until the outcome is known: an acknowledgement
+/// or a conflict decides for all sendings, however late one of them arrives.
 #[derive(Debug)]
-struct Pending {
+struct PendingUpdate {
     object: Coordinator,
     call: Option<CallId>,
-    /// The platform has refused it: reading will show whether an earlier sending took effect.
+    /// Whether a sending met a conflict, so that only a read can show whether an earlier one took
+    /// effect.
     refused: bool,
+    /// When it was last sent.
     sent_at: Timestamp,
     retry_at: Timestamp,
 }
 
-/// What has become of the update.
+/// The outcome of an update, after a reply of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Decided {
-    /// The reply was not about this object, or decides nothing.
-    No,
-    /// It took effect; it had been sent at this time.
-    Updated { sent_at: Timestamp },
-    /// Somebody else has written the object: the term has ended.
+pub(crate) enum UpdateOutcome {
+    /// The reply was not about this object, or the outcome is still unknown.
+    Undecided,
+    /// The update took effect; it was last sent at `sent_at`.
+    Applied { sent_at: Timestamp },
+    /// Another node has written the object, so the term has ended.
     Deposed,
 }
 
-/// `coordinators/S/G` as its holder sees it.
+/// Writes the object `coordinators/S/G` for the node that holds the term.
 #[derive(Debug)]
-pub(crate) struct ObjectKeeper {
+pub(crate) struct CoordinatorWriter {
+    /// The last state that the platform has acknowledged.
     acked: Coordinator,
     version: ObjectVersion,
-    pending: Option<Pending>,
+    pending: Option<PendingUpdate>,
 }
 
-impl ObjectKeeper {
-    pub(crate) fn new(acked: Coordinator, version: ObjectVersion) -> ObjectKeeper {
-        ObjectKeeper { acked, version, pending: None }
+impl CoordinatorWriter {
+    pub(crate) fn new(acked: Coordinator, version: ObjectVersion) -> CoordinatorWriter {
+        CoordinatorWriter { acked, version, pending: None }
     }
 
+    /// Returns the last state that the platform has acknowledged.
     pub(crate) fn acked(&self) -> &Coordinator {
         &self.acked
     }
 
+    /// Returns whether an update is in flight or in doubt.
     pub(crate) fn is_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// By what the coordinator is confirmed while the update is on its way.
-    pub(crate) fn confirm_by(&self, times: crate::TermTimes) -> ConfirmBy<'_> {
-        let mut path = Some(self.acked.confirmation);
+    /// Returns the conditions that confirm the term whether or not a pending update has taken
+    /// effect.
+    pub(crate) fn confirmation_policy(&self, times: crate::TermTimes) -> ConfirmationPolicy<'_> {
+        let mut method = Some(self.acked.confirmation);
         let mut witness_sets = vec![self.acked.witnesses.as_slice()];
         if let Some(pending) = &self.pending {
             if pending.object.confirmation != self.acked.confirmation {
-                path = None;
+                method = None;
             }
             if pending.object.witnesses != self.acked.witnesses {
                 witness_sets.push(pending.object.witnesses.as_slice());
             }
         }
-        if path == Some(Confirmation::Platform) {
+        if method == Some(Confirmation::Platform) {
             witness_sets.clear();
         }
-        ConfirmBy { path, witness_sets, times }
+        ConfirmationPolicy { method, witness_sets, times }
     }
 
-    /// Starts an update; only one may be on its way.
+    /// Starts an update. Only one may be pending at a time.
     pub(crate) fn update(&mut self, ctx: &mut Ctx<'_>, object: Coordinator) {
-        assert!(self.pending.is_none(), "a second update of the coordinator's object");
+        assert!(
+            self.pending.is_none(),
+            "the coordinator's object is updated while an update is pending"
+        );
         let object = Coordinator { nonce: ctx.nonce(), era: self.version.era(), ..object };
-        self.pending = Some(Pending {
+        self.pending = Some(PendingUpdate {
             object,
             call: None,
             refused: false,
@@ -91,7 +101,7 @@
         self.tick(ctx);
     }
 
-    /// Sends the update again while it is not decided.
+    /// Sends the pending update, or the read that decides it, when it is due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         let expected = self.version;
         let Some(pending) = &mut self.pending else { return };
@@ -108,57 +118,59 @@
         pending.call = Some(ctx.call_platform(request));
     }
 
-    pub(crate) fn reply(
+    /// Handles a reply of the platform to the pending update or read.
+    pub(crate) fn handle_reply(
         &mut self,
         ctx: &mut Ctx<'_>,
         call: CallId,
         reply: &PlatformReply,
-    ) -> Decided {
+    ) -> UpdateOutcome {
         let Some(pending) = self.pending.as_mut().filter(|it| it.call == Some(call)) else {
-            return Decided::No;
+            return UpdateOutcome::Undecided;
         };
         pending.call = None;
         match reply {
-            PlatformReply::Updated(version) => self.taken_effect(*version),
+            PlatformReply::Updated(version) => self.apply_update(*version),
             PlatformReply::Conflict => {
                 pending.refused = true;
                 pending.retry_at = ctx.now;
                 self.tick(ctx);
-                Decided::No
+                UpdateOutcome::Undecided
             }
             PlatformReply::Coordinator(version, Some(object)) => {
                 if object.nonce == pending.object.nonce && !object.is_rolled_back(*version) {
-                    self.taken_effect(*version)
+                    self.apply_update(*version)
                 } else {
-                    Decided::Deposed
+                    UpdateOutcome::Deposed
                 }
             }
-            PlatformReply::Coordinator(_, None) => Decided::Deposed,
+            PlatformReply::Coordinator(_, None) => UpdateOutcome::Deposed,
             PlatformReply::Failed if !rules::is_enforced(Rule::AssumeUnansweredUpdateApplied) => {
                 self.pending = None;
-                Decided::No
+                UpdateOutcome::Undecided
             }
             PlatformReply::Failed | PlatformReply::Plan(..) => {
-                pending.retry_at = ctx.now + ctx.jittered(RETRY_AFTER);
-                Decided::No
+                pending.retry_at = ctx.now + ctx.jittered(RETRY_DELAY_MAX);
+                UpdateOutcome::Undecided
             }
         }
     }
 
-    fn taken_effect(&mut self, version: ObjectVersion) -> Decided {
-        let Some(pending) = self.pending.take() else { return Decided::No };
+    fn apply_update(&mut self, version: ObjectVersion) -> UpdateOutcome {
+        let Some(pending) = self.pending.take() else { return UpdateOutcome::Undecided };
         self.acked = pending.object;
         self.version = version;
-        Decided::Updated { sent_at: pending.sent_at }
+        UpdateOutcome::Applied { sent_at: pending.sent_at }
     }
 
-    /// The era of the platform in which the term was taken.
+    /// Returns the era of the platform in which the object was last written.
     pub(crate) fn era(&self) -> u64 {
         self.version.era()
     }
 
-    /// Whether an object read from the platform is of this term, which nobody else writes.
-    pub(crate) fn is_own(&self, object: &Coordinator) -> bool {
+    /// Returns whether an object read from the platform is of this term, which no other node
+    /// writes.
+    pub(crate) fn has_own_term(&self, object: &Coordinator) -> bool {
         object.term == self.acked.term
     }
 }
