--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -93,8 +93,8 @@
         version: ConfigVersion,
     ) {
         let is_used = self.documents.in_force(&service).is_some() || service == *self.service();
-        let is_fetched = self.parts.documents_from == DocumentSource::ObjectStore;
-        if is_fetched && is_used && self.documents.should_fetch(&service, version) {
+        let uses_object_store = self.parts.documents_from == DocumentSource::ObjectStore;
+        if uses_object_store && is_used && self.documents.should_fetch(&service, version) {
             self.parts.links.send(from, Envelope::FetchDocument { service }.encode());
         }
     }
@@ -135,9 +135,9 @@
     }
 
     /// Handles the result of a platform call.
-    pub(crate) fn on_call_result(&mut self, done: CallResult) {
+    pub(crate) fn on_call_result(&mut self, result: CallResult) {
         let now = self.now();
-        match done {
+        match result {
             CallResult::Node { call, reply } => self.step(now, Input::Platform { call, reply }),
             CallResult::AcceptedRead { service, result } => self.on_accepted_read(service, result),
             CallResult::DocumentRead { result } => self.on_document_read(result),
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -35,7 +35,7 @@
 pub(super) struct Watch {
     /// The revision that the next watch continues from, or `None` if the prefix must be listed.
     revision: Option<ObjectVersion>,
-    /// When the watch in flight was started.
+    /// When the watch in flight was started, or `None` if none is in flight.
     started_at: Option<Timestamp>,
     /// The earliest start of the next watch.
     not_before: Timestamp,
