--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -138,7 +138,7 @@
 async fn next_central_config(config: &mut Option<CentralConfigSource>) -> Option<Arc<FleetConfig>> {
     let Some(source) = config else { return std::future::pending().await };
     if source.changed().await.is_err() {
-        log::error!(target: "config", "The source of central configurations has closed; the current configuration stays in force.");
+        log::error!(target: "config", "No more central configurations can be received, since their source has ended; the current one stays in force.");
         *config = None;
         return None;
     }
@@ -149,7 +149,7 @@
 async fn next_closed_zones(zones: &mut Option<ClosedZonesSource>) -> Option<ClosedZones> {
     let Some(source) = zones else { return std::future::pending().await };
     if source.changed().await.is_err() {
-        log::error!(target: "zones", "The source of closed zones has closed; the current closed zones stay in effect.");
+        log::error!(target: "zones", "No more changes of closed zones can be received, since their source has ended; the last known ones stay in effect.");
         *zones = None;
         return None;
     }
