--- a/crates/ownership/src/ctx.rs
+++ b/crates/ownership/src/ctx.rs
@@ -1,4 +1,4 @@
-//! What every part of a node needs while it takes a step.
+//! Context that a node passes to its parts during one step.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use crate::{CallId, Event, GateCommand, Limits, Message, NodeConfig, Output, PlatformRequest};
 
-/// Names one incarnation of a member.
+/// Identifies one incarnation of a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct MemberId {
     name: InstanceName,
@@ -21,24 +21,24 @@
     }
 }
 
-/// Whether two values name the same incarnation of an instance, whatever its addresses.
+/// Returns whether two values denote the same incarnation of an instance, regardless of its addresses.
 pub(crate) fn is_same_incarnation(a: &Instance, b: &Instance) -> bool {
     a.incarnation == b.incarnation && a.name == b.name
 }
 
-/// Whether two values name lives of one agent, perhaps different ones: two processes are never bound to
-/// one address at a time, so the earlier life has ended.
+/// Returns whether two values denote the same agent, in the same or in different incarnations. Two processes are
+/// never bound to one address at a time, so of two incarnations the earlier one has ended.
 pub(crate) fn is_same_agent(a: &Instance, b: &Instance) -> bool {
     a.name == b.name && a.control == b.control
 }
 
-/// The surroundings of one step.
+/// Inputs of one step and the outputs that it produces.
 pub(crate) struct Ctx<'a> {
     pub(crate) now: Timestamp,
     pub(crate) config: &'a NodeConfig,
     pub(crate) rng: &'a mut Pcg64Mcg,
     pub(crate) last_call: &'a mut CallId,
-    /// Messages from this node to itself, taken in within the same step.
+    /// Messages from this node to itself, handled within the same step.
     pub(crate) self_messages: &'a mut VecDeque<Message>,
     pub(crate) out: &'a mut Vec<Output>,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends to whichever life of the peer is there by now.
+    /// Sends to the peer's current incarnation, which may be a later one than `to` names.
     pub(crate) fn send_to_agent(&mut self, to: &Instance, message: Message) {
         if is_same_agent(to, self.own_instance()) {
             self.self_messages.push_back(message);
@@ -88,7 +88,7 @@
         self.rng.random()
     }
 
-    /// Between a half and the whole of `delay`.
+    /// Returns a random duration between half of `delay` and `delay`.
     pub(crate) fn jittered(&mut self, delay: Duration) -> Duration {
         delay.mul_f64(self.rng.random_range(0.5..1.0))
     }
