--- a/crates/ownership/src/rules.rs
+++ b/crates/ownership/src/rules.rs
@@ -1,55 +1,55 @@
-//! Rules that the tests can break on purpose, to show that their checks would see it.
+//! Safety rules that tests can disable, to show that their checks detect the violation.
 //!
-//! Outside of the crate's own tests every rule always holds, and the question costs nothing.
+//! Outside of the crate's own tests every rule is always enforced, and the check is a compile-time constant.
 
-/// A rule on which the safety of the protocol rests.
+/// Rule on which the safety of the protocol depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Rule {
-    /// A new coordinator waits until the leases of earlier terms have ended.
+    /// A new coordinator grants nothing until the leases of earlier terms have ended.
     WaitForLeases,
-    /// A term that had not settled may have left earlier ones at work.
+    /// If the previous term had not settled, terms before it may still be active.
     AccountForUnsettledTerms,
-    /// An update without an answer may have taken effect.
+    /// An update whose reply was lost may have taken effect.
     AssumeUnansweredUpdateApplied,
-    /// What lapsed is granted anew only on proof, asked for later, that there is no later term.
+    /// A lapsed grant is reissued only after a confirmation, requested after the lapse, that no later term exists.
     ProveTermAfterLapse,
-    /// A member counts its lease from when it sent the renewal.
+    /// A member's lease starts when the member sent the renewal, not when the reply arrived.
     LeaseFromSendTime,
-    /// A member follows no earlier term than the highest it has heard of.
+    /// A member follows no term lower than the highest that it has seen.
     RefuseEarlierTerms,
-    /// A coordinator's own lease is shortened before witnesses confirm it.
+    /// A coordinator's lease on its own slots is shortened before it switches to confirmation by witnesses.
     CapCoordinatorLease,
-    /// A successor waits for a lost coordinator's own lease where that outlasts its confirmation.
+    /// A new coordinator waits for the lost coordinator's lease on its own slots if that outlasts its confirmation.
     WaitForCoordinatorLease,
-    /// A later life of a witness counts only once it has read the platform.
+    /// A restarted witness counts only once it has read the coordinator object from the platform.
     ReadObjectBeforeWitnessing,
-    /// A coordinator renews only while it is confirmed.
+    /// A coordinator renews leases only while its term is confirmed.
     RenewOnlyWhileConfirmed,
-    /// Earlier lives of an agent count as ended only once the upstream beside it has been cleared.
+    /// Earlier incarnations of an agent count as ended only once the upstream beside it has been cleared.
     ClearEarlierIncarnations,
-    /// What an upstream was cleared of goes to others only when the earlier leases have run out.
+    /// Slots that an upstream was cleared of are granted to other members only after the earlier leases have ended.
     WaitForEarlierRequests,
-    /// The new owner is granted a slot when the old one has closed it.
+    /// A slot is granted to its new owner only after the old owner has closed it.
     WaitForClose,
-    /// An upstream has given a slot up only when its runs have ended.
+    /// An upstream has released a slot only once its requests in flight have ended.
     #[cfg(any(test, feature = "sim"))]
     WaitForRequestsInFlight,
 }
 
 #[cfg(test)]
 thread_local! {
-    static BROKEN: std::cell::Cell<Option<Rule>> = const { std::cell::Cell::new(None) };
+    static DISABLED: std::cell::Cell<Option<Rule>> = const { std::cell::Cell::new(None) };
 }
 
-/// Breaks one rule, or none, in this thread.
+/// Disables one rule in this thread; `None` enforces all rules again.
 #[cfg(test)]
 pub(crate) fn disable_rule(rule: Option<Rule>) {
-    BROKEN.set(rule);
+    DISABLED.set(rule);
 }
 
 #[cfg(test)]
 pub(crate) fn is_enforced(rule: Rule) -> bool {
-    BROKEN.get() != Some(rule)
+    DISABLED.get() != Some(rule)
 }
 
 #[cfg(not(test))]
