--- a/crates/ownership/src/limits.rs
+++ b/crates/ownership/src/limits.rs
@@ -1,51 +1,51 @@
-//! The times and targets that a service's document sets for ownership.
+//! Timeouts and targets for ownership, as set by a service's document.
 
 use std::time::Duration;
 
-/// Whether the service's upstreams check the fence token themselves.
+/// Whether the service's upstreams check fence tokens themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceCheck {
     Checked,
-    /// The gate is the only guard: requests must end inside the lease.
+    /// Only the gate enforces the lease: requests must end before the lease does.
     Unchecked,
 }
 
-/// How long a coordinator may hold what it has granted itself.
+/// How long a coordinator's lease on its own slots lasts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoordinatorLease {
-    /// While it is confirmed: its slots are free again as soon as it can't be any more.
+    /// Until its confirmation ends, so that its slots become free without a further wait.
     Confirmation,
-    /// A lease from when it is confirmed, like any other member: for upstreams that end what outlasts
-    /// the grant under which it began.
+    /// A full lease from each confirmation, as for other members. Meant for upstreams that abort requests when the
+    /// grant under which they started ends.
     Full,
 }
 
-/// What the document allows. The settings check them against each other.
+/// Limits from the service's document. The settings crate checks that they are consistent with each other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// How long a member's lease lasts.
+    /// Duration of a member's lease.
     pub lease: Duration,
-    /// How often a member renews it.
+    /// Interval between a member's lease renewals.
     pub renew_every: Duration,
-    /// How far clocks may drift apart within one lease.
+    /// Largest drift between two clocks over the duration of one lease.
     pub drift_margin: Duration,
-    /// How long one confirmation of a coordinator by witnesses is good for.
+    /// How long a confirmation of the coordinator by witnesses is valid.
     pub confirmation: Duration,
-    /// The same where the platform confirms.
+    /// How long a confirmation of the coordinator by the platform is valid.
     pub platform_confirmation: Duration,
-    /// How long members wait for a silent coordinator before one takes the term.
+    /// How long the coordinator may be silent before another member takes over the term.
     pub takeover_after: Duration,
-    /// The longest time that a coordinator goes on without reaching the platform.
+    /// How long a coordinator continues without reaching the platform.
     pub platform_absence_max: Duration,
-    /// A gap between ticks above this counts as a pause and drops the lease.
+    /// Largest gap between steps; a longer one counts as a pause of the process and ends the session.
     pub pause_max: Duration,
-    /// How long a busy slot's old owner may take to finish what is in flight.
+    /// How long the old owner of a slot may take to finish its requests in flight.
     pub handover_max: Duration,
-    /// Busiest member's load over the mean that is aimed at, for example 1.15.
+    /// Target for the busiest member's load divided by the mean load, for example 1.15.
     pub imbalance_target: f64,
-    /// The largest share of all keys that rebalancing may move in a minute.
+    /// Largest share of all keys that rebalancing may move per minute.
     pub churn_per_minute_max: f64,
-    /// 0 spares churn above all, 1 spares unavailable time above all.
+    /// Trade-off for rebalancing: 0 minimizes churn, 1 minimizes unavailable time.
     pub availability_weight: f64,
     pub fence: FenceCheck,
     pub coordinator_lease: CoordinatorLease,
