--- a/crates/ownership/src/times.rs
+++ b/crates/ownership/src/times.rs
@@ -1,32 +1,32 @@
-//! How long one node has to wait until another one's clock must have come to an end.
+//! How long a node waits until a timeout must have ended on another node's clock as well.
 
 use std::time::Duration;
 
 use crate::{Limits, TermTimes};
 
-fn whole_ms(duration: Duration) -> u32 {
+fn ceil_ms(duration: Duration) -> u32 {
     u32::try_from(duration.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX)
 }
 
 impl From<&Limits> for TermTimes {
     fn from(limits: &Limits) -> TermTimes {
         TermTimes {
-            lease_ms: whole_ms(limits.lease),
-            drift_margin_ms: whole_ms(limits.drift_margin),
-            confirmation_ms: whole_ms(limits.confirmation),
-            platform_confirmation_ms: whole_ms(limits.platform_confirmation),
-            platform_absence_max_ms: whole_ms(limits.platform_absence_max),
+            lease_ms: ceil_ms(limits.lease),
+            drift_margin_ms: ceil_ms(limits.drift_margin),
+            confirmation_ms: ceil_ms(limits.confirmation),
+            platform_confirmation_ms: ceil_ms(limits.platform_confirmation),
+            platform_absence_max_ms: ceil_ms(limits.platform_absence_max),
         }
     }
 }
 
 impl TermTimes {
-    /// The shorter of each.
+    /// Returns the shorter of each pair of timeouts, and the larger drift margin.
     pub(crate) fn min(self, other: TermTimes) -> TermTimes {
-        self.each(other, u32::min)
+        self.merge(other, u32::min)
     }
 
-    fn each(self, other: TermTimes, pick: impl Fn(u32, u32) -> u32) -> TermTimes {
+    fn merge(self, other: TermTimes, pick: impl Fn(u32, u32) -> u32) -> TermTimes {
         TermTimes {
             lease_ms: pick(self.lease_ms, other.lease_ms),
             drift_margin_ms: self.drift_margin_ms.max(other.drift_margin_ms),
@@ -58,8 +58,8 @@
         Duration::from_millis(self.platform_absence_max_ms.into())
     }
 
-    /// How long to wait here until `duration` has passed on any other node's clock: the margin
-    /// for each started lease length.
+    /// Returns how long to wait on this node's clock until `duration` has passed on every other node's clock. Adds
+    /// the drift margin once per started lease duration.
     pub(crate) fn with_drift_margin(self, duration: Duration) -> Duration {
         let lease_ms = u128::from(self.lease_ms.max(1));
         let periods = duration.as_millis().div_ceil(lease_ms).max(1);
