--- a/crates/ownership/src/work.rs
+++ b/crates/ownership/src/work.rs
@@ -1,14 +1,14 @@
-//! Counts the entries of tables that a step goes through, so that runs in virtual time can charge a node
-//! for its work.
+//! Counts the table entries that a step visits, so that the simulation can model the CPU time of a step.
 //!
-//! Whatever goes through slots, members or names notes how many; outside of those runs it costs nothing.
+//! Code that iterates over slots, members or names reports the number of entries. Outside of simulations the call
+//! is a no-op.
 
 #[cfg(any(test, feature = "sim"))]
 thread_local! {
     static ENTRIES: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
-/// Notes that so many entries have been gone through.
+/// Adds to the number of entries that this thread has visited.
 #[cfg(any(test, feature = "sim"))]
 pub(crate) fn add_entries(entries: usize) {
     ENTRIES.set(ENTRIES.get() + entries as u64);
@@ -17,7 +17,7 @@
 #[cfg(not(any(test, feature = "sim")))]
 pub(crate) const fn add_entries(_entries: usize) {}
 
-/// How many entries this thread has gone through since it was last asked.
+/// Returns the number of entries that this thread has visited since the last call, and resets it.
 #[cfg(any(test, feature = "sim"))]
 pub(crate) fn take_entries() -> u64 {
     ENTRIES.take()
