--- a/crates/ownership/src/load.rs
+++ b/crates/ownership/src/load.rs
@@ -1,4 +1,4 @@
-//! Load reports are merged while they wait to be sent.
+//! Merging and truncating load reports.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 
 use crate::{KeyLoad, LoadReport, SlotLoad};
 
-/// The most slots in one report.
+/// Maximum number of slots in one report.
 pub(crate) const REPORT_SLOTS_MAX: usize = 64;
-/// The most keys in one report.
+/// Maximum number of keys in one report.
 pub(crate) const REPORT_KEYS_MAX: usize = 16;
 
 impl LoadReport {
-    /// Adds a later report to this one.
+    /// Adds a later report to this one, as reports accumulate until the next renewal.
     pub(crate) fn merge(self, later: LoadReport) -> LoadReport {
         let mut slots: BTreeMap<_, SlotLoad> = self.slots.iter().map(|it| (it.slot, *it)).collect();
         for it in &later.slots {
@@ -35,9 +35,9 @@
         .keep_heaviest()
     }
 
-    /// The same with the load of its keys counted to their slots. Where keys have an order, none has an
-    /// entry of its own, and a stretch of busy neighbours shows in the loads of its slots or nowhere: of
-    /// a report over 1 s with 30 requests, the 16 heaviest keys may carry most.
+    /// Adds the load of each key to its slot and removes the keys. In services with ordered keys no key has an entry
+    /// of its own, so a range of busy neighbouring keys is visible only in the loads of its slots. The keys of a
+    /// report may hold most of its load: the 16 heaviest keys do so in a report over 1 s with 30 requests.
     pub(crate) fn attribute_keys_to_slots(self, slot_count: SlotCount) -> LoadReport {
         let mut slots: BTreeMap<_, SlotLoad> = self.slots.iter().map(|it| (it.slot, *it)).collect();
         for it in &self.keys {
@@ -48,7 +48,7 @@
         LoadReport { slots: slots.into_values().collect(), keys: Vec::new(), ..self }
     }
 
-    /// Keeps the heaviest entries only.
+    /// Truncates the report to its heaviest slots and keys.
     pub(crate) fn keep_heaviest(mut self) -> LoadReport {
         self.slots.sort_by_key(|it| std::cmp::Reverse(it.load_us));
         self.slots.truncate(REPORT_SLOTS_MAX);
