--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Who owns which slot: terms, leases, plans, handover and rebalance of one group.
+//! Ownership of slots within one group: terms, leases, plans, handover and rebalancing.
 //!
-//! Invariant of the architecture: no I/O, no clock, no threads, no ambient randomness. A
-//! [`Node`] takes the time, one [`Input`] and its own seeded generator, changes its tables and
-//! returns [`Output`]s. Whoever drives it carries these out.
+//! Architecture invariant: this crate has no I/O, no clock, no threads and no ambient randomness. A [`Node`] takes
+//! the time and one [`Input`], draws from its own seeded generator, updates its state and returns [`Output`]s, which
+//! the caller carries out.
 
 mod coordinator;
 mod ctx;
