--- a/crates/ownership/src/object.rs
+++ b/crates/ownership/src/object.rs
@@ -1,4 +1,4 @@
-//! The objects that a group keeps in the platform.
+//! Objects that a group stores in the platform's object store.
 
 use model::{GroupId, Instance, KeyHash, ObjectVersion, ServiceName, Slot, SlotCount, Term, Token};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
     Platform,
 }
 
-/// `coordinators/S/G`: who holds the term of a group.
+/// Object `coordinators/{service}/{group}`: the current term of a group and its holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -20,32 +20,34 @@
     pub service: ServiceName,
     pub group: GroupId,
     pub term: Term,
+    /// `None` after the coordinator has released the term.
     pub holder: Option<Instance>,
-    /// Drawn anew for each update, so that a lost answer can be settled by reading.
+    /// Random for each update, so that after a lost reply a read shows whether the update took effect.
     pub nonce: u64,
     pub witnesses: Vec<Instance>,
     pub confirmation: Confirmation,
-    /// No earlier term can renew or grant any more.
+    /// Whether earlier terms can no longer renew or grant leases.
     pub settled: bool,
     pub times: TermTimes,
-    /// The era of the platform in which this was written; see [`Coordinator::is_rolled_back`].
+    /// Era of the platform in which this object was written; see [`Coordinator::is_rolled_back`].
     #[serde(default, skip_serializing_if = "is_zero")]
     pub era: u64,
-    /// The platform has lost what earlier terms wrote last, and some of them may be at work that no object names.
+    /// Whether the platform has lost the last writes of earlier terms, so that terms may be active that no object
+    /// names.
     #[serde(default, skip_serializing_if = "is_false")]
     pub history_lost: bool,
 }
 
 impl Coordinator {
-    /// Whether the platform has come back from an older copy since this was written: later states of the object may
-    /// have been lost.
+    /// Returns whether the platform was rolled back (restored from an older snapshot) after this was written, so that
+    /// later states of the object may have been lost.
     pub fn is_rolled_back(&self, version: ObjectVersion) -> bool {
         self.era < version.era()
     }
 }
 
-/// The longest times that this term, and every earlier one still at work, goes by. A successor
-/// that waits for an earlier term to end goes by these and not by its own document.
+/// Longest timeouts in use by this term and by every earlier term that may still be active. A new coordinator that
+/// waits for an earlier term to end uses these and not the ones from its own document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -57,19 +59,19 @@
     pub platform_absence_max_ms: u32,
 }
 
-/// One slot of a [`Plan`].
+/// Planned owner and successors of one slot in a [`Plan`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanSlot {
     pub slot: Slot,
-    /// Index into [`Plan::members`]; none while the group has no member for it.
+    /// Index into [`Plan::members`]; `None` while no member can own the slot.
     pub owner: Option<u16>,
-    /// Indexes into [`Plan::members`], first choice first.
+    /// Indices into [`Plan::members`], in order of preference.
     pub successors: Vec<u16>,
 }
 
-/// A key hot enough for an owner of its own, apart from its slot.
+/// Key with enough load to have an owner of its own, which may differ from its slot's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -79,14 +81,14 @@
     pub successors: Vec<u16>,
 }
 
-/// `plans/S/G`: for each slot the planned owner and its successors.
+/// Object `plans/{service}/{group}`: the planned owner and successors of each slot and hot key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub service: ServiceName,
     pub group: GroupId,
-    /// Rises with each update, over all terms.
+    /// Version that rises with each update, across terms.
     pub version: u64,
     pub term: Term,
     pub nonce: u64,
@@ -94,15 +96,15 @@
     pub members: Vec<Instance>,
     pub slots: Vec<PlanSlot>,
     pub hot_keys: Vec<HotKey>,
-    /// The token that grants may not fall below.
+    /// Lower bound for the tokens of new grants.
     pub token_floor: Token,
-    /// The era of the platform in which this was written.
+    /// Era of the platform in which this object was written.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub era: u64,
 }
 
 impl Plan {
-    /// Whether the platform has come back from an older copy since this was written.
+    /// Returns whether the platform was rolled back (restored from an older snapshot) after this was written.
     pub fn is_rolled_back(&self, version: ObjectVersion) -> bool {
         self.era < version.era()
     }
