--- a/crates/ownership/src/message/mod.rs
+++ b/crates/ownership/src/message/mod.rs
@@ -1,8 +1,8 @@
-//! What the nodes of one group say to each other.
+//! Messages between the nodes of one group.
 //!
-//! Commands to a member and reports of a member are streams: numbered from 1 within one session
-//! and term, repeated until heard, applied in order. So loss, delay, reordering and duplication
-//! of messages cannot change what a stream says.
+//! Commands to a member and reports from a member are ordered streams: entries are numbered from 1 within one
+//! session and term, resent until acknowledged, and applied in order. Loss, delay, reordering and duplication of
+//! messages therefore do not affect the result.
 
 use std::sync::Arc;
 
@@ -10,62 +10,65 @@
 
 use crate::{LoadReport, UpstreamState};
 
-/// Numbers the sessions of one incarnation of a member; only rises.
+/// Number of a session within one incarnation of a member; it only rises.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u32);
 
 impl SessionId {
-    /// The session that each incarnation begins with.
+    /// First session of each incarnation.
     pub const FIRST: SessionId = SessionId(1);
 }
 
-/// A message between two nodes of one group. Each names the sender's term.
+/// Message between two nodes of one group. Each carries the highest term that its sender has seen.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Ask any member of the group who coordinates it.
+    /// Asks any member of the group for the current coordinator.
     CoordinatorQuery {
         term: Term,
     },
-    /// The answer to that, and how long ago the sender last heard from the coordinator.
+    /// Reply to [`Message::CoordinatorQuery`].
     CoordinatorReply {
         term: Term,
         coordinator: Option<Instance>,
+        /// Time since the sender last received a message from the coordinator.
         silence_ms: u32,
     },
-    /// The sender holds this term: say what you hold (with [`Message::Renew`]).
+    /// Announces the sender as the holder of this term; members reply with [`Message::Renew`] and list their
+    /// holdings.
     Announce {
         term: Term,
     },
-    /// The sender has given this term up.
+    /// Announces that the sender has released this term.
     Released {
         term: Term,
     },
-    /// Ask a witness whether it has heard of a higher term.
+    /// Asks a witness for the highest term that it has seen, as a confirmation of the sender's term.
     WitnessQuery {
         term: Term,
         number: u64,
     },
-    /// The highest term that the witness has heard of; it will confirm no lower one.
+    /// Highest term that the witness has seen; it confirms no lower term afterwards.
     WitnessReply {
         term: Term,
+        /// Number of the query that this replies to.
         number: u64,
-        /// Whether it has read the platform's object since it started, and so knows of every term that
-        /// an earlier life of it has confirmed.
+        /// Whether the witness has read the coordinator object from the platform since it started, and so has seen
+        /// every term that an earlier incarnation of it confirmed.
         has_read: bool,
     },
     Renew(Box<Renew>),
     Renewed(Box<Renewed>),
-    /// This session holds nothing any more: a new one has to be started.
+    /// The coordinator has ended this session: the member no longer holds anything and has to start a new session.
     SessionEnded {
         term: Term,
         session: SessionId,
     },
-    /// The sender of a [`Message::Renew`] asked a node that does not coordinate.
+    /// Reply to a [`Message::Renew`] that was sent to a node other than the coordinator.
     NotCoordinator {
         term: Term,
         coordinator: Option<Instance>,
     },
-    /// The group has its largest number of members already.
+    /// The group already has the maximum number of members.
     JoinRefused {
         term: Term,
     },
@@ -89,59 +92,60 @@
     }
 }
 
-/// A member renews its lease, or joins.
+/// Request of a member to renew its lease or to join the group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Renew {
     pub term: Term,
     pub session: SessionId,
-    /// Rises with each renewal of one incarnation.
+    /// Number that rises with each renewal of one incarnation.
     pub sequence: u64,
     pub upstream: UpstreamState,
-    /// The member stops: it is to be given nothing, and dismissed once it holds nothing.
+    /// Whether the member is stopping: it must be granted nothing and may stop once it holds nothing.
     pub leaving: bool,
-    /// The version of the service's document that the member has in force.
+    /// Version of the service's document that the member has in force.
     pub config: ConfigVersion,
-    /// The last command that has been applied.
+    /// Number of the last command that the member has applied.
     pub applied: u64,
-    /// The number of the first of `reports`.
+    /// Number of the first entry of `reports`.
     pub first_report: u64,
     pub reports: Vec<Report>,
-    /// What the member holds; until the coordinator of this term has first answered.
+    /// Everything the member holds; sent until the coordinator of this term has replied for the first time.
     pub holding: Option<Holding>,
     pub load: Option<LoadReport>,
     pub route_version: u64,
 }
 
-/// All that a session holds.
+/// Slots and hot keys that a session holds.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Holding {
-    /// An earlier session of this incarnation ended less than a lease ago, so that its upstream
-    /// may still be running something of it.
+    /// Whether an earlier session of this incarnation ended so recently that the upstream may still be executing its
+    /// requests.
     pub recently_lapsed: bool,
     pub slots: Vec<HeldSlot>,
     pub keys: Vec<HeldKey>,
-    /// Hot keys refused though their slot is held.
+    /// Hot keys that the member refuses although it holds their slot.
     pub excluded: Vec<KeyHash>,
 }
 
-/// A slot that a member holds.
+/// Slot that a member holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldSlot {
     pub slot: Slot,
     pub token: Token,
-    /// Nothing more is admitted, but something may still be in flight.
+    /// Whether the slot is closing: no request is admitted, but some may still be in flight.
     pub closing: bool,
 }
 
-/// A hot key that a member holds by an entry of its own, or is giving up.
+/// Hot key that a member holds under an entry of its own, or is closing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldKey {
     pub key_hash: KeyHash,
     pub token: Token,
+    /// Whether the key is closing: no request is admitted, but some may still be in flight.
     pub closing: bool,
 }
 
-/// What a member has done.
+/// Completion of a command, reported by a member to the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Report {
     Prepared {
@@ -156,34 +160,34 @@
         key_hash: KeyHash,
         token: Token,
     },
-    /// The upstream holds nothing that it was granted under a token up to this one.
+    /// The upstream no longer holds anything that it was granted under a token up to this one.
     Cleared {
         token: Token,
     },
 }
 
-/// The coordinator's answer to a renewal; also sent again when there are new commands.
+/// Reply of the coordinator to a renewal; sent again when there are new commands.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Renewed {
     pub term: Term,
     pub session: SessionId,
-    /// The renewal that this answers; the lease counts from when that was sent.
+    /// Sequence number of the renewal that this replies to; the lease starts when that was sent.
     pub sequence: u64,
     pub lease_ms: u32,
-    /// The last report that has been heard.
+    /// Number of the last report that the coordinator has received.
     pub last_report: u64,
-    /// The number of the first of `commands`.
+    /// Number of the first entry of `commands`.
     pub first_command: u64,
     pub commands: Vec<Command>,
-    /// Shared by all that are told the same.
+    /// Changed routes, shared by all members that receive the same changes.
     pub routes: Option<Arc<Routes>>,
-    /// The highest version of the document that any member has in force.
+    /// Highest version of the document that any member has in force.
     pub config: ConfigVersion,
-    /// The member holds nothing and will be given nothing.
+    /// Whether the stopping member holds nothing and will be granted nothing.
     pub can_stop: bool,
 }
 
-/// What a member is to do.
+/// Command from the coordinator to a member; see [`crate::GateCommand`] for the effect of each at the gate.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     Prepare {
@@ -215,37 +219,37 @@
         token: Token,
         to: Option<Instance>,
     },
-    /// Have the upstream give up what earlier sessions or lives of the member granted it, all of it under tokens up
-    /// to this one.
+    /// Has the upstream release everything that earlier sessions or incarnations of the member granted it, all under
+    /// tokens up to this one.
     Clear {
         token: Token,
     },
 }
 
-/// Changes of the group's table of owners since the receiver's version.
+/// Changes to the group's table of owners since the receiver's version.
 ///
-/// A coordinator numbers its members, and all else names them by these numbers: what a change costs follows
-/// what has changed, and not how many members there are.
+/// The coordinator numbers its members and all entries refer to these numbers, so the size of an update depends on
+/// the number of changes and not on the number of members.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Routes {
-    /// The version that these are changes of; below the first one of the term: all.
+    /// Version that the changes apply to. If it is below the first version of the term, this is the whole table.
     pub since: u64,
-    /// The receiver's version once these have been taken in.
+    /// Version of the receiver's table after applying the changes.
     pub version: u64,
-    /// Numbers that name nobody any more; taken in before all else, for a later member may have one of them.
+    /// Numbers of members that have left. Applied first, because a new member may reuse a number.
     pub removed: Vec<MemberNumber>,
     pub joined: Vec<RouteMember>,
-    /// Members that have joined before, and have changed.
+    /// Members that joined earlier and whose status has changed.
     pub changed: Vec<RouteMemberChange>,
     pub slots: Vec<RouteRange>,
     pub keys: Vec<RouteKey>,
 }
 
-/// Names a member in the routes of one term.
+/// Number of a member in the routes of one term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberNumber(pub u16);
 
-/// A member, as its coordinator last heard of it.
+/// Member that has joined, with the status that it last reported to the coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteMember {
     pub number: MemberNumber,
@@ -253,14 +257,14 @@
     pub status: MemberStatus,
 }
 
-/// A member that the receiver knows, as its coordinator last heard of it.
+/// Changed status of a member that the receiver already has in its table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteMemberChange {
     pub number: MemberNumber,
     pub status: MemberStatus,
 }
 
-/// What may change of a member.
+/// Properties of a member that may change while it is in the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
     pub state: UpstreamState,
@@ -268,33 +272,33 @@
     pub config: ConfigVersion,
 }
 
-/// Who owns neighbouring slots.
+/// Range of consecutive slots, `first` to `last` inclusive, that have the same owner, token and successors.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRange {
     pub first: Slot,
     pub last: Slot,
     pub owner: Option<MemberNumber>,
     pub token: Token,
-    /// Empty where so many members make the routes too long.
+    /// Left empty in groups with so many members that the routes would become too long.
     pub successors: Vec<MemberNumber>,
 }
 
 impl RouteRange {
-    /// Takes the next run in if it goes on where this one ends and all else is the same; says whether it
-    /// did.
+    /// Extends this range by `next` if `next` starts right after it and has the same owner, token and successors.
+    /// Returns whether it did.
     pub(crate) fn try_extend(&mut self, next: &RouteRange) -> bool {
-        let alike = self.last.0.checked_add(1) == Some(next.first.0)
+        let is_continuation = self.last.0.checked_add(1) == Some(next.first.0)
             && self.owner == next.owner
             && self.token == next.token
             && self.successors == next.successors;
-        if alike {
+        if is_continuation {
             self.last = next.last;
         }
-        alike
+        is_continuation
     }
 }
 
-/// Who owns a hot key; none: it follows its slot.
+/// Owner of a hot key; without an owner the key belongs to the owner of its slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteKey {
     pub key_hash: KeyHash,
