--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What a node makes of a message, by its part in the group.
+//! Handling of messages from other nodes of the group.
 
 use std::time::Duration;
 
@@ -13,23 +13,25 @@
 
 use super::Node;
 
-/// How long a member waits that has been refused for want of room.
-const JOIN_AGAIN_AFTER: Duration = Duration::from_secs(5);
+/// Delay before a member retries to join a group that was full.
+const JOIN_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 impl Node {
-    pub(super) fn message(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: Message) {
-        self.learn_from(ctx, from, &message);
-        self.heard(ctx, from);
+    pub(super) fn handle_message(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: Message) {
+        self.update_known_term_from(ctx, from, &message);
+        self.record_contact(ctx, from);
         let known = self.known.term;
-        let earlier = message.term() < known && !rules::is_enforced(Rule::RefuseEarlierTerms);
-        let of_coordinator = earlier || (message.term() == known && self.is_coordinator(from));
-        if of_coordinator {
-            self.known.in_person = true;
+        let accepts_earlier =
+            message.term() < known && !rules::is_enforced(Rule::RefuseEarlierTerms);
+        let from_coordinator =
+            accepts_earlier || (message.term() == known && self.is_coordinator(from));
+        if from_coordinator {
+            self.known.has_direct_contact = true;
         }
         match message {
-            Message::CoordinatorQuery { .. } => self.tell_coordinator(ctx, from),
+            Message::CoordinatorQuery { .. } => self.reply_coordinator(ctx, from),
             Message::CoordinatorReply { term, silence_ms, coordinator } if term == known => {
-                self.coordinator_heard_by_other(ctx, coordinator.as_ref(), silence_ms);
+                self.defer_takeover(ctx, coordinator.as_ref(), silence_ms);
             }
             Message::CoordinatorReply { .. } => {}
             Message::WitnessQuery { number, .. } => {
@@ -45,34 +47,34 @@
                     coordination.handle_message(ctx, from, &message);
                 }
             }
-            Message::NotCoordinator { .. } if of_coordinator => self.vacate(),
+            Message::NotCoordinator { .. } if from_coordinator => self.mark_vacant(),
             Message::NotCoordinator { .. } => {}
-            // Of an earlier term: its sender does not know yet.
-            _ if message.term() < known && !earlier => self.tell_coordinator(ctx, from),
-            _ if !of_coordinator => {}
+            // The message is from an earlier term: its sender has not seen the current one yet.
+            _ if message.term() < known && !accepts_earlier => self.reply_coordinator(ctx, from),
+            _ if !from_coordinator => {}
             Message::Announce { .. } => {
-                self.known.heard_at = ctx.now;
+                self.known.last_contact_at = ctx.now;
                 if !self.member.is_adopted() {
                     self.renew_now(ctx);
                 }
             }
-            Message::Released { .. } => self.vacate(),
+            Message::Released { .. } => self.mark_vacant(),
             Message::Renewed(answer) => {
-                self.known.heard_at = ctx.now;
+                self.known.last_contact_at = ctx.now;
                 let own = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
                 self.member.renewed(ctx, &answer, own);
             }
             Message::SessionEnded { session, .. } => self.member.session_ended(ctx, session),
             Message::JoinRefused { .. } => {
-                self.known.heard_at = ctx.now;
-                Member::retry_after(&mut self.member, ctx.now + JOIN_AGAIN_AFTER);
+                self.known.last_contact_at = ctx.now;
+                Member::retry_after(&mut self.member, ctx.now + JOIN_RETRY_DELAY);
                 ctx.event(Event::JoinRefused { member: ctx.own_instance().clone() });
             }
         }
     }
 
-    /// Any message may carry the news of a higher term.
-    fn learn_from(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
+    /// Updates the known term and coordinator from a message; any message may carry a higher term.
+    fn update_known_term_from(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
         let coordinator = match message {
             Message::Announce { .. }
             | Message::WitnessQuery { .. }
@@ -86,21 +88,21 @@
             | Message::WitnessReply { .. }
             | Message::Renew(_) => None,
         };
-        self.learn(ctx, message.term(), coordinator);
+        self.update_known_term(ctx, message.term(), coordinator);
     }
 
-    fn tell_coordinator(&mut self, ctx: &mut Ctx<'_>, to: &Instance) {
-        let silent = ctx.now.since(self.known.heard_at);
+    fn reply_coordinator(&mut self, ctx: &mut Ctx<'_>, to: &Instance) {
+        let silence = ctx.now.since(self.known.last_contact_at);
         let message = Message::CoordinatorReply {
             term: self.known.term,
             coordinator: self.known.coordinator.clone(),
-            silence_ms: u32::try_from(silent.as_millis()).unwrap_or(u32::MAX),
+            silence_ms: u32::try_from(silence.as_millis()).unwrap_or(u32::MAX),
         };
         ctx.send(to, message);
     }
 
-    /// Nobody holds the term that is known any more.
-    fn vacate(&mut self) {
+    /// Marks the known term as vacant after its holder has released it.
+    fn mark_vacant(&mut self) {
         if self.coordination.is_none() {
             self.known.coordinator = None;
             self.known.vacant = true;
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One agent's part in one group: member, witness and, while it holds the term, coordinator.
+//! State machine of one agent in one group: member, witness and, while it holds the term, coordinator.
 
 mod messages;
 mod stop;
@@ -21,38 +21,38 @@
 
 use self::{stop::Stop, takeover::Takeover};
 
-/// What a node is made from.
+/// Configuration of a [`Node`].
 #[derive(Debug, Clone)]
 pub struct NodeConfig {
     pub instance: Instance,
     pub service: ServiceName,
     pub group: GroupId,
-    /// Of one that is not divided by key: any.
+    /// Number of slots; unused for services that are not divided by key.
     pub slot_count: SlotCount,
-    /// Whether the service is divided by key. If not, nothing is granted, and the members in the
-    /// view are the product.
+    /// Whether the service is divided by key. Otherwise nothing is granted, and the node only maintains the list of
+    /// members in its view.
     pub keyed: bool,
-    /// Whether the order of slots means something: neighbours are granted together then.
+    /// Whether the keys have an order that the slots follow; neighbouring slots are then granted together.
     pub ordered: bool,
     pub limits: Limits,
-    /// Seeds the node's own generator (nonces, jitter).
+    /// Seed of the node's random generator, which draws nonces and jitter.
     pub seed: u64,
-    /// Addresses at which to ask for the coordinator while the platform is down; may be empty.
+    /// Peers to query for the coordinator while the platform is unavailable; may be empty.
     pub peers: Vec<Instance>,
 }
 
-/// Who owns a slot or a hot key, as far as a node knows.
+/// Owner of a slot or a hot key in a node's view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerView {
     pub slot: Slot,
-    /// Set where the entry is that of one hot key.
+    /// Hot key that the entry is for; `None` for the entry of a slot.
     pub key_hash: Option<KeyHash>,
     pub owner: Option<Instance>,
     pub token: Option<Token>,
     pub successors: Vec<Instance>,
 }
 
-/// What a node knows, for routes and the status.
+/// View of a group by one node, used for routing and the status page.
 #[derive(Debug, Clone, Default)]
 pub struct NodeView {
     pub term: Term,
@@ -60,16 +60,16 @@
     pub is_coordinator: bool,
     pub settled: bool,
     pub plan_version: u64,
-    /// Rises whenever an owner changes; members learn it from the coordinator.
+    /// Version that rises with each change of an owner; members receive it from the coordinator.
     pub route_version: u64,
     pub owners: Vec<OwnerView>,
     /// All live members, also for services that are not divided by key.
     pub members: Vec<MemberView>,
-    /// The highest accepted version of the document heard of in the group.
+    /// Highest version of the document that any member of the group has in force.
     pub config: ConfigVersion,
 }
 
-/// A member as its coordinator last heard of it.
+/// Member of the group, with the status that it last reported to the coordinator.
 #[derive(Debug, Clone)]
 pub struct MemberView {
     pub instance: Instance,
@@ -78,33 +78,38 @@
     pub config: ConfigVersion,
 }
 
-/// The highest term that a node has heard of, and who holds it. As a witness, a node keeps nothing
-/// else.
+/// Highest term that a node has seen, and its holder. This is all the state that a witness keeps.
 #[derive(Debug)]
-struct Known {
+struct KnownTerm {
     term: Term,
     coordinator: Option<Instance>,
-    /// The holder has given the term up, or is not who it was taken for.
+    /// Whether the holder has released the term, or has turned out not to hold it.
     vacant: bool,
-    /// The holder itself has been heard in this term, not only of it.
-    in_person: bool,
-    /// When the coordinator was last known to be at work.
-    heard_at: Timestamp,
+    /// Whether this node has received a message from the holder itself in this term, not only reports by others.
+    has_direct_contact: bool,
+    /// Time of the last evidence that the coordinator is active.
+    last_contact_at: Timestamp,
 }
 
-impl Known {
-    fn new(term: Term, coordinator: Option<Instance>, now: Timestamp) -> Known {
-        Known { term, coordinator, vacant: false, in_person: false, heard_at: now }
+impl KnownTerm {
+    fn new(term: Term, coordinator: Option<Instance>, now: Timestamp) -> KnownTerm {
+        KnownTerm {
+            term,
+            coordinator,
+            vacant: false,
+            has_direct_contact: false,
+            last_contact_at: now,
+        }
     }
 }
 
-/// The state machine of one agent in one group.
+/// State machine of one agent in one group.
 pub struct Node {
     config: Arc<NodeConfig>,
     rng: Pcg64Mcg,
     last_call: CallId,
     last_step: Timestamp,
-    known: Known,
+    known: KnownTerm,
     member: Member,
     takeover: Takeover,
     coordination: Option<Coordination>,
@@ -114,7 +119,7 @@
 impl Node {
     pub fn new(config: NodeConfig, now: Timestamp) -> Node {
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
-        let known = Known::new(Term(0), None, now);
+        let known = KnownTerm::new(Term(0), None, now);
         Node {
             config: Arc::new(config),
             rng,
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done to `out`.
+    /// Handles one input and appends the resulting outputs to `out`, in the order in which to carry them out.
     pub fn step(&mut self, now: Timestamp, input: Input, out: &mut Vec<Output>) {
         if self.stop.is_done() {
             return;
@@ -150,32 +155,32 @@
             out,
         };
         if paused {
-            self.paused(&mut ctx);
+            self.handle_pause(&mut ctx);
         }
         self.member.expire(&mut ctx);
-        self.input(&mut ctx, input);
+        self.handle_input(&mut ctx, input);
         self.extend_own_lease(&mut ctx);
         while let Some(message) = ctx.self_messages.pop_front() {
-            self.message(&mut ctx, &config.instance, message);
+            self.handle_message(&mut ctx, &config.instance, message);
             self.extend_own_lease(&mut ctx);
         }
         self.rng = ctx.rng.clone();
         self.last_call = *ctx.last_call;
     }
 
-    /// What was held or proved before a pause counts no more, whatever it says.
-    fn paused(&mut self, ctx: &mut Ctx<'_>) {
-        self.member.end_session(ctx, "pause");
+    /// Ends the session and resets the coordinator's confirmation: after a pause neither can be relied on.
+    fn handle_pause(&mut self, ctx: &mut Ctx<'_>) {
+        self.member.end_session(ctx, "process pause detected");
         if let Some(coordination) = &mut self.coordination {
             coordination.reset_confirmation(ctx.now);
         }
     }
 
-    fn input(&mut self, ctx: &mut Ctx<'_>, input: Input) {
+    fn handle_input(&mut self, ctx: &mut Ctx<'_>, input: Input) {
         let report: Option<Report> = match input {
             Input::Tick => return self.tick(ctx),
-            Input::Message { from, message } => return self.message(ctx, &from, message),
-            Input::Platform { call, reply } => return self.platform(ctx, call, &reply),
+            Input::Message { from, message } => return self.handle_message(ctx, &from, message),
+            Input::Platform { call, reply } => return self.handle_reply(ctx, call, &reply),
             Input::Load(report) => return self.member.load(report),
             Input::Limits(_) => return,
             Input::Config(version) => {
@@ -188,7 +193,7 @@
                 return self.renew_now(ctx);
             }
             Input::Suspended => {
-                self.paused(ctx);
+                self.handle_pause(ctx);
                 return self.renew_now(ctx);
             }
             Input::DropSession { reason } => {
@@ -204,13 +209,13 @@
                 let holdings = &mut self.member.holdings;
                 let reports = slots.into_iter().filter_map(|it| holdings.closed(ctx, it.0, it.1));
                 let reports: Vec<Report> = reports.collect();
-                return self.report_all(ctx, reports);
+                return self.send_reports(ctx, reports);
             }
             Input::PreparedSlots(slots) => {
                 let holdings = &mut self.member.holdings;
                 let reports = slots.into_iter().filter_map(|it| holdings.prepared(it.0, it.1));
                 let reports: Vec<Report> = reports.collect();
-                return self.report_all(ctx, reports);
+                return self.send_reports(ctx, reports);
             }
             Input::Cleared { token } => self.member.holdings.cleared(token),
             Input::Prepared { slot, token } => self.member.holdings.prepared(slot, token),
@@ -219,10 +224,10 @@
                 self.member.holdings.key_closed(ctx, key_hash, token)
             }
         };
-        self.report_all(ctx, report.into_iter().collect());
+        self.send_reports(ctx, report.into_iter().collect());
     }
 
-    fn report_all(&mut self, ctx: &mut Ctx<'_>, reports: Vec<Report>) {
+    fn send_reports(&mut self, ctx: &mut Ctx<'_>, reports: Vec<Report>) {
         if reports.is_empty() {
             return;
         }
@@ -241,24 +246,24 @@
     fn tick(&mut self, ctx: &mut Ctx<'_>) {
         match self.coordination.as_ref().map(|it| it.reacquisition(ctx)) {
             None | Some(Reacquisition::NotDue) => {}
-            // It goes on with this one until it has the next.
-            Some(Reacquisition::WithState(_)) => self.takeover.take_again(ctx.now),
+            // The coordinator continues with this term until it has acquired the next one.
+            Some(Reacquisition::WithState(_)) => self.takeover.retake_term(ctx.now),
             Some(Reacquisition::WithoutState) => {
                 self.lose_term(ctx);
-                self.takeover.take_again(ctx.now);
+                self.takeover.retake_term(ctx.now);
             }
         }
         if let Some(coordination) = &mut self.coordination {
             coordination.tick(ctx);
-            self.known.heard_at = ctx.now;
+            self.known.last_contact_at = ctx.now;
         }
         self.member.tick(ctx, self.known.term, self.known.coordinator.as_ref());
         self.tick_takeover(ctx);
         self.tick_stop(ctx);
     }
 
-    fn platform(&mut self, ctx: &mut Ctx<'_>, call: CallId, reply: &PlatformReply) {
-        if self.platform_takeover(ctx, call, reply) {
+    fn handle_reply(&mut self, ctx: &mut Ctx<'_>, call: CallId, reply: &PlatformReply) {
+        if self.handle_takeover_reply(ctx, call, reply) {
             return;
         }
         let Some(coordination) = &mut self.coordination else { return };
@@ -267,11 +272,11 @@
             TermState::Lost => self.lose_term(ctx),
             TermState::HigherTermFound(term) => {
                 self.lose_term(ctx);
-                self.learn(ctx, term, None);
+                self.update_known_term(ctx, term, None);
                 self.known.vacant = true;
             }
-            TermState::Released => self.released(ctx),
-            // The tick sees to it, once it is known what to take along.
+            TermState::Released => self.finish_release(ctx),
+            // The next tick starts a takeover, once it is known which state to carry over.
             TermState::RolledBack => {}
         }
     }
@@ -283,7 +288,7 @@
         }
     }
 
-    /// Takes the term that an update has won.
+    /// Becomes the coordinator of an acquired term, unless a higher one has been seen meanwhile.
     fn become_coordinator(&mut self, ctx: &mut Ctx<'_>, acquired: AcquiredTerm) {
         let term = acquired.object.term;
         let newer = term > self.known.term;
@@ -294,12 +299,12 @@
         let known = members.chain(self.known.coordinator.clone()).collect();
         self.lose_term(ctx);
         let coordinator = Some(ctx.own_instance().clone());
-        self.known = Known::new(term, coordinator, ctx.now);
+        self.known = KnownTerm::new(term, coordinator, ctx.now);
         self.member.follow_term(ctx.now);
         self.coordination = Some(Coordination::new(ctx, acquired, known));
     }
 
-    /// This node coordinates no more; its member part goes on.
+    /// Stops coordinating; the node remains a member.
     fn lose_term(&mut self, ctx: &mut Ctx<'_>) {
         let Some(coordination) = self.coordination.take() else { return };
         let term = coordination.term();
@@ -310,13 +315,13 @@
         }
     }
 
-    /// A higher term has been heard of, or who holds the one that is known.
-    fn learn(&mut self, ctx: &mut Ctx<'_>, term: Term, coordinator: Option<&Instance>) {
+    /// Adopts a higher term, or the holder of the known term if it was unknown.
+    fn update_known_term(&mut self, ctx: &mut Ctx<'_>, term: Term, coordinator: Option<&Instance>) {
         let coordinator =
             coordinator.filter(|it| !is_same_incarnation(it, ctx.own_instance())).cloned();
         if term > self.known.term {
-            self.known = Known::new(term, coordinator, ctx.now);
-            self.takeover.again = false;
+            self.known = KnownTerm::new(term, coordinator, ctx.now);
+            self.takeover.retake = false;
             if self.coordination.as_ref().is_some_and(|it| it.term() < term) {
                 self.lose_term(ctx);
             }
@@ -327,7 +332,7 @@
             && coordinator.is_some()
         {
             self.known.coordinator = coordinator;
-            self.known.heard_at = ctx.now;
+            self.known.last_contact_at = ctx.now;
             self.member.follow_term(ctx.now);
         }
     }
@@ -336,7 +341,7 @@
         self.known.coordinator.as_ref().is_some_and(|it| is_same_incarnation(it, instance))
     }
 
-    /// Brings a view up to date; owners and members are made anew only if they have changed.
+    /// Updates a view; owners and members are rebuilt only if the routes have changed.
     pub fn refresh(&self, view: &mut NodeView) {
         if self.member.routes.version != view.route_version {
             *view = self.view();
@@ -346,12 +351,12 @@
         *view = NodeView {
             owners: std::mem::take(&mut view.owners),
             members: std::mem::take(&mut view.members),
-            ..self.light_view(coordination)
+            ..self.summary_view(coordination)
         };
     }
 
-    /// What changes often.
-    fn light_view(&self, coordination: Option<&Coordination>) -> NodeView {
+    /// Returns a view without owners and members, which is cheap to build.
+    fn summary_view(&self, coordination: Option<&Coordination>) -> NodeView {
         NodeView {
             term: self.known.term,
             coordinator: self.known.coordinator.clone(),
@@ -365,13 +370,13 @@
         }
     }
 
-    /// The current view, made anew.
+    /// Builds the current view.
     pub fn view(&self) -> NodeView {
         let slot_count = self.config.slot_count;
         NodeView {
             owners: self.member.routes.owners(|it| slot_count.slot_of(it)),
             members: self.member.routes.member_views(),
-            ..self.light_view(self.coordination.as_ref())
+            ..self.summary_view(self.coordination.as_ref())
         }
     }
 }
--- a/crates/ownership/src/node/stop.rs
+++ b/crates/ownership/src/node/stop.rs
@@ -1,4 +1,4 @@
-//! The graceful stop: everything is handed over, the term last.
+//! Graceful stop of a node: hands over all slots first, then releases the term.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use super::Node;
 
-/// After this long a node closes what it holds by itself.
-const HANDOVER_PATIENCE: Duration = Duration::from_secs(8);
-/// How long a node waits that holds nothing and has no coordinator to tell so.
-const ALONE_FOR: Duration = Duration::from_secs(1);
-/// How long the update that gives the term up may take.
-const RELEASE_MAX: Duration = Duration::from_secs(2);
+/// Time that the coordinator has to hand over the node's slots before the node closes them itself.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time that a node without slots and without a coordinator waits before it stops.
+const NO_COORDINATOR_WAIT: Duration = Duration::from_secs(1);
+/// Time that the update that releases the term may take.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How far a graceful stop has come.
+/// Progress of a graceful stop.
 #[derive(Debug, Default)]
 pub(super) struct Stop {
     since: Option<Timestamp>,
@@ -41,40 +41,43 @@
     pub(super) fn tick_stop(&mut self, ctx: &mut Ctx<'_>) {
         let Some(since) = self.stop.since else { return };
         let waited = ctx.now.since(since);
-        if waited > HANDOVER_PATIENCE {
+        if waited > HANDOVER_TIMEOUT {
             self.member.holdings.close_all(ctx);
         }
-        let gave_up = waited > HANDOVER_PATIENCE + ctx.limits().handover_max;
+        let timed_out = waited > HANDOVER_TIMEOUT + ctx.limits().handover_max;
         if self.coordination.is_some() {
-            self.stop_coordinating(ctx, gave_up);
+            self.stop_coordinating(ctx, timed_out);
             return;
         }
         let empty = self.member.holdings.is_empty();
-        let alone = self.known.coordinator.is_none() || !self.member.has_lease();
-        if self.member.can_stop || (empty && alone && waited > ALONE_FOR) || gave_up {
-            self.stopped(ctx);
+        let no_coordinator = self.known.coordinator.is_none() || !self.member.has_lease();
+        if self.member.can_stop
+            || (empty && no_coordinator && waited > NO_COORDINATOR_WAIT)
+            || timed_out
+        {
+            self.finish_stop(ctx);
         }
     }
 
-    /// The term is given up when this node holds nothing, and all others who leave have left.
-    fn stop_coordinating(&mut self, ctx: &mut Ctx<'_>, gave_up: bool) {
+    /// Releases the term once this node holds nothing and all other leaving members have stopped, or on a time-out.
+    fn stop_coordinating(&mut self, ctx: &mut Ctx<'_>, timed_out: bool) {
         let Some(coordination) = &mut self.coordination else { return };
-        let own_part_done =
+        let is_drained =
             self.member.holdings.is_empty() && (self.member.can_stop || !self.member.has_lease());
-        let others_done = !coordination.has_other_leaving_member(ctx.own_instance());
-        let ready = own_part_done && others_done;
-        if !ready && !gave_up {
+        let others_stopped = !coordination.has_other_leaving_member(ctx.own_instance());
+        let ready = is_drained && others_stopped;
+        if !ready && !timed_out {
             return;
         }
         let release_since = *self.stop.release_since.get_or_insert(ctx.now);
         coordination.release_term(ctx);
-        if ctx.now.since(release_since) > RELEASE_MAX {
-            self.released(ctx);
+        if ctx.now.since(release_since) > RELEASE_TIMEOUT {
+            self.finish_release(ctx);
         }
     }
 
-    /// The term is given up, or there is no time left to wait for that.
-    pub(super) fn released(&mut self, ctx: &mut Ctx<'_>) {
+    /// Announces the released term to the members and stops, also if the release has not been confirmed in time.
+    pub(super) fn finish_release(&mut self, ctx: &mut Ctx<'_>) {
         if let Some(coordination) = &self.coordination {
             let term = coordination.term();
             for it in coordination.member_instances().cloned().collect::<Vec<_>>() {
@@ -82,11 +85,11 @@
             }
         }
         self.lose_term(ctx);
-        self.stopped(ctx);
+        self.finish_stop(ctx);
     }
 
-    fn stopped(&mut self, ctx: &mut Ctx<'_>) {
-        self.member.end_session(ctx, "stopped");
+    fn finish_stop(&mut self, ctx: &mut Ctx<'_>) {
+        self.member.end_session(ctx, "node stopped");
         ctx.out.push(Output::Stopped);
         self.stop.done = true;
     }
--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking the term, when there is no coordinator or it is silent.
+//! Takeover of the term when the group has no coordinator or the coordinator is silent.
 
 use std::time::Duration;
 
@@ -12,101 +12,103 @@
 
 use super::Node;
 
-/// Each rank waits this much longer than the one before it.
+/// Additional delay per rank before a member attempts a takeover.
 const RANK_DELAY: Duration = Duration::from_millis(50);
-/// Ranks that a node puts itself back by if it is leaving, or knows no other member.
-const LATE_RANKS: u32 = 8;
-/// How often others are asked who coordinates, while that is not clear.
-const ASK_EVERY: Duration = Duration::from_millis(200);
-/// The most members that are asked besides the witnesses, each member others: when a coordinator of 112 is lost
-/// all would ask all, 12,000 messages at a time, and the first in rank came to its turn a second late.
-const ASKED_MAX: usize = 8;
-/// Waits after calls that failed: the first, and the longest.
-const RETRY_MIN: Duration = Duration::from_millis(100);
-const RETRY_MAX: Duration = Duration::from_secs(1);
-/// A holder that this node has never heard itself is left alone for this long at first, then for
-/// twice as long each time: it may well be at work for others. The first is more than a term takes
-/// to settle.
-const HOLD_BACK: Duration = Duration::from_millis(1500);
-/// The same where no majority of the witnesses can be reached: the term would be of no use before
-/// the longest absence from the platform is over.
-const HOLD_BACK_ALONE: Duration = Duration::from_secs(10);
+/// Ranks added for a node that is stopping; also the rank of a node that is not in its own member list.
+const EXTRA_RANKS: u32 = 8;
+/// Interval of coordinator queries while the coordinator is unknown or silent.
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of members that a node queries besides the witnesses; each node queries different ones. If all
+/// members of a group of 112 queried each other after the loss of the coordinator, the 12,000 messages per interval
+/// would delay the takeover by the first in rank by a second.
+const QUERIED_MEMBERS_MAX: usize = 8;
+/// Initial and maximum delay before a retry after a failed platform call.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
+/// Initial delay before taking the term from a holder that this node has never received a message from; doubled for
+/// each further takeover, because the holder may be active for other members. Longer than a term takes to settle.
+const HOLD_BACK_DELAY: Duration = Duration::from_millis(1500);
+/// Initial delay before taking the term without a reachable majority of its witnesses; doubled likewise. Such a term
+/// is unusable until the maximum absence from the platform has passed.
+const HOLD_BACK_WITHOUT_MAJORITY: Duration = Duration::from_secs(10);
 const HOLD_BACK_DOUBLINGS_MAX: u32 = 5;
-/// Who was heard within this time can be reached.
-const HEARD_WITHIN: Duration = Duration::from_secs(1);
-const HEARD_MAX: usize = 64;
-/// By how many terms the next one is above the one that a platform has come back with, for each time that it has: more
-/// than can have begun in the time that it has lost.
-const LOST_TERMS: u64 = 1024;
-/// Attempts whose answer was lost and that are remembered.
-const ATTEMPTS_MAX: usize = 16;
+/// A node counts as reachable for this long after its last message.
+const REACHABLE_WITHIN: Duration = Duration::from_secs(1);
+const CONTACTS_MAX: usize = 64;
+/// Number of terms skipped for each time that the platform was rolled back. More than the number of terms that can
+/// have started in the lost period.
+const TERMS_SKIPPED_PER_ERA: u64 = 1024;
+/// Maximum number of attempts without a reply that a node keeps.
+const UNANSWERED_ATTEMPTS_MAX: usize = 16;
 
-/// An update that would win a term.
+/// Update of the coordinator object that acquires a term if it succeeds.
 #[derive(Debug, Clone)]
 struct Attempt {
     object: Coordinator,
-    former: Option<Coordinator>,
-    /// It was to go on with what this node held; none: `former` is what the platform showed.
-    found: Option<Coordinator>,
+    /// Predecessor of `object`: the object as read from the platform, or the state of the term that this node held.
+    previous: Option<Coordinator>,
+    /// The object as read from the platform, set only if `previous` is the state of the term that this node held.
+    stored: Option<Coordinator>,
     sent_at: Timestamp,
 }
 
 #[derive(Debug)]
-enum Step {
+enum TakeoverStep {
     Idle,
     Reading(CallId),
-    /// There is no object: the plan, if there is one, says which terms there have been.
+    /// Reading the plan, because the coordinator object does not exist: the plan shows which terms have been used.
     ReadingPlan(CallId, ObjectVersion),
     Updating(CallId, Box<Attempt>),
 }
 
-/// How far a node has come in taking the term.
+/// Progress of a node towards acquiring the term.
 #[derive(Debug)]
 pub(super) struct Takeover {
-    step: Step,
-    /// Updates that may still take effect.
-    doubtful: Vec<Attempt>,
-    retry: Duration,
-    next_try: Timestamp,
-    next_ask: Timestamp,
-    /// Others have heard the coordinator lately, so that it is not lost before this time.
-    refrain_until: Timestamp,
-    /// Who was heard last when.
-    heard: Vec<(Instance, Timestamp)>,
-    /// The witnesses that the object named when it was last read.
+    step: TakeoverStep,
+    /// Attempts whose reply was lost and whose update may have taken effect.
+    unanswered: Vec<Attempt>,
+    retry_delay: Duration,
+    next_attempt_at: Timestamp,
+    next_query_at: Timestamp,
+    /// Earliest time of a takeover, because another member has recently received messages from the coordinator.
+    takeover_not_before: Timestamp,
+    /// Instances that have sent messages, with the time of the last one.
+    contacts: Vec<(Instance, Timestamp)>,
+    /// Witnesses that the coordinator object listed when it was last read.
     witnesses: Vec<Instance>,
-    /// Since when no majority of them has been reached.
-    alone_since: Option<Timestamp>,
-    /// The platform's object has been read since this node started.
+    /// Time since which no majority of the witnesses has been reachable.
+    no_majority_since: Option<Timestamp>,
+    /// Whether the coordinator object has been read since this node started.
     has_read: bool,
-    /// How often a term was taken from a holder that may have been at work.
-    doublings: u32,
-    /// The term that this node held when the platform lost its record is to be taken anew.
-    pub(super) again: bool,
+    /// Number of takeovers from a holder that may still have been active; each doubles the hold-back delays.
+    hold_back_doublings: u32,
+    /// Whether this node has to acquire the term anew because the platform lost the record of the term it held.
+    pub(super) retake: bool,
 }
 
 impl Takeover {
     pub(super) fn new(now: Timestamp) -> Takeover {
         Takeover {
-            step: Step::Idle,
-            doubtful: Vec::new(),
-            retry: RETRY_MIN,
-            next_try: now,
-            next_ask: now,
-            refrain_until: now,
-            heard: Vec::new(),
+            step: TakeoverStep::Idle,
+            unanswered: Vec::new(),
+            retry_delay: RETRY_DELAY_MIN,
+            next_attempt_at: now,
+            next_query_at: now,
+            takeover_not_before: now,
+            contacts: Vec::new(),
             witnesses: Vec::new(),
-            alone_since: None,
-            doublings: 0,
+            no_majority_since: None,
+            hold_back_doublings: 0,
             has_read: false,
-            again: false,
+            retake: false,
         }
     }
 
-    /// The platform has lost the record of the term that this node holds, or has held until now.
-    pub(super) fn take_again(&mut self, now: Timestamp) {
-        if !std::mem::replace(&mut self.again, true) {
-            self.next_try = now;
+    /// Schedules a new acquisition of the term that this node holds or has just held, because the platform has lost
+    /// its record.
+    pub(super) fn retake_term(&mut self, now: Timestamp) {
+        if !std::mem::replace(&mut self.retake, true) {
+            self.next_attempt_at = now;
         }
     }
 
@@ -114,207 +116,213 @@
         self.has_read
     }
 
-    fn failed(&mut self, ctx: &mut Ctx<'_>) {
-        self.step = Step::Idle;
-        self.next_try = ctx.now + ctx.jittered(self.retry);
-        self.retry = (self.retry * 2).min(RETRY_MAX);
+    fn schedule_retry(&mut self, ctx: &mut Ctx<'_>) {
+        self.step = TakeoverStep::Idle;
+        self.next_attempt_at = ctx.now + ctx.jittered(self.retry_delay);
+        self.retry_delay = (self.retry_delay * 2).min(RETRY_DELAY_MAX);
     }
 }
 
 impl Node {
     pub(super) fn tick_takeover(&mut self, ctx: &mut Ctx<'_>) {
         match self.coordination {
-            Some(_) if !self.takeover.again => return,
+            Some(_) if !self.takeover.retake => return,
             Some(_) => {}
-            None => self.ask_who_coordinates(ctx),
+            None => self.query_coordinator(ctx),
         }
-        let idle = matches!(self.takeover.step, Step::Idle);
-        if idle && self.takeover.next_try <= ctx.now && self.is_time_to_take_over(ctx) {
-            self.takeover.step = Step::Reading(ctx.call_platform(PlatformRequest::ReadCoordinator));
+        let idle = matches!(self.takeover.step, TakeoverStep::Idle);
+        if idle && self.takeover.next_attempt_at <= ctx.now && self.is_takeover_due(ctx) {
+            self.takeover.step =
+                TakeoverStep::Reading(ctx.call_platform(PlatformRequest::ReadCoordinator));
         }
     }
 
-    fn is_time_to_take_over(&self, ctx: &Ctx<'_>) -> bool {
-        if self.takeover.again {
+    fn is_takeover_due(&self, ctx: &Ctx<'_>) -> bool {
+        if self.takeover.retake {
             return true;
         }
-        let silent = ctx.now.since(self.known.heard_at);
-        let rank = RANK_DELAY * self.rank(ctx);
+        let silence = ctx.now.since(self.known.last_contact_at);
+        let delay = RANK_DELAY * self.rank(ctx);
         match &self.known.coordinator {
-            None if self.known.vacant => silent >= rank / 2,
+            None if self.known.vacant => silence >= delay / 2,
             None => true,
-            // Its process has ended, whatever it held runs out by itself.
-            Some(it) if self.is_replaced(ctx, it) => silent >= rank,
+            // The coordinator's process has ended, so its grants expire without renewal.
+            Some(it) if self.is_agent_restarted(ctx, it) => silence >= delay,
             Some(_) => {
-                let after = match self.known.in_person {
-                    true => ctx.limits().takeover_after + rank,
-                    false => HOLD_BACK * (1 << self.takeover.doublings) + rank,
+                let after = match self.known.has_direct_contact {
+                    true => ctx.limits().takeover_after + delay,
+                    false => HOLD_BACK_DELAY * (1 << self.takeover.hold_back_doublings) + delay,
                 };
-                silent >= after && ctx.now >= self.takeover.refrain_until
+                silence >= after && ctx.now >= self.takeover.takeover_not_before
             }
         }
     }
 
-    /// Whether another life of an agent is known to be there in its place.
-    fn is_replaced(&self, ctx: &Ctx<'_>, former: &Instance) -> bool {
-        let heard = self.takeover.heard.iter().map(|it| &it.0);
-        let mut lives = heard.chain([ctx.own_instance()]);
-        lives.any(|it| is_same_agent(it, former) && !is_same_incarnation(it, former))
+    /// Returns whether another incarnation of the agent has sent a message, or is this node.
+    fn is_agent_restarted(&self, ctx: &Ctx<'_>, previous: &Instance) -> bool {
+        let contacts = self.takeover.contacts.iter().map(|it| &it.0);
+        let mut incarnations = contacts.chain([ctx.own_instance()]);
+        incarnations.any(|it| is_same_agent(it, previous) && !is_same_incarnation(it, previous))
     }
 
-    /// The order in which members try.
+    /// Returns this node's position in the order in which members attempt a takeover.
     fn rank(&self, ctx: &Ctx<'_>) -> u32 {
         let me = MemberId::from(ctx.own_instance());
         let others = self.member.routes.members().map(|it| &it.instance);
         let others = others.filter(|it| !self.is_coordinator(it));
         let mut ids: Vec<MemberId> = others.map(MemberId::from).collect();
         ids.sort();
-        let place = ids.iter().position(|it| *it == me).map(|it| it as u32);
-        let late = if self.stop.is_begun() { LATE_RANKS } else { 0 };
-        place.unwrap_or(LATE_RANKS) + late
+        let rank = ids.iter().position(|it| *it == me).map(|it| it as u32);
+        let extra_ranks = if self.stop.is_begun() { EXTRA_RANKS } else { 0 };
+        rank.unwrap_or(EXTRA_RANKS) + extra_ranks
     }
 
-    fn ask_who_coordinates(&mut self, ctx: &mut Ctx<'_>) {
-        let silent = ctx.now.since(self.known.heard_at);
-        let doubtful =
-            self.known.coordinator.is_none() || silent * 4 >= ctx.limits().takeover_after * 3;
-        if !doubtful || self.takeover.next_ask > ctx.now {
+    fn query_coordinator(&mut self, ctx: &mut Ctx<'_>) {
+        let silence = ctx.now.since(self.known.last_contact_at);
+        let is_doubtful =
+            self.known.coordinator.is_none() || silence * 4 >= ctx.limits().takeover_after * 3;
+        if !is_doubtful || self.takeover.next_query_at > ctx.now {
             return;
         }
-        self.takeover.next_ask = ctx.now + ASK_EVERY;
+        self.takeover.next_query_at = ctx.now + QUERY_INTERVAL;
         let me = ctx.own_instance();
         let members: Vec<&Instance> = self.member.routes.members().map(|it| &it.instance).collect();
-        let own_place = members.iter().position(|it| is_same_incarnation(it, me)).unwrap_or(0);
-        let behind = members.iter().cycle().skip(own_place + 1);
-        let members = behind.take(members.len().min(ASKED_MAX)).copied();
-        let mut asked: Vec<&Instance> = vec![me];
+        let own_position = members.iter().position(|it| is_same_incarnation(it, me)).unwrap_or(0);
+        let following = members.iter().cycle().skip(own_position + 1);
+        let members = following.take(members.len().min(QUERIED_MEMBERS_MAX)).copied();
+        let mut queried: Vec<&Instance> = vec![me];
         let others = members.chain(&ctx.config.peers).chain(&self.takeover.witnesses);
         for it in others.chain(&self.known.coordinator) {
-            if !asked.iter().any(|known| is_same_agent(known, it)) {
-                asked.push(it);
+            if !queried.iter().any(|known| is_same_agent(known, it)) {
+                queried.push(it);
                 ctx.send_to_agent(it, Message::CoordinatorQuery { term: self.known.term });
             }
         }
     }
 
-    /// Any message shows that its sender can be reached.
-    pub(super) fn heard(&mut self, ctx: &Ctx<'_>, from: &Instance) {
+    /// Records that `from` is reachable, since it has sent a message.
+    pub(super) fn record_contact(&mut self, ctx: &Ctx<'_>, from: &Instance) {
         if self.coordination.is_some() {
             return;
         }
         if self.is_coordinator(from) {
-            self.takeover.doublings = 0;
+            self.takeover.hold_back_doublings = 0;
         }
-        let heard = &mut self.takeover.heard;
-        match heard.iter_mut().find(|it| is_same_incarnation(&it.0, from)) {
+        let contacts = &mut self.takeover.contacts;
+        match contacts.iter_mut().find(|it| is_same_incarnation(&it.0, from)) {
             Some(it) => it.1 = ctx.now,
             None => {
-                heard.retain(|it| ctx.now.since(it.1) < HEARD_WITHIN);
-                heard.truncate(HEARD_MAX - 1);
-                heard.push((from.clone(), ctx.now));
+                contacts.retain(|it| ctx.now.since(it.1) < REACHABLE_WITHIN);
+                contacts.truncate(CONTACTS_MAX - 1);
+                contacts.push((from.clone(), ctx.now));
             }
         }
     }
 
-    /// Whether a majority of the witnesses can be reached, or has been replaced.
+    /// Returns whether a majority of the witnesses is reachable, counting restarted agents as well.
     fn reaches_majority(&self, ctx: &Ctx<'_>, witnesses: &[Instance]) -> bool {
-        let reached = |witness: &&Instance| {
-            let here = |it: &Instance| is_same_agent(it, witness);
-            let mut heard = self.takeover.heard.iter();
+        let is_reachable = |witness: &&Instance| {
+            let is_agent = |it: &Instance| is_same_agent(it, witness);
+            let mut contacts = self.takeover.contacts.iter();
             is_same_incarnation(witness, ctx.own_instance())
-                || here(ctx.own_instance())
-                || heard.any(|it| here(&it.0) && ctx.now.since(it.1) < HEARD_WITHIN)
+                || is_agent(ctx.own_instance())
+                || contacts.any(|it| is_agent(&it.0) && ctx.now.since(it.1) < REACHABLE_WITHIN)
         };
-        2 * witnesses.iter().filter(reached).count() > witnesses.len()
+        2 * witnesses.iter().filter(is_reachable).count() > witnesses.len()
     }
 
-    /// Whether the term would be of use: it has to be confirmed, and earlier ones have to end.
-    fn is_worth_taking(&mut self, ctx: &Ctx<'_>, object: &Coordinator) -> bool {
+    /// Returns whether a new term could be used, or has been held back for long enough: its coordinator must get
+    /// confirmed, and earlier terms must end.
+    fn is_term_usable(&mut self, ctx: &Ctx<'_>, object: &Coordinator) -> bool {
         self.takeover.witnesses = object.witnesses.clone();
         let by_witnesses = object.confirmation == Confirmation::Witnesses;
         if !by_witnesses || self.reaches_majority(ctx, &object.witnesses) {
-            self.takeover.alone_since = None;
+            self.takeover.no_majority_since = None;
             return true;
         }
-        let Some(since) = self.takeover.alone_since else {
-            self.takeover.alone_since = Some(ctx.now);
-            self.takeover.next_ask = ctx.now;
-            self.takeover.next_try = ctx.now + RETRY_MIN / 2;
+        let Some(since) = self.takeover.no_majority_since else {
+            self.takeover.no_majority_since = Some(ctx.now);
+            self.takeover.next_query_at = ctx.now;
+            self.takeover.next_attempt_at = ctx.now + RETRY_DELAY_MIN / 2;
             return false;
         };
-        if ctx.now.since(since) >= HOLD_BACK_ALONE * (1 << self.takeover.doublings) {
-            self.takeover.alone_since = None;
+        if ctx.now.since(since)
+            >= HOLD_BACK_WITHOUT_MAJORITY * (1 << self.takeover.hold_back_doublings)
+        {
+            self.takeover.no_majority_since = None;
             return true;
         }
-        let alone_for = ctx.now.since(since);
-        self.takeover.next_try = ctx.now + alone_for.clamp(RETRY_MIN, RETRY_MAX);
+        let without_majority = ctx.now.since(since);
+        self.takeover.next_attempt_at =
+            ctx.now + without_majority.clamp(RETRY_DELAY_MIN, RETRY_DELAY_MAX);
         false
     }
 
-    /// Another member has heard the coordinator later than this node: that sets the time by which
-    /// its silence counts.
-    pub(super) fn coordinator_heard_by_other(
+    /// Defers a takeover if another member has received a message from the coordinator more recently than this node.
+    pub(super) fn defer_takeover(
         &mut self,
         ctx: &Ctx<'_>,
         coordinator: Option<&Instance>,
         silence_ms: u32,
     ) {
         let after = ctx.limits().takeover_after;
-        let silent = Duration::from_millis(silence_ms.into());
-        if silent < after && coordinator.is_some_and(|it| self.is_coordinator(it)) {
-            let until = ctx.now + (after - silent);
-            self.takeover.refrain_until = self.takeover.refrain_until.max(until);
+        let silence = Duration::from_millis(silence_ms.into());
+        if silence < after && coordinator.is_some_and(|it| self.is_coordinator(it)) {
+            let until = ctx.now + (after - silence);
+            self.takeover.takeover_not_before = self.takeover.takeover_not_before.max(until);
         }
     }
 
-    /// Takes the end of a platform call in if it is one of the takeover's.
-    pub(super) fn platform_takeover(
+    /// Handles the reply of a platform call that belongs to the takeover. Returns whether it does.
+    pub(super) fn handle_takeover_reply(
         &mut self,
         ctx: &mut Ctx<'_>,
         call: CallId,
         reply: &PlatformReply,
     ) -> bool {
         let own = match &self.takeover.step {
-            Step::Idle => false,
-            Step::Reading(it) | Step::ReadingPlan(it, _) | Step::Updating(it, _) => *it == call,
+            TakeoverStep::Idle => false,
+            TakeoverStep::Reading(it)
+            | TakeoverStep::ReadingPlan(it, _)
+            | TakeoverStep::Updating(it, _) => *it == call,
         };
         if !own {
             return false;
         }
-        let step = std::mem::replace(&mut self.takeover.step, Step::Idle);
+        let step = std::mem::replace(&mut self.takeover.step, TakeoverStep::Idle);
         self.takeover.has_read |=
-            matches!((&step, reply), (Step::Reading(_), PlatformReply::Coordinator(..)));
+            matches!((&step, reply), (TakeoverStep::Reading(_), PlatformReply::Coordinator(..)));
         match (step, reply) {
-            (Step::Reading(_), PlatformReply::Coordinator(version, Some(object))) => {
-                self.takeover.retry = RETRY_MIN;
-                self.coordinator_read(ctx, *version, object);
+            (TakeoverStep::Reading(_), PlatformReply::Coordinator(version, Some(object))) => {
+                self.takeover.retry_delay = RETRY_DELAY_MIN;
+                self.handle_coordinator_read(ctx, *version, object);
             }
-            (Step::Reading(_), PlatformReply::Coordinator(version, None)) => {
+            (TakeoverStep::Reading(_), PlatformReply::Coordinator(version, None)) => {
                 let call = ctx.call_platform(PlatformRequest::ReadPlan);
-                self.takeover.step = Step::ReadingPlan(call, *version);
+                self.takeover.step = TakeoverStep::ReadingPlan(call, *version);
             }
-            (Step::ReadingPlan(_, version), PlatformReply::Plan(_, plan)) => {
-                self.try_first_term(ctx, version, plan.as_deref());
+            (TakeoverStep::ReadingPlan(_, version), PlatformReply::Plan(_, plan)) => {
+                self.attempt_first_term(ctx, version, plan.as_deref());
             }
-            (Step::Updating(_, attempt), PlatformReply::Updated(version)) => {
-                self.takeover.retry = RETRY_MIN;
-                self.won(ctx, *attempt, *version);
+            (TakeoverStep::Updating(_, attempt), PlatformReply::Updated(version)) => {
+                self.takeover.retry_delay = RETRY_DELAY_MIN;
+                self.complete_takeover(ctx, *attempt, *version);
             }
-            (Step::Updating(_, attempt), PlatformReply::Failed) => {
-                self.takeover.doubtful.push(*attempt);
-                if self.takeover.doubtful.len() > ATTEMPTS_MAX {
-                    self.takeover.doubtful.remove(0);
+            (TakeoverStep::Updating(_, attempt), PlatformReply::Failed) => {
+                self.takeover.unanswered.push(*attempt);
+                if self.takeover.unanswered.len() > UNANSWERED_ATTEMPTS_MAX {
+                    self.takeover.unanswered.remove(0);
                 }
-                self.takeover.failed(ctx);
+                self.takeover.schedule_retry(ctx);
             }
-            // Somebody else's update, or an earlier one of this node: reading will show.
-            (Step::Updating(..), _) => self.takeover.next_try = ctx.now,
-            _ => self.takeover.failed(ctx),
+            // The object was changed by another node, or by an earlier attempt of this node: the next read shows it.
+            (TakeoverStep::Updating(..), _) => self.takeover.next_attempt_at = ctx.now,
+            _ => self.takeover.schedule_retry(ctx),
         }
         true
     }
 
-    fn coordinator_read(
+    fn handle_coordinator_read(
         &mut self,
         ctx: &mut Ctx<'_>,
         version: ObjectVersion,
@@ -322,63 +330,72 @@
     ) {
         let rolled_back = object.is_rolled_back(version);
         let own = |it: &Attempt| it.object.nonce == object.nonce && !rolled_back;
-        if let Some(at) = self.takeover.doubtful.iter().position(own) {
-            let attempt = self.takeover.doubtful.swap_remove(at);
-            return self.won(ctx, attempt, version);
+        if let Some(at) = self.takeover.unanswered.iter().position(own) {
+            let attempt = self.takeover.unanswered.swap_remove(at);
+            return self.complete_takeover(ctx, attempt, version);
         }
         if object.term > self.known.term || (!self.known.vacant && self.known.coordinator.is_none())
         {
-            self.learn(ctx, object.term, object.holder.as_ref());
+            self.update_known_term(ctx, object.term, object.holder.as_ref());
         }
         if self.known.coordinator.is_none() && object.term == self.known.term {
             self.known.vacant = true;
         }
-        // Whoever is new here first asks the coordinator that there is.
-        // A platform that never lost anything shows it soon; one that has may have been overwritten on a condition
-        // of an earlier era.
+        // A node that has just discovered a coordinator first waits for its response.
+        // If the object shows an earlier term than this node has seen and the platform was never rolled back, a later
+        // read shows the current term. After a rollback, an update conditional on a version of an earlier era may have
+        // overwritten the current term.
         let is_overtaken = object.term < self.known.term;
-        if (is_overtaken && version.era() == 0) || !self.is_time_to_take_over(ctx) {
+        if (is_overtaken && version.era() == 0) || !self.is_takeover_due(ctx) {
             return;
         }
-        if !self.takeover.again && !self.is_worth_taking(ctx, object) {
+        if !self.takeover.retake && !self.is_term_usable(ctx, object) {
             return;
         }
-        if self.known.coordinator.is_some() && !self.known.in_person {
-            let doublings = self.takeover.doublings + 1;
-            self.takeover.doublings = doublings.min(HOLD_BACK_DOUBLINGS_MAX);
+        if self.known.coordinator.is_some() && !self.known.has_direct_contact {
+            let doublings = self.takeover.hold_back_doublings + 1;
+            self.takeover.hold_back_doublings = doublings.min(HOLD_BACK_DOUBLINGS_MAX);
         }
         let history_lost = rolled_back || is_overtaken || object.history_lost;
-        let found = Coordinator { history_lost, ..object.clone() };
-        let carried = self.carried(ctx).filter(|it| rolled_back && object.term <= it.object.term);
-        let former = carried.as_ref().map_or(&found, |it| &it.object).clone();
-        let lost = LOST_TERMS * (version.era() - object.era.min(version.era()));
+        let stored = Coordinator { history_lost, ..object.clone() };
+        let carried =
+            self.carried_state(ctx).filter(|it| rolled_back && object.term <= it.object.term);
+        let previous = carried.as_ref().map_or(&stored, |it| &it.object).clone();
+        let skipped = TERMS_SKIPPED_PER_ERA * (version.era() - object.era.min(version.era()));
         let attempt = Coordinator {
-            term: Term(object.term.max(self.known.term).0 + 1 + lost),
+            term: Term(object.term.max(self.known.term).0 + 1 + skipped),
             holder: Some(ctx.own_instance().clone()),
             nonce: ctx.nonce(),
             settled: false,
             era: version.era(),
             history_lost,
-            ..former.clone()
+            ..previous.clone()
         };
-        let found = carried.is_some().then_some(found);
-        self.attempt(ctx, version, attempt, Some(former), found);
+        let stored = carried.is_some().then_some(stored);
+        self.start_attempt(ctx, version, attempt, Some(previous), stored);
     }
 
-    /// What this node takes along from the term that it holds still, if the platform has lost its record.
-    fn carried(&self, ctx: &Ctx<'_>) -> Option<CarriedState> {
+    /// Returns the state of the term that this node still holds, if the platform has lost its record and the state is
+    /// safe to carry over.
+    fn carried_state(&self, ctx: &Ctx<'_>) -> Option<CarriedState> {
         match self.coordination.as_ref()?.reacquisition(ctx) {
             Reacquisition::WithState(carried) => Some(*carried),
             Reacquisition::NotDue | Reacquisition::WithoutState => None,
         }
     }
 
-    /// The first term; or the first after the object was removed, above all that the plan knows.
-    fn try_first_term(&mut self, ctx: &mut Ctx<'_>, version: ObjectVersion, plan: Option<&Plan>) {
+    /// Attempts to acquire the first term, or after a removal of the coordinator object a term above all terms that
+    /// the plan and this node have seen.
+    fn attempt_first_term(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        version: ObjectVersion,
+        plan: Option<&Plan>,
+    ) {
         let planned = plan.map_or(Term(0), |it| it.term.max(it.token_floor.term));
-        // A platform that has come back from an older copy may have lost the object of earlier terms.
-        let lost = Term(LOST_TERMS * version.era());
-        let term = planned.max(self.known.term).max(lost);
+        // A platform that was rolled back may have lost the coordinator object of earlier terms.
+        let skipped = Term(TERMS_SKIPPED_PER_ERA * version.era());
+        let term = planned.max(self.known.term).max(skipped);
         let history_lost = self.known.term > Term(0);
         let object = Coordinator {
             service: ctx.config.service.clone(),
@@ -393,36 +410,36 @@
             era: version.era(),
             history_lost,
         };
-        let former = Coordinator { term, holder: None, ..object.clone() };
-        let former = history_lost.then_some(former);
-        self.attempt(ctx, version, object, former, None);
+        let previous = Coordinator { term, holder: None, ..object.clone() };
+        let previous = history_lost.then_some(previous);
+        self.start_attempt(ctx, version, object, previous, None);
     }
 
-    fn attempt(
+    fn start_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
         expected: ObjectVersion,
         object: Coordinator,
-        former: Option<Coordinator>,
-        found: Option<Coordinator>,
+        previous: Option<Coordinator>,
+        stored: Option<Coordinator>,
     ) {
         let request = PlatformRequest::UpdateCoordinator { expected, object: object.clone() };
-        let attempt = Attempt { object, former, found, sent_at: ctx.now };
-        self.takeover.step = Step::Updating(ctx.call_platform(request), Box::new(attempt));
+        let attempt = Attempt { object, previous, stored, sent_at: ctx.now };
+        self.takeover.step = TakeoverStep::Updating(ctx.call_platform(request), Box::new(attempt));
     }
 
-    fn won(&mut self, ctx: &mut Ctx<'_>, attempt: Attempt, version: ObjectVersion) {
-        let Attempt { object, former, found, sent_at } = attempt;
-        self.takeover.doubtful.clear();
-        self.takeover.again = false;
+    fn complete_takeover(&mut self, ctx: &mut Ctx<'_>, attempt: Attempt, version: ObjectVersion) {
+        let Attempt { object, previous, stored, sent_at } = attempt;
+        self.takeover.unanswered.clear();
+        self.takeover.retake = false;
         let object = Coordinator { era: version.era(), ..object };
-        let carried = self.carried(ctx).filter(|_| found.is_some());
-        // Too late to go on with what this node held: another term may have been settled meanwhile.
-        let former = if carried.is_some() { former } else { found.or(former) };
+        let carried = self.carried_state(ctx).filter(|_| stored.is_some());
+        // Without carried state, another term may have settled meanwhile: the stored object is the predecessor.
+        let previous = if carried.is_some() { previous } else { stored.or(previous) };
         let carried = carried.and_then(|it| it.plan);
         self.become_coordinator(
             ctx,
-            AcquiredTerm { object, version, previous: former, sent_at, carried_plan: carried },
+            AcquiredTerm { object, version, previous, sent_at, carried_plan: carried },
         );
     }
 }
