--- a/crates/ownership/src/member/holdings.rs
+++ b/crates/ownership/src/member/holdings.rs
@@ -1,4 +1,4 @@
-//! What the current session of a member holds, and what its commands do to that.
+//! Slots and hot keys that a member's current session holds, and the commands that change them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,22 +10,22 @@
 use crate::{Command, GateCommand, HeldKey, HeldSlot, Holding, Report, ctx::Ctx};
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldGrant {
     token: Token,
     closing_since: Option<Timestamp>,
 }
 
-impl Held {
-    fn open(token: Token) -> Held {
-        Held { token, closing_since: None }
+impl HeldGrant {
+    fn open(token: Token) -> HeldGrant {
+        HeldGrant { token, closing_since: None }
     }
 }
 
-/// Slots and hot keys held, given up or kept out.
+/// Slots and hot keys that a session holds, is closing or excludes.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Holdings {
-    slots: BTreeMap<Slot, Held>,
-    keys: BTreeMap<KeyHash, Held>,
+    slots: BTreeMap<Slot, HeldGrant>,
+    keys: BTreeMap<KeyHash, HeldGrant>,
     excluded: BTreeSet<KeyHash>,
     preparing: BTreeMap<Slot, Token>,
     clearing: Option<Token>,
@@ -36,24 +36,24 @@
         self.slots.is_empty() && self.keys.is_empty()
     }
 
-    /// What the gate is still to answer was asked for by an earlier term.
-    pub(crate) fn forget_asked(&mut self) {
+    /// Discards the preparations and the clearing that the gate has not reported yet: an earlier term requested them.
+    pub(crate) fn discard_pending(&mut self) {
         self.preparing.clear();
         self.clearing = None;
     }
 
-    pub(crate) fn closing_longer_than(&self, max: Duration, now: Timestamp) -> bool {
+    pub(crate) fn is_close_overdue(&self, max: Duration, now: Timestamp) -> bool {
         let mut all = self.slots.values().chain(self.keys.values());
         all.any(|it| it.closing_since.is_some_and(|since| now.since(since) > max))
     }
 
     pub(crate) fn to_message(&self, recently_lapsed: bool) -> Holding {
-        let slot = |(slot, held): (&Slot, &Held)| HeldSlot {
+        let slot = |(slot, held): (&Slot, &HeldGrant)| HeldSlot {
             slot: *slot,
             token: held.token,
             closing: held.closing_since.is_some(),
         };
-        let key = |(key_hash, held): (&KeyHash, &Held)| HeldKey {
+        let key = |(key_hash, held): (&KeyHash, &HeldGrant)| HeldKey {
             key_hash: *key_hash,
             token: held.token,
             closing: held.closing_since.is_some(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Carries a command out; the report is there at once where there is nothing to wait for.
+    /// Applies a command. Returns a report if the command is complete without action of the gate.
     pub(crate) fn apply(&mut self, ctx: &mut Ctx<'_>, command: &Command) -> Option<Report> {
         match command {
             Command::Prepare { slot, token } => {
@@ -76,7 +76,7 @@
             }
             Command::Admit { slot, token } => {
                 self.preparing.remove(slot);
-                self.slots.insert(*slot, Held::open(*token));
+                self.slots.insert(*slot, HeldGrant::open(*token));
                 ctx.gate(GateCommand::Admit { slot: *slot, token: *token });
                 None
             }
@@ -91,7 +91,7 @@
             },
             Command::AdmitKey { key_hash, token } => {
                 self.excluded.remove(key_hash);
-                self.keys.insert(*key_hash, Held::open(*token));
+                self.keys.insert(*key_hash, HeldGrant::open(*token));
                 ctx.gate(GateCommand::AdmitKey { key_hash: *key_hash, token: *token });
                 None
             }
@@ -108,7 +108,7 @@
                 None
             }
             Command::CloseKey { key_hash, token, to } => {
-                let key = Held { token: *token, closing_since: Some(ctx.now) };
+                let key = HeldGrant { token: *token, closing_since: Some(ctx.now) };
                 self.keys.insert(*key_hash, key);
                 let to = to.clone();
                 ctx.gate(GateCommand::CloseKey { key_hash: *key_hash, token: *token, to });
@@ -122,21 +122,21 @@
         }
     }
 
-    /// The gate is ready for a slot.
+    /// Handles the gate's report that it is ready for a slot.
     pub(crate) fn prepared(&mut self, slot: Slot, token: Token) -> Option<Report> {
         let wanted = self.preparing.get(&slot) == Some(&token);
         wanted.then(|| self.preparing.remove(&slot))?;
         Some(Report::Prepared { slot, token })
     }
 
-    /// The upstream has been cleared. One that an earlier session or term has asked for says nothing of
-    /// what was granted since.
+    /// Handles the gate's report that the upstream has been cleared. Ignores a clearing that an earlier session or term
+    /// requested, because it does not cover later grants.
     pub(crate) fn cleared(&mut self, token: Token) -> Option<Report> {
         self.clearing.take_if(|it| *it == token)?;
         Some(Report::Cleared { token })
     }
 
-    /// The gate has closed a slot: hot keys kept out of it need no entry any more.
+    /// Handles the gate's report that it has closed a slot. Hot keys excluded from it no longer need an entry.
     pub(crate) fn closed(&mut self, ctx: &mut Ctx<'_>, slot: Slot, token: Token) -> Option<Report> {
         let held = self.slots.get(&slot)?;
         if held.token != token || held.closing_since.is_none() {
@@ -152,7 +152,7 @@
         Some(Report::Closed { slot, token })
     }
 
-    /// The gate has closed a hot key; it stays refused, also where its slot is held.
+    /// Handles the gate's report that it has closed a hot key. The key stays excluded if its slot is held.
     pub(crate) fn key_closed(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -172,7 +172,7 @@
         Some(Report::KeyClosed { key_hash, token })
     }
 
-    /// Starts to close everything, for nobody is there to take it over.
+    /// Closes all slots and hot keys without handing their records over.
     pub(crate) fn close_all(&mut self, ctx: &mut Ctx<'_>) {
         for (slot, held) in self.slots.iter_mut().filter(|(_, it)| it.closing_since.is_none()) {
             held.closing_since = Some(ctx.now);
--- a/crates/ownership/src/member/mod.rs
+++ b/crates/ownership/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! A node's part as a member: its session, its lease and what it holds.
+//! Member role of a node: its session, its lease and the slots and keys that it holds.
 
 mod holdings;
 mod routes;
@@ -18,10 +18,10 @@
 
 pub(crate) use self::routes::{RouteTable, first_route_version};
 
-/// Renewals whose answer may still come.
-const SENT_MAX: usize = 64;
-/// How much longer than the document's `handover_max` the gate may take to close a slot.
-const CLOSE_GRACE: Duration = Duration::from_secs(1);
+/// Maximum number of renewals whose reply may still arrive.
+const UNANSWERED_RENEWALS_MAX: usize = 64;
+/// Time that the gate may take to close a slot beyond the document's `handover_max`.
+const CLOSE_MARGIN: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 struct SentRenewal {
@@ -29,21 +29,21 @@
     at: Timestamp,
 }
 
-/// The member part of a node.
+/// Member role of a node.
 pub(crate) struct Member {
     session: SessionId,
     sequence: u64,
     sent: VecDeque<SentRenewal>,
-    /// None: this session has had no lease yet.
+    /// End of the lease (exclusive); `None` until this session has received one.
     lease_until: Option<Timestamp>,
     lapsed_at: Option<Timestamp>,
     pub(crate) holdings: Holdings,
-    /// The last command applied in this session and term.
+    /// Number of the last command applied in this session and term.
     applied: u64,
     first_report: u64,
     reports: VecDeque<Report>,
-    /// The coordinator of the current term has answered this session.
-    adopted: bool,
+    /// Whether the coordinator of the current term has replied to this session.
+    acknowledged: bool,
     next_renewal: Timestamp,
     pub(crate) upstream: UpstreamState,
     pub(crate) config: ConfigVersion,
@@ -66,7 +66,7 @@
             applied: 0,
             first_report: 1,
             reports: VecDeque::new(),
-            adopted: false,
+            acknowledged: false,
             next_renewal: now,
             upstream: UpstreamState::Starting,
             config: ConfigVersion(0),
@@ -78,23 +78,23 @@
         }
     }
 
-    /// Ends the session where its lease has run out, or where the gate has failed to close a slot.
+    /// Ends the session if its lease has expired or the gate has not closed a slot in time.
     pub(crate) fn expire(&mut self, ctx: &mut Ctx<'_>) {
         if self.lease_until.is_some_and(|until| until <= ctx.now) {
-            return self.end_session(ctx, "lapsed");
+            return self.end_session(ctx, "lease lapsed");
         }
-        // Where upstreams enforce leases, a slot is closed at the latest when its grant has run out.
+        // If upstreams enforce leases, a slot is closed at the latest when its grant has expired.
         let limits = ctx.limits();
         let close_max = match limits.coordinator_lease {
-            CoordinatorLease::Full => limits.handover_max.max(limits.lease) + CLOSE_GRACE,
-            CoordinatorLease::Confirmation => limits.handover_max + CLOSE_GRACE,
+            CoordinatorLease::Full => limits.handover_max.max(limits.lease) + CLOSE_MARGIN,
+            CoordinatorLease::Confirmation => limits.handover_max + CLOSE_MARGIN,
         };
-        if self.holdings.closing_longer_than(close_max, ctx.now) {
+        if self.holdings.is_close_overdue(close_max, ctx.now) {
             self.end_session(ctx, "handover timed out");
         }
     }
 
-    /// Gives up whatever is held, before anything else, and starts a session that holds nothing.
+    /// Has the gate drop all grants first, and starts a new session that holds nothing.
     pub(crate) fn end_session(&mut self, ctx: &mut Ctx<'_>, reason: &'static str) {
         if self.lease_until.is_some() {
             ctx.gate(GateCommand::DropAll);
@@ -108,9 +108,9 @@
         self.restart_streams(ctx.now);
     }
 
-    /// Turns to the coordinator of a new term; what is held stays held.
-    pub(crate) fn follow_term(&mut self, now: Timestamp) {
-        self.holdings.forget_asked();
+    /// Switches to the coordinator of a new term. Keeps the slots and keys that the session holds.
+    pub(crate) fn switch_term(&mut self, now: Timestamp) {
+        self.holdings.discard_pending();
         self.restart_streams(now);
     }
 
@@ -118,7 +118,7 @@
         self.applied = 0;
         self.first_report = 1;
         self.reports.clear();
-        self.adopted = false;
+        self.acknowledged = false;
         self.next_renewal = now;
     }
 
@@ -126,19 +126,19 @@
         self.lease_until.is_some()
     }
 
-    pub(crate) fn is_adopted(&self) -> bool {
-        self.adopted
+    pub(crate) fn is_acknowledged(&self) -> bool {
+        self.acknowledged
     }
 
-    /// The lease of the member beside the coordinator is the coordinator's confirmation.
-    pub(crate) fn extend_own(&mut self, ctx: &mut Ctx<'_>, until: Timestamp) {
-        if self.adopted && self.lease_until.is_some_and(|it| it < until) {
+    /// Extends the lease of the coordinator's own member, whose lease follows the confirmation of the term.
+    pub(crate) fn extend_own_lease(&mut self, ctx: &mut Ctx<'_>, until: Timestamp) {
+        if self.acknowledged && self.lease_until.is_some_and(|it| it < until) {
             self.lease_until = Some(until);
             ctx.gate(GateCommand::Lease { until });
         }
     }
 
-    /// Renews when it is time.
+    /// Sends a renewal if one is due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>, term: Term, coordinator: Option<&Instance>) {
         if let Some(coordinator) = coordinator
             && self.next_renewal <= ctx.now
@@ -147,15 +147,15 @@
         }
     }
 
-    /// Renews at once, for there is something to tell.
+    /// Sends a renewal at once, with the pending reports and load.
     pub(crate) fn renew(&mut self, ctx: &mut Ctx<'_>, term: Term, coordinator: &Instance) {
         self.sequence += 1;
         self.sent.push_back(SentRenewal { sequence: self.sequence, at: ctx.now });
-        if self.sent.len() > SENT_MAX {
+        if self.sent.len() > UNANSWERED_RENEWALS_MAX {
             self.sent.pop_front();
         }
         let every = ctx.limits().renew_every;
-        self.next_renewal = ctx.now + if self.adopted { every } else { every / 2 };
+        self.next_renewal = ctx.now + if self.acknowledged { every } else { every / 2 };
         let renew = Renew {
             term,
             session: self.session,
@@ -166,7 +166,8 @@
             applied: self.applied,
             first_report: self.first_report,
             reports: self.reports.iter().copied().collect(),
-            holding: (!self.adopted).then(|| self.holdings.to_message(self.recently_lapsed(ctx))),
+            holding: (!self.acknowledged)
+                .then(|| self.holdings.to_message(self.recently_lapsed(ctx))),
             load: self.load.take(),
             route_version: self.routes.version,
         };
@@ -174,37 +175,37 @@
     }
 
     fn recently_lapsed(&self, ctx: &Ctx<'_>) -> bool {
-        let lease = ctx.limits().lease * 2;
-        self.lapsed_at.is_some_and(|at| ctx.now.since(at) < lease)
+        let period = ctx.limits().lease * 2;
+        self.lapsed_at.is_some_and(|at| ctx.now.since(at) < period)
     }
 
-    /// Takes an answer in. `own_until` is set where this node coordinates: its own lease is its
-    /// confirmation.
-    pub(crate) fn renewed(
+    /// Handles the coordinator's reply to a renewal. `own_until` is the end of the lease if this node is the coordinator
+    /// itself.
+    pub(crate) fn handle_renewed(
         &mut self,
         ctx: &mut Ctx<'_>,
-        answer: &Renewed,
+        reply: &Renewed,
         own_until: Option<Timestamp>,
     ) {
-        if answer.session != self.session || !self.extend(ctx, answer, own_until) {
+        if reply.session != self.session || !self.extend_lease(ctx, reply, own_until) {
             return;
         }
-        self.adopted = true;
-        self.group_config = self.group_config.max(answer.config);
-        while self.first_report <= answer.last_report && self.reports.pop_front().is_some() {
+        self.acknowledged = true;
+        self.group_config = self.group_config.max(reply.config);
+        while self.first_report <= reply.last_report && self.reports.pop_front().is_some() {
             self.first_report += 1;
         }
-        for (number, command) in (answer.first_command..).zip(&answer.commands) {
+        for (number, command) in (reply.first_command..).zip(&reply.commands) {
             if number == self.applied + 1 {
                 self.applied = number;
                 let reports = self.holdings.apply(ctx, command);
                 self.reports.extend(reports);
             }
         }
-        if let Some(routes) = &answer.routes {
-            self.routes.apply(answer.term, routes);
+        if let Some(routes) = &reply.routes {
+            self.routes.apply(reply.term, routes);
         }
-        if answer.can_stop && self.leaving && self.holdings.is_empty() {
+        if reply.can_stop && self.leaving && self.holdings.is_empty() {
             self.can_stop = true;
         }
         if !self.reports.is_empty() {
@@ -212,15 +213,16 @@
         }
     }
 
-    /// Counts the lease from when the renewal was sent. Says whether there is one.
-    fn extend(
+    /// Extends the lease, counted from the time at which the renewal was sent. Returns whether the session has a lease
+    /// that has not expired.
+    fn extend_lease(
         &mut self,
         ctx: &mut Ctx<'_>,
-        answer: &Renewed,
+        reply: &Renewed,
         own_until: Option<Timestamp>,
     ) -> bool {
-        let lease = Duration::from_millis(answer.lease_ms.into());
-        let sent = self.sent.iter().find(|it| it.sequence == answer.sequence);
+        let lease = Duration::from_millis(reply.lease_ms.into());
+        let sent = self.sent.iter().find(|it| it.sequence == reply.sequence);
         let until = match own_until {
             Some(own) => Some(own),
             None if !rules::is_enforced(Rule::LeaseFromSendTime) => Some(ctx.now + lease),
@@ -238,24 +240,24 @@
         true
     }
 
-    pub(crate) fn session_ended(&mut self, ctx: &mut Ctx<'_>, session: SessionId) {
+    pub(crate) fn handle_session_ended(&mut self, ctx: &mut Ctx<'_>, session: SessionId) {
         if session == self.session {
             self.end_session(ctx, "ended by the coordinator");
         }
     }
 
-    pub(crate) fn retry_after(&mut self, at: Timestamp) {
+    pub(crate) fn retry_join_at(&mut self, at: Timestamp) {
         self.next_renewal = at;
     }
 
-    pub(crate) fn report(&mut self, report: Report) {
+    pub(crate) fn queue_report(&mut self, report: Report) {
         self.reports.push_back(report);
     }
 
-    /// Adds a load report to the one that waits for the next renewal.
-    pub(crate) fn load(&mut self, report: LoadReport) {
+    /// Adds a load report to the one that the next renewal will carry.
+    pub(crate) fn add_load(&mut self, report: LoadReport) {
         self.load = Some(match self.load.take() {
-            Some(waiting) => waiting.merge(report),
+            Some(pending) => pending.merge(report),
             None => report,
         });
     }
--- a/crates/ownership/src/member/routes.rs
+++ b/crates/ownership/src/member/routes.rs
@@ -1,4 +1,4 @@
-//! A member's copy of the group's table of owners.
+//! Copy of the group's table of owners, kept by each member.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     successors: Vec<Instance>,
 }
 
-/// Who owns what, as last heard from the coordinator.
+/// Owners of slots and hot keys, and the members, as last received from the coordinator.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RouteTable {
     pub(crate) version: u64,
@@ -22,23 +22,23 @@
     keys: BTreeMap<KeyHash, Owner>,
 }
 
-/// The first route version of a term, so that versions rise over all terms.
+/// Returns the first route version of a term. Versions rise across terms.
 pub(crate) fn first_route_version(term: Term) -> u64 {
     term.0 << 32
 }
 
 impl RouteTable {
-    /// Takes changes in, unless some before them are missing here. The changes since a version
-    /// of an earlier term are the whole table.
+    /// Applies changes, unless earlier ones are missing in this table. Changes since a version of an earlier term
+    /// contain the whole table.
     pub(crate) fn apply(&mut self, term: Term, routes: &Routes) {
-        let whole = routes.since < first_route_version(term);
-        if routes.version <= self.version || (!whole && routes.since > self.version) {
+        let is_whole_table = routes.since < first_route_version(term);
+        if routes.version <= self.version || (!is_whole_table && routes.since > self.version) {
             return;
         }
         if self.version < first_route_version(term) {
             self.keys.clear();
         }
-        self.apply_members(whole, routes);
+        self.apply_members(is_whole_table, routes);
         let members = &self.members;
         let instance = |it: MemberNumber| members.get(&it).map(|it| it.instance.clone());
         for it in &routes.slots {
@@ -63,8 +63,8 @@
         self.version = routes.version;
     }
 
-    fn apply_members(&mut self, whole: bool, routes: &Routes) {
-        if whole {
+    fn apply_members(&mut self, is_whole_table: bool, routes: &Routes) {
+        if is_whole_table {
             self.members.clear();
         }
         for number in &routes.removed {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// All members, in the order in which their coordinator has numbered them.
+    /// Returns all members in the order of their numbers.
     pub(crate) fn members(&self) -> impl Iterator<Item = &MemberView> {
         self.members.values()
     }
--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -54,7 +54,7 @@
             _ if !from_coordinator => {}
             Message::Announce { .. } => {
                 self.known.last_contact_at = ctx.now;
-                if !self.member.is_adopted() {
+                if !self.member.is_acknowledged() {
                     self.renew_now(ctx);
                 }
             }
@@ -62,12 +62,12 @@
             Message::Renewed(answer) => {
                 self.known.last_contact_at = ctx.now;
                 let own = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
-                self.member.renewed(ctx, &answer, own);
+                self.member.handle_renewed(ctx, &answer, own);
             }
-            Message::SessionEnded { session, .. } => self.member.session_ended(ctx, session),
+            Message::SessionEnded { session, .. } => self.member.handle_session_ended(ctx, session),
             Message::JoinRefused { .. } => {
                 self.known.last_contact_at = ctx.now;
-                Member::retry_after(&mut self.member, ctx.now + JOIN_RETRY_DELAY);
+                Member::retry_join_at(&mut self.member, ctx.now + JOIN_RETRY_DELAY);
                 ctx.event(Event::JoinRefused { member: ctx.own_instance().clone() });
             }
         }
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -181,7 +181,7 @@
             Input::Tick => return self.tick(ctx),
             Input::Message { from, message } => return self.handle_message(ctx, &from, message),
             Input::Platform { call, reply } => return self.handle_reply(ctx, call, &reply),
-            Input::Load(report) => return self.member.load(report),
+            Input::Load(report) => return self.member.add_load(report),
             Input::Limits(_) => return,
             Input::Config(version) => {
                 self.member.config = self.member.config.max(version);
@@ -232,7 +232,7 @@
             return;
         }
         for report in reports {
-            self.member.report(report);
+            self.member.queue_report(report);
         }
         self.renew_now(ctx);
     }
@@ -284,7 +284,7 @@
     fn extend_own_lease(&mut self, ctx: &mut Ctx<'_>) {
         let until = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
         if let Some(until) = until {
-            self.member.extend_own(ctx, until);
+            self.member.extend_own_lease(ctx, until);
         }
     }
 
@@ -300,7 +300,7 @@
         self.lose_term(ctx);
         let coordinator = Some(ctx.own_instance().clone());
         self.known = KnownTerm::new(term, coordinator, ctx.now);
-        self.member.follow_term(ctx.now);
+        self.member.switch_term(ctx.now);
         self.coordination = Some(Coordination::new(ctx, acquired, known));
     }
 
@@ -325,7 +325,7 @@
             if self.coordination.as_ref().is_some_and(|it| it.term() < term) {
                 self.lose_term(ctx);
             }
-            self.member.follow_term(ctx.now);
+            self.member.switch_term(ctx.now);
         } else if term == self.known.term
             && !self.known.vacant
             && self.known.coordinator.is_none()
@@ -333,7 +333,7 @@
         {
             self.known.coordinator = coordinator;
             self.known.last_contact_at = ctx.now;
-            self.member.follow_term(ctx.now);
+            self.member.switch_term(ctx.now);
         }
     }
 
