--- a/crates/ownership/src/input.rs
+++ b/crates/ownership/src/input.rs
@@ -1,95 +1,78 @@
-//! What a node is told.
+//! Inputs of a [`crate::Node`].
 
 use model::{ConfigVersion, Instance, KeyHash, ObjectVersion, Slot, Token};
 
 use crate::{CallId, Coordinator, Limits, Message, Plan};
 
-/// One event for [`crate::Node::step`].
+/// One input of [`crate::Node::step`].
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed; to be given at least every 50 ms.
+    /// Passage of time; must be passed at least every 50 ms.
     Tick,
-    /// A message of a peer, over an authenticated link.
-    Message {
-        from: Instance,
-        message: Message,
-    },
-    /// The end of a call asked for by [`crate::Output::Platform`].
-    Platform {
-        call: CallId,
-        reply: PlatformReply,
-    },
-    /// What the upstream beside this agent says of itself.
+    /// Message from a peer, received over an authenticated link.
+    Message { from: Instance, message: Message },
+    /// Reply to a call requested by [`crate::Output::Platform`].
+    Platform { call: CallId, reply: PlatformReply },
+    /// State that the upstream beside this agent reports.
     Upstream(UpstreamState),
-    /// The upstream is ready for a slot that [`crate::GateCommand::Prepare`] named.
-    Prepared {
-        slot: Slot,
-        token: Token,
-    },
-    /// Nothing of a slot closed by [`crate::GateCommand::Close`] is in flight any more, and its
-    /// records have been handed over or given up.
-    Closed {
-        slot: Slot,
-        token: Token,
-    },
-    /// Several slots at once, as they come from an upstream that gives up or takes whole ranges.
+    /// The upstream has completed a [`crate::GateCommand::Prepare`].
+    Prepared { slot: Slot, token: Token },
+    /// The gate has completed a [`crate::GateCommand::Close`]: no request of the slot is in flight, and its records have
+    /// been handed over or dropped.
+    Closed { slot: Slot, token: Token },
+    /// Same as [`Input::Closed`] for several slots, for upstreams that release whole ranges.
     ClosedSlots(Vec<(Slot, Token)>),
+    /// Same as [`Input::Prepared`] for several slots, for upstreams that accept whole ranges.
     PreparedSlots(Vec<(Slot, Token)>),
-    /// The same for one key closed by [`crate::GateCommand::CloseKey`].
-    KeyClosed {
-        key_hash: KeyHash,
-        token: Token,
-    },
-    /// The upstream has answered that it holds nothing of what [`crate::GateCommand::Clear`] named.
-    Cleared {
-        token: Token,
-    },
-    /// The load since the last report.
+    /// The gate has completed a [`crate::GateCommand::CloseKey`].
+    KeyClosed { key_hash: KeyHash, token: Token },
+    /// The upstream has completed a [`crate::GateCommand::Clear`].
+    Cleared { token: Token },
+    /// Load since the last report.
     Load(LoadReport),
     /// The service's document has changed.
     Limits(Box<Limits>),
-    /// The highest accepted version of the service's document that this agent has in force.
+    /// Highest accepted version of the service's document that this agent has in force.
     Config(ConfigVersion),
-    /// What the upstream held is gone, or refused: give up the session with all that it holds, and
-    /// start one that holds nothing.
-    DropSession {
-        reason: &'static str,
-    },
-    /// The whole instance was suspended, and the clock stood still meanwhile: what was held or proved
-    /// before counts no more.
+    /// The upstream has lost its grants or refuses them: end the session, drop everything that it holds, and start a
+    /// new one.
+    DropSession { reason: &'static str },
+    /// The instance was suspended and its clock did not advance meanwhile: earlier leases and confirmations are no
+    /// longer valid.
     Suspended,
-    /// Leave gracefully: hand over all slots and the term, then say [`crate::Output::Stopped`].
+    /// Leave gracefully: hand over all slots and the term, then emit [`crate::Output::Stopped`].
     Stop,
 }
 
-/// State of the local upstream.
+/// State of the upstream beside an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UpstreamState {
-    /// Up, but not ready for work.
+    /// Running, but not ready for requests.
     Starting,
     Ready,
-    /// Leaving: no new work.
+    /// Stopping: accepts no new slots.
     Draining,
-    /// Hung or gone.
+    /// Hung or terminated.
     Lost,
 }
 
-/// The end of a platform call.
+/// Result of a platform call.
 #[derive(Debug, Clone)]
 pub enum PlatformReply {
-    /// The version of one that does not exist has no revision.
+    /// Coordinator object and its version, which has no revision if the object does not exist.
     Coordinator(ObjectVersion, Option<Coordinator>),
+    /// Plan and its version, which has no revision if the plan does not exist.
     Plan(ObjectVersion, Option<Box<Plan>>),
-    /// The conditional update took effect; the object's version now.
+    /// The conditional update took effect and gave the object this version.
     Updated(ObjectVersion),
-    /// The conditional update was refused: the object has another version.
+    /// The conditional update was refused because the object has another version.
     Conflict,
-    /// No answer, or an error: an update may or may not have taken effect.
+    /// The call failed or its reply was lost: an update may or may not have taken effect.
     Failed,
 }
 
 impl PlatformReply {
-    /// The era of the platform that it shows; none: it shows no version.
+    /// Returns the era of the platform, if the reply carries an object version.
     pub(crate) fn era(&self) -> Option<u64> {
         match self {
             PlatformReply::Coordinator(version, _)
@@ -100,19 +83,19 @@
     }
 }
 
-/// Load of the local instance over a period, in bounded size.
+/// Load of one instance over a period, truncated to its heaviest slots and keys.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadReport {
     pub period_ms: u32,
-    /// Upstream time spent, in microseconds, over all slots.
+    /// Total upstream time over all slots, in microseconds.
     pub total_us: u64,
-    /// The heaviest slots first; at most 64.
+    /// Up to 64 slots with the highest load.
     pub slots: Vec<SlotLoad>,
-    /// The heaviest keys first; at most 16.
+    /// Up to 16 keys with the highest load.
     pub keys: Vec<KeyLoad>,
 }
 
-/// Load of one slot, keys with an entry of their own and those named in the report left out.
+/// Load of one slot without the hot keys that have their own entry and without the keys of the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotLoad {
     pub slot: Slot,
