--- a/crates/ownership/src/output.rs
+++ b/crates/ownership/src/output.rs
@@ -1,79 +1,80 @@
-//! What a node asks for.
+//! Outputs of a [`crate::Node`], to be carried out by its caller.
 
 use model::{Instance, KeyHash, ObjectVersion, Slot, Timestamp, Token};
 
 use crate::{Confirmation, Coordinator, Message, Plan};
 
-/// Names a platform call within one node's life.
+/// Identifier of a platform call, unique within one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// One thing to be carried out by the driver of a [`crate::Node`], in the order given.
+/// Action to be carried out by the caller of [`crate::Node::step`], in the order of the outputs.
 #[derive(Debug, Clone)]
 pub enum Output {
-    /// Send to a peer; may be lost, late, doubled or out of order.
+    /// Send a message to a peer. It may be lost, delayed, duplicated or reordered.
     Send { to: Instance, message: Message },
-    /// The same to whichever life of the peer is at its address by now.
+    /// Send a message to the current incarnation at the peer's address, which may be a later one than `to` names.
     SendToAddress { to: Instance, message: Message },
-    /// Call the platform and give its reply as [`crate::Input::Platform`].
+    /// Call the platform and pass its reply as [`crate::Input::Platform`].
     Platform { call: CallId, request: PlatformRequest },
-    /// Change what the local gate admits.
+    /// Apply a command at the local gate.
     Gate(GateCommand),
-    /// For logs and the status.
+    /// Report an event for the log and the status page.
     Event(Event),
-    /// A graceful stop is complete.
+    /// The graceful stop is complete; no further output follows.
     Stopped,
 }
 
-/// A call to the platform's object API about this node's own group.
+/// Call to the platform's object API for an object of this node's group.
 #[derive(Debug, Clone)]
 pub enum PlatformRequest {
     ReadCoordinator,
     ReadPlan,
-    /// Update on condition that the object still has `expected`; without a revision: that it does not exist.
+    /// Update the object if it still has the version `expected`; if that has no revision, create the object if it does
+    /// not exist.
     UpdateCoordinator {
         expected: ObjectVersion,
         object: Coordinator,
     },
+    /// Update the plan under the same condition.
     UpdatePlan {
         expected: ObjectVersion,
         object: Box<Plan>,
     },
 }
 
-/// A change of what the gate admits. The gate holds one lease for all it admits.
+/// Command to the gate, which admits requests for slots and hot keys under a single lease.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GateCommand {
-    /// The lease over everything admitted ends at this time (exclusive), unless extended. Requests
-    /// to upstreams that check no fence token must end before it.
+    /// Set the end of the lease (exclusive) over everything admitted. Requests to upstreams that do not check fence
+    /// tokens must end before it.
     Lease { until: Timestamp },
-    /// Warm the upstream up for a slot, then give [`crate::Input::Prepared`].
+    /// Have the upstream prepare for a slot, then pass [`crate::Input::Prepared`].
     Prepare { slot: Slot, token: Token },
     /// Admit requests of this slot under this token.
     Admit { slot: Slot, token: Token },
-    /// Admit requests of one hot key, whatever its slot says.
+    /// Admit requests of one hot key under this token, regardless of its slot.
     AdmitKey { key_hash: KeyHash, token: Token },
-    /// A hot key of this slot is owned elsewhere: refuse it though the slot is admitted.
+    /// Refuse requests of a hot key that another instance owns, although its slot is admitted.
     ExcludeKey { key_hash: KeyHash, owner: Instance },
-    /// The hot key follows its slot again.
+    /// Remove the entry of a hot key, which then follows its slot again.
     RemoveKey { key_hash: KeyHash },
-    /// Admit no more requests of this key, whether it has an entry of its own or follows its slot;
-    /// finish what is in flight, hand its records to `to`, then give
-    /// [`crate::Input::KeyClosed`]. The key stays refused until [`GateCommand::AdmitKey`] or
-    /// [`GateCommand::RemoveKey`].
+    /// Stop admitting requests of this key, whether it has an entry of its own or follows its slot. Finish its requests
+    /// in flight, hand its records to `to`, then pass [`crate::Input::KeyClosed`]. The key is refused until
+    /// [`GateCommand::AdmitKey`] or [`GateCommand::RemoveKey`].
     CloseKey { key_hash: KeyHash, token: Token, to: Option<Instance> },
-    /// Admit no more requests of this slot, finish what is in flight, hand its records to `to`,
-    /// then give [`crate::Input::Closed`].
+    /// Stop admitting requests of this slot. Finish its requests in flight, hand its records to `to`, then pass
+    /// [`crate::Input::Closed`].
     Close { slot: Slot, token: Token, to: Option<Instance> },
-    /// Have the upstream give up what it was granted under tokens up to this one, by earlier sessions or
-    /// lives of this agent, then give [`crate::Input::Cleared`]. What is admitted later waits for that.
+    /// Have the upstream release everything that earlier sessions or incarnations of this agent granted it under tokens
+    /// up to this one, then pass [`crate::Input::Cleared`]. Later admissions wait for the release.
     Clear { token: Token },
-    /// The lease is gone: admit nothing from this moment on; cancel what is in flight if the
-    /// upstream does not check fence tokens. Later admissions carry new tokens.
+    /// Stop admitting requests at once, because the lease has ended. Cancel requests in flight if the upstream does not
+    /// check fence tokens. Later admissions carry new tokens.
     DropAll,
 }
 
-/// Something worth a line in the log or the status.
+/// Event for the log and the status page.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     BecameCoordinator {
@@ -83,7 +84,7 @@
         term: u64,
     },
     SessionOpened,
-    /// Why: "lapsed", "pause", "older term", ...
+    /// The session has ended; `reason` is a short text for the log.
     SessionEnded {
         reason: &'static str,
     },
@@ -93,16 +94,16 @@
     MemberLost {
         member: Instance,
     },
-    /// The group has its largest number of members already.
+    /// A member was refused because the group already has the maximum number of members.
     JoinRefused {
         member: Instance,
     },
-    /// The coordinator's confirmation has moved to another path or other witnesses.
+    /// The coordinator is now confirmed by another party or by other witnesses.
     ConfirmationChanged {
         confirmation: Confirmation,
         witnesses: u16,
     },
-    /// No earlier term can renew or grant any more.
+    /// Earlier terms can no longer renew or grant leases.
     Settled {
         term: u64,
     },
@@ -117,15 +118,15 @@
     },
 }
 
-/// Why a slot has come to its owner.
+/// Reason why a slot was granted to its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MoveReason {
-    /// Nobody had owned it.
+    /// The slot had no owner.
     First,
-    /// The former owner was lost.
+    /// The previous owner was lost.
     Loss,
-    /// The former owner is leaving.
+    /// The previous owner is leaving.
     Leave,
-    /// To even out the load.
+    /// The move balances the load.
     Rebalance,
 }
