--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -52,7 +52,7 @@
     pub successors: Vec<Instance>,
 }
 
-/// View of a group by one node, used for routing and the status page.
+/// View of a group by one node, used for routing and the status object.
 #[derive(Debug, Clone, Default)]
 pub struct NodeView {
     pub term: Term,
--- a/crates/ownership/src/output.rs
+++ b/crates/ownership/src/output.rs
@@ -19,7 +19,7 @@
     Platform { call: CallId, request: PlatformRequest },
     /// Apply a command at the local gate.
     Gate(GateCommand),
-    /// Report an event for the log and the status page.
+    /// Report an event for the log and the status object.
     Event(Event),
     /// The graceful stop is complete; no further output follows.
     Stopped,
@@ -74,7 +74,7 @@
     DropAll,
 }
 
-/// Event for the log and the status page.
+/// Event for the log and the status object.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     BecameCoordinator {
