--- a/crates/ownership/src/input.rs
+++ b/crates/ownership/src/input.rs
@@ -17,8 +17,8 @@
     Upstream(UpstreamState),
     /// The upstream has completed a [`crate::GateCommand::Prepare`].
     Prepared { slot: Slot, token: Token },
-    /// The gate has completed a [`crate::GateCommand::Close`]: no request of the slot is in flight, and its records have
-    /// been handed over or dropped.
+    /// The gate has completed a [`crate::GateCommand::Close`]: no request of the slot is in flight, and its records
+    /// have been handed over or dropped.
     Closed { slot: Slot, token: Token },
     /// Same as [`Input::Closed`] for several slots, for upstreams that release whole ranges.
     ClosedSlots(Vec<(Slot, Token)>),
--- a/crates/ownership/src/planner/mod.rs
+++ b/crates/ownership/src/planner/mod.rs
@@ -1,9 +1,9 @@
-//! Which member should own which slot and hot key, and who follows it when it is lost.
+//! Planner that assigns slots and hot keys to members and chooses their successors.
 //!
-//! A pure function of loads, members and the plan in force; the protocol carries a proposal out
-//! move by move. Members are named by their index in [`PlannerInput::members`].
+//! A pure function of the loads, the members and the plan in force; the coordinator carries a proposal out move by
+//! move. Members are identified by their index in [`PlannerInput::members`].
 
-mod board;
+mod working_plan;
 mod forced;
 mod ranges;
 mod rebalance;
@@ -17,98 +17,101 @@
 
 use crate::{Limits, MoveReason};
 
-use board::Board;
+use working_plan::WorkingPlan;
 
-/// A member that may own slots.
+/// Member that may own slots.
 #[derive(Debug, Clone)]
 pub struct PlannerMember {
     pub zone: Zone,
-    /// 1.0 for a warm upstream, less while it ramps up, 0.0 for one that must give up all it has.
+    /// Relative share of load that the member should get: 1.0 for a warm upstream, less during its warm-up, 0.0 for a
+    /// member that must release all its slots.
     pub weight: f64,
 }
 
-/// A slot as it stands.
+/// Current owner, successors and load of a slot.
 #[derive(Debug, Clone)]
 pub struct PlannerSlot {
     pub slot: Slot,
     pub owner: Option<u16>,
     pub successors: Vec<u16>,
-    /// Smoothed load, in microseconds of upstream time a second, without its hot keys.
+    /// Smoothed load in microseconds of upstream time per second, without the slot's hot keys.
     pub load_us_per_s: f64,
-    /// The slot may not move before this time (hysteresis).
+    /// Time before which the slot may not move (hysteresis).
     pub movable_from: Timestamp,
 }
 
-/// A key with, or worth, an entry of its own.
+/// Hot key: has an entry of its own, or has enough load for one.
 #[derive(Debug, Clone)]
 pub struct PlannerKey {
     pub key_hash: KeyHash,
-    /// The owner of its entry; none: it still follows its slot.
+    /// Owner of the key's entry; `None` if the key follows its slot.
     pub owner: Option<u16>,
     pub successors: Vec<u16>,
     pub load_us_per_s: f64,
 }
 
-/// All that a proposal rests on.
+/// Input of [`propose`].
 #[derive(Debug, Clone)]
 pub struct PlannerInput {
     pub now: Timestamp,
     pub slot_count: SlotCount,
-    /// Whether the order of slots means something: see `planner::ranges`.
+    /// Whether the keys have an order that the slots follow; see `planner::ranges`.
     pub ordered: bool,
     pub members: Vec<PlannerMember>,
     /// One for each slot, in order.
     pub slots: Vec<PlannerSlot>,
     pub keys: Vec<PlannerKey>,
-    /// The share of all keys that may still move in this minute for rebalancing; moves off lost or
-    /// leaving members and first grants are free of it.
+    /// Share of all keys that rebalancing may still move in this minute. First grants and moves away from lost or
+    /// leaving members do not count.
     pub churn_left: f64,
     pub limits: Limits,
 }
 
-/// What is to move: a whole slot, or one hot key.
+/// Unit of a move: a whole slot or one hot key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MoveUnit {
     Slot(Slot),
     Key(KeyHash),
 }
 
-/// One move, most urgent first.
+/// Move of a slot or hot key to another member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
     pub unit: MoveUnit,
     pub from: Option<u16>,
-    /// None only for [`MoveUnit::Key`]: the key follows its slot again.
+    /// New owner; `None` for a key that follows its slot again.
     pub to: Option<u16>,
     pub reason: MoveReason,
 }
 
-/// The proposed plan.
+/// Proposed changes to the plan.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Proposal {
+    /// Moves in order of decreasing urgency.
     pub moves: Vec<Move>,
-    /// For each slot, in order: the successors after the moves, first choice first; of another
-    /// availability zone than the owner where there is one, and spread over the members.
+    /// Successors of each slot after the moves, in order of preference. They are spread over the members and, if
+    /// possible, in another availability zone than the owner.
     pub successors: Vec<Vec<u16>>,
-    /// The same for each of [`PlannerInput::keys`] that keeps an entry.
+    /// Successors of each key in [`PlannerInput::keys`] that has an entry after the moves.
     pub key_successors: Vec<(KeyHash, Vec<u16>)>,
 }
 
-/// How many successors each slot has, if there are as many members.
+/// Number of successors of each slot, if there are enough members.
 pub const SUCCESSOR_COUNT: usize = 3;
 
 /// Proposes moves and successors.
 ///
-/// Panics if a slot is missing from the input or an index names no member: both are faults of the
-/// caller.
+/// # Panics
+///
+/// Panics if a slot is missing from the input or an index does not refer to a member.
 pub fn propose(input: &PlannerInput) -> Proposal {
     if input.ordered {
         return ranges::propose(input);
     }
-    let mut board = Board::new(input);
-    let mut moves = forced::moves(&mut board);
-    rebalance::relieve(&mut board, &mut moves);
-    rebalance::drop_keys(&mut board, &mut moves);
-    let successors = successors::successors(&board);
+    let mut plan = WorkingPlan::new(input);
+    let mut moves = forced::forced_moves(&mut plan);
+    rebalance::relieve(&mut plan, &mut moves);
+    rebalance::drop_key_entries(&mut plan, &mut moves);
+    let successors = successors::successors(&plan);
     Proposal { moves, successors: successors.slots, key_successors: successors.keys }
 }
--- a/crates/ownership/src/planner/ranges.rs
+++ b/crates/ownership/src/planner/ranges.rs
@@ -1,88 +1,92 @@
-//! Placing of services whose keys have an order: neighbours are busy together, and an owner holds
-//! few runs of neighbouring slots, for each run is one grant that has to be renewed.
+//! Placement for services with ordered keys. Neighbouring keys tend to be busy at the same time, and each owner should
+//! hold few ranges of consecutive slots, because each range is a grant that has to be renewed.
 //!
-//! The load that this answers: a stretch of some hundred neighbouring keys suddenly carries a third
-//! or more of all requests. It is cut in its midst and shared out, by as few slots as do it.
+//! Designed for a load in which a range of some hundred neighbouring keys suddenly receives a third or more of all
+//! requests. The planner splits such a range among several members and moves as few slots as possible.
 
 use model::Slot;
 
 use super::{Move, MoveUnit, PlannerInput, Proposal, SUCCESSOR_COUNT};
 use crate::{MoveReason, work};
 
-/// A slot counts as this share of the mean slot besides its load, so that idle slots are shared out
-/// too and the first placement gives each member as many.
+/// Cost of a slot in addition to its load, as a share of the mean slot's load. Balances idle slots as well, and makes
+/// the first placement give each member the same number of slots.
 const IDLE_SHARE: f64 = 0.05;
-/// A member that could take less of a run than this share of a fair load gets nothing of it: a sliver
-/// would cost a grant of its own.
-const SLIVER_SHARE: f64 = 0.1;
-/// The standard deviation of a load of one request in flight, as a share of it, as reports of about
-/// a second show it; it falls with the root of the load.
-const NOISE: f64 = 0.3;
-/// Over so many others the slots of an owner that is lost are spread: each takes an eighth more than it had.
-/// More would cut the routes into more runs, one for each of them.
-const HEIRS_MAX: usize = 8;
-/// The most runs that one proposal moves for balance, each a handover during which its keys wait: so many
-/// at least, and in large services one for two members. A stretch with two fifths of the load of 41 members
-/// has to go to 16 of them.
-const MOVES_MAX: usize = 6;
+/// Smallest part of a range that a member may get, as a share of its fair load. A smaller part is not worth a grant of
+/// its own.
+const RANGE_SHARE_MIN: f64 = 0.1;
+/// Relative standard deviation of a load of one request in flight in reports over about a second. It decreases with the
+/// square root of the load.
+const RELATIVE_NOISE: f64 = 0.3;
+/// Number of members that share the slots of a lost owner; the load of each rises by an eighth. A higher number would
+/// split the routes into more ranges, one per successor.
+const SUCCESSORS_PER_OWNER_MAX: usize = 8;
+/// Number of ranges that one proposal may move for balance in a small service. Limited because the keys of a range wait
+/// during its handover.
+const MOVES_MAX_BASE: usize = 6;
+/// Members per range that one proposal may move, if that allows more than [`MOVES_MAX_BASE`]. A range of keys with two
+/// fifths of the load of 41 members, for example, has to be split among 16 of them.
 const MEMBERS_PER_MOVE: usize = 2;
-/// A member with this many times its fair load gives away also what was moved of late: no chance looks like
-/// that, and what was moved as a whole to one that could not carry it has to be cut again.
-const OVERRUN: f64 = 3.0;
-/// Relief goes on until the busiest member is below this share of the way from even to the trigger.
+/// Relative load from which a member's recently moved slots may move again. Random variation does not reach it, and a
+/// range that was moved as a whole to a member that could not carry it has to be split again.
+const OVERLOAD_FACTOR: f64 = 3.0;
+/// Level at which relief stops, as a share of the distance between a relative load of 1 and the trigger.
 const SETTLE_SHARE: f64 = 0.5;
 const US_PER_S: f64 = 1e6;
-/// Below this load of the whole service its slots count alike: a hundredth of a request in flight.
+/// Load of the whole service below which all slots count the same. Equals a hundredth of a request in flight.
 const IDLE_US_PER_S: f64 = 1e4;
 
-/// The proposal for a service with ordered keys.
+/// Returns the proposal for a service with ordered keys.
 pub(super) fn propose(input: &PlannerInput) -> Proposal {
-    let mut line = Line::new(input);
-    if line.able.is_empty() {
-        return Proposal { successors: vec![Vec::new(); line.owners.len()], ..Proposal::default() };
+    let mut layout = SlotLayout::new(input);
+    if layout.eligible.is_empty() {
+        return Proposal {
+            successors: vec![Vec::new(); layout.owners.len()],
+            ..Proposal::default()
+        };
     }
-    line.place_orphans();
-    line.relieve();
-    let moves = line.moves();
-    let successors = line.successors();
+    layout.place_unowned();
+    layout.relieve();
+    let moves = layout.moves();
+    let successors = layout.successors();
     Proposal { moves, successors, key_successors: Vec::new() }
 }
 
-/// Neighbouring slots: `first` up to, but without, `end`.
+/// Range of consecutive slots from `first` (inclusive) to `end` (exclusive).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Run {
+struct SlotRange {
     first: usize,
     end: usize,
 }
 
-impl Run {
+impl SlotRange {
     fn len(self) -> usize {
         self.end - self.first
     }
 }
 
-/// The slots in their order, with who owns them after the moves so far.
-struct Line<'a> {
+/// Slots in order, with their owners after the moves so far.
+struct SlotLayout<'a> {
     input: &'a PlannerInput,
     owners: Vec<Option<u16>>,
-    /// What each slot counts as.
+    /// Cost of each slot: its load and a share for being a slot, in microseconds per second.
     costs: Vec<f64>,
-    /// What each member carries.
-    carried: Vec<f64>,
-    /// Members that may own anything.
-    able: Vec<u16>,
-    /// What a member of weight 1 carries when all are even.
-    fair: f64,
-    /// Slots that were moved to even out the load.
-    relieved: Vec<bool>,
-    /// No load has been measured: slots are evened out by their number.
+    /// Cost of all slots of each member.
+    loads: Vec<f64>,
+    /// Members that may own slots.
+    eligible: Vec<u16>,
+    /// Load of a member of weight 1 if the load is balanced.
+    fair_load: f64,
+    /// Whether each slot was moved to balance the load.
+    rebalanced: Vec<bool>,
+    /// Whether the service has too little load to measure; its slots are then balanced by number.
     is_idle: bool,
 }
 
-impl<'a> Line<'a> {
-    fn new(input: &'a PlannerInput) -> Line<'a> {
+impl<'a> SlotLayout<'a> {
+    fn new(input: &'a PlannerInput) -> SlotLayout<'a> {
         let weight = |it: u16| input.members[usize::from(it)].weight;
-        let able: Vec<u16> =
+        let eligible: Vec<u16> =
             (0..input.members.len() as u16).filter(|it| weight(*it) > 0.0).collect();
         let measured: f64 = input.slots.iter().map(|it| it.load_us_per_s.max(0.0)).sum();
         let is_idle = measured < IDLE_US_PER_S;
@@ -90,188 +94,191 @@
             true => US_PER_S,
             false => measured * IDLE_SHARE / input.slots.len() as f64,
         };
-        let seen = |it: f64| if is_idle { 0.0 } else { it.max(0.0) };
-        let costs: Vec<f64> = input.slots.iter().map(|it| seen(it.load_us_per_s) + idle).collect();
-        let is_able = |it: &u16| able.contains(it);
+        let measured_load = |it: f64| if is_idle { 0.0 } else { it.max(0.0) };
+        let costs: Vec<f64> =
+            input.slots.iter().map(|it| measured_load(it.load_us_per_s) + idle).collect();
+        let is_eligible = |it: &u16| eligible.contains(it);
         let owners: Vec<Option<u16>> =
-            input.slots.iter().map(|it| it.owner.filter(is_able)).collect();
-        let mut carried = vec![0.0; input.members.len()];
+            input.slots.iter().map(|it| it.owner.filter(is_eligible)).collect();
+        let mut loads = vec![0.0; input.members.len()];
         for (owner, cost) in owners.iter().zip(&costs) {
             if let Some(owner) = owner {
-                carried[usize::from(*owner)] += cost;
+                loads[usize::from(*owner)] += cost;
             }
         }
-        let weights: f64 = able.iter().map(|it| weight(*it)).sum();
-        let fair = costs.iter().sum::<f64>() / weights.max(f64::MIN_POSITIVE);
-        let relieved = vec![false; owners.len()];
-        Line { input, owners, costs, carried, able, fair, relieved, is_idle }
+        let weights: f64 = eligible.iter().map(|it| weight(*it)).sum();
+        let fair_load = costs.iter().sum::<f64>() / weights.max(f64::MIN_POSITIVE);
+        let rebalanced = vec![false; owners.len()];
+        SlotLayout { input, owners, costs, loads, eligible, fair_load, rebalanced, is_idle }
     }
 
     fn weight(&self, member: u16) -> f64 {
         self.input.members[usize::from(member)].weight
     }
 
-    fn carries(&self, member: u16) -> f64 {
-        self.carried[usize::from(member)]
+    fn load_of(&self, member: u16) -> f64 {
+        self.loads[usize::from(member)]
     }
 
-    /// What a member carries over its fair share.
-    fn relative(&self, member: u16) -> f64 {
-        self.carries(member) / (self.weight(member) * self.fair)
+    /// Returns a member's load divided by its fair load.
+    fn relative_load(&self, member: u16) -> f64 {
+        self.load_of(member) / (self.weight(member) * self.fair_load)
     }
 
-    fn cost(&self, run: Run) -> f64 {
-        self.costs[run.first..run.end].iter().sum()
+    fn cost(&self, range: SlotRange) -> f64 {
+        self.costs[range.first..range.end].iter().sum()
     }
 
-    fn give(&mut self, run: Run, to: u16) {
-        for slot in run.first..run.end {
+    fn assign(&mut self, range: SlotRange, to: u16) {
+        for slot in range.first..range.end {
             if let Some(from) = self.owners[slot].replace(to) {
-                self.carried[usize::from(from)] -= self.costs[slot];
+                self.loads[usize::from(from)] -= self.costs[slot];
             }
-            self.carried[usize::from(to)] += self.costs[slot];
+            self.loads[usize::from(to)] += self.costs[slot];
         }
     }
 
-    /// Runs of slots that belong to `owner`.
-    fn runs(&self, owner: Option<u16>) -> Vec<Run> {
-        let mut runs: Vec<Run> = Vec::new();
+    /// Returns the maximal ranges of slots that belong to `owner`.
+    fn ranges(&self, owner: Option<u16>) -> Vec<SlotRange> {
+        let mut ranges: Vec<SlotRange> = Vec::new();
         work::add_entries(self.owners.len() / 8);
         for slot in (0..self.owners.len()).filter(|it| self.owners[*it] == owner) {
-            match runs.last_mut() {
-                Some(run) if run.end == slot => run.end += 1,
-                _ => runs.push(Run { first: slot, end: slot + 1 }),
+            match ranges.last_mut() {
+                Some(range) if range.end == slot => range.end += 1,
+                _ => ranges.push(SlotRange { first: slot, end: slot + 1 }),
             }
         }
-        runs
+        ranges
     }
 
-    /// Gives slots without an able owner away, run by run.
-    fn place_orphans(&mut self) {
-        for run in self.runs(None) {
-            self.place(run);
+    /// Assigns the slots without an eligible owner, range by range.
+    fn place_unowned(&mut self) {
+        for range in self.ranges(None) {
+            self.distribute(range);
         }
     }
 
-    /// Cuts a run into one part for each member that has room, in the order of the slots; the
-    /// neighbours of the run get the parts at its ends, which go on from what they have.
-    fn place(&mut self, run: Run) {
-        let left = run.first.checked_sub(1).and_then(|it| self.owners[it]);
-        let right = self.owners.get(run.end).copied().flatten();
-        let total = self.cost(run);
+    /// Splits a range into one part for each member that has spare capacity. The owners of the slots next to the range
+    /// get the parts at its ends, which extend their ranges.
+    fn distribute(&mut self, range: SlotRange) {
+        let left = range.first.checked_sub(1).and_then(|it| self.owners[it]);
+        let right = self.owners.get(range.end).copied().flatten();
+        let total = self.cost(range);
         let shares = self.shares(total);
-        let place_of = |it: &(u16, f64)| match it.0 {
+        let position_of = |it: &(u16, f64)| match it.0 {
             member if Some(member) == left => 0,
             member if Some(member) == right => 2,
             _ => 1,
         };
         let mut shares = shares;
-        shares.sort_by_key(place_of);
-        let mut rest = run;
-        let mut due = 0.0;
-        let mut given = 0.0;
+        shares.sort_by_key(position_of);
+        let mut rest = range;
+        let mut assigned_target = 0.0;
+        let mut assigned = 0.0;
         for (at, (member, share)) in shares.iter().enumerate() {
-            due += share;
+            assigned_target += share;
             let mut end = rest.first;
-            while end < rest.end && given + self.costs[end] / 2.0 < due {
-                given += self.costs[end];
+            while end < rest.end && assigned + self.costs[end] / 2.0 < assigned_target {
+                assigned += self.costs[end];
                 end += 1;
             }
             if at + 1 == shares.len() {
                 end = rest.end;
             }
-            self.give(Run { first: rest.first, end }, *member);
+            self.assign(SlotRange { first: rest.first, end }, *member);
             rest.first = end;
         }
     }
 
-    /// How much of a load each member takes so that all come to be as even as they can.
+    /// Returns how much of a load each member takes so that the members' loads become as even as possible.
     fn shares(&self, load: f64) -> Vec<(u16, f64)> {
-        // The level up to which members are filled, found by halving.
-        let filled = |level: f64| {
-            let room = |it: &u16| (level * self.weight(*it) - self.carries(*it)).max(0.0);
-            self.able.iter().map(room).sum::<f64>()
+        // Bisects for the relative load up to which members are filled.
+        let absorbed = |level: f64| {
+            let room = |it: &u16| (level * self.weight(*it) - self.load_of(*it)).max(0.0);
+            self.eligible.iter().map(room).sum::<f64>()
         };
-        let (mut low, mut high) = (0.0, load + self.carried.iter().sum::<f64>());
-        let weight_min = self.able.iter().map(|it| self.weight(*it)).fold(1.0, f64::min);
+        let (mut low, mut high) = (0.0, load + self.loads.iter().sum::<f64>());
+        let weight_min = self.eligible.iter().map(|it| self.weight(*it)).fold(1.0, f64::min);
         high /= weight_min;
         for _ in 0..50 {
             let level = (low + high) / 2.0;
-            match filled(level) < load {
+            match absorbed(level) < load {
                 true => low = level,
                 false => high = level,
             }
         }
-        let share = |it: u16| (high * self.weight(it) - self.carries(it)).max(0.0);
-        let all: Vec<(u16, f64)> = self.able.iter().map(|it| (*it, share(*it))).collect();
-        let sliver = SLIVER_SHARE * self.fair.min(load);
-        let some: Vec<(u16, f64)> = all.iter().copied().filter(|it| it.1 >= sliver).collect();
-        if some.is_empty() { all } else { some }
+        let share = |it: u16| (high * self.weight(it) - self.load_of(it)).max(0.0);
+        let all: Vec<(u16, f64)> = self.eligible.iter().map(|it| (*it, share(*it))).collect();
+        let share_min = RANGE_SHARE_MIN * self.fair_load.min(load);
+        let large_enough: Vec<(u16, f64)> =
+            all.iter().copied().filter(|it| it.1 >= share_min).collect();
+        if large_enough.is_empty() { all } else { large_enough }
     }
 
-    /// From which relative load on a member is relieved: above the document's target, and above what
-    /// chance shows of a load of this size.
+    /// Returns the relative load above which a member is relieved: the document's target, or the random variation of a
+    /// load of this size if that is higher.
     fn trigger(&self) -> f64 {
         if self.is_idle {
             return self.input.limits.imbalance_target;
         }
-        let in_flight = (self.fair / US_PER_S).max(f64::MIN_POSITIVE);
-        let chance = 1.0 + NOISE / in_flight.sqrt();
-        self.input.limits.imbalance_target.max(chance)
+        let in_flight = (self.fair_load / US_PER_S).max(f64::MIN_POSITIVE);
+        let noise_threshold = 1.0 + RELATIVE_NOISE / in_flight.sqrt();
+        self.input.limits.imbalance_target.max(noise_threshold)
     }
 
-    /// Moves the fewest slots that bring the busiest members down, within the churn that is left.
+    /// Moves as few slots as possible to relieve the busiest members, within the remaining churn budget.
     fn relieve(&mut self) {
         let trigger = self.trigger();
         let settle = 1.0 + (trigger - 1.0) * SETTLE_SHARE;
-        // What nobody asks for may move freely: nobody waits for it.
+        // Slots without requests may move without limit, because no request waits for them.
         let churn = if self.is_idle { 1.0 } else { self.input.churn_left };
         let mut churn_left = (churn * self.owners.len() as f64) as usize;
-        // Those that nothing can be taken from, such as the owner of one slot that is too much for anybody.
-        let mut stuck: Vec<u16> = Vec::new();
-        let moves_max = MOVES_MAX.max(self.able.len() / MEMBERS_PER_MOVE);
+        // Members that cannot be relieved, such as the owner of a single slot that exceeds any member's capacity.
+        let mut unrelievable: Vec<u16> = Vec::new();
+        let moves_max = MOVES_MAX_BASE.max(self.eligible.len() / MEMBERS_PER_MOVE);
         let mut moves = 0;
         while moves < moves_max {
-            let by_load = |a: &u16, b: &u16| self.relative(*a).total_cmp(&self.relative(*b));
-            let movable = self.able.iter().copied().filter(|it| !stuck.contains(it));
+            let by_load =
+                |a: &u16, b: &u16| self.relative_load(*a).total_cmp(&self.relative_load(*b));
+            let movable = self.eligible.iter().copied().filter(|it| !unrelievable.contains(it));
             let Some(busiest) = movable.max_by(by_load) else { return };
-            let Some(idlest) = self.able.iter().copied().min_by(by_load) else { return };
-            if self.relative(busiest) <= trigger || busiest == idlest {
+            let Some(least_loaded) = self.eligible.iter().copied().min_by(by_load) else { return };
+            if self.relative_load(busiest) <= trigger || busiest == least_loaded {
                 return;
             }
-            let excess = self.carries(busiest) - settle * self.fair * self.weight(busiest);
-            let room = self.fair * self.weight(idlest) - self.carries(idlest);
+            let excess = self.load_of(busiest) - settle * self.fair_load * self.weight(busiest);
+            let room = self.fair_load * self.weight(least_loaded) - self.load_of(least_loaded);
             let wanted = excess.min(room);
-            let run = self.window(busiest, idlest, wanted, churn_left);
-            let run = run.or_else(|| self.heaviest(busiest, wanted, churn_left));
-            let Some(run) = run else {
-                stuck.push(busiest);
+            let range = self.find_subrange(busiest, least_loaded, wanted, churn_left);
+            let range = range.or_else(|| self.heaviest_range(busiest, wanted, churn_left));
+            let Some(range) = range else {
+                unrelievable.push(busiest);
                 continue;
             };
             moves += 1;
-            churn_left -= run.len();
-            self.relieved[run.first..run.end].fill(true);
-            self.give(run, idlest);
+            churn_left -= range.len();
+            self.rebalanced[range.first..range.end].fill(true);
+            self.assign(range, least_loaded);
         }
     }
 
-    /// The shortest run of the busiest member's slots that carries about `wanted`; of equal ones, one
-    /// that leaves fewer runs behind.
-    fn window(&self, from: u16, to: u16, wanted: f64, len_max: usize) -> Option<Run> {
-        let mut best: Option<(usize, usize, Run)> = None;
-        let overrun = self.relative(from) > OVERRUN;
-        for run in self.runs(Some(from)) {
-            for first in run.first..run.end {
-                let Some(end) = self.grow(first, run.end, wanted) else { break };
-                let candidate = Run { first, end };
-                // It must make things better, not only turn them round.
-                let carried = self.cost(candidate);
-                let better = self.carries(to) + carried < self.carries(from);
-                let free = (first..end).all(|it| self.is_free(it, overrun));
-                if !better || !free || candidate.len() > len_max {
+    /// Returns the shortest range of slots of `from` with a load of about `wanted`; of equally short ones, the one
+    /// whose move creates fewer ranges.
+    fn find_subrange(&self, from: u16, to: u16, wanted: f64, len_max: usize) -> Option<SlotRange> {
+        let mut best: Option<(usize, usize, SlotRange)> = None;
+        let is_overloaded = self.relative_load(from) > OVERLOAD_FACTOR;
+        for range in self.ranges(Some(from)) {
+            for first in range.first..range.end {
+                let Some(end) = self.subrange_end(first, range.end, wanted) else { break };
+                let candidate = SlotRange { first, end };
+                // The move must reduce the higher load of the two members, not only swap their roles.
+                let load = self.cost(candidate);
+                let improves = self.load_of(to) + load < self.load_of(from);
+                let all_movable = (first..end).all(|it| self.may_move(it, is_overloaded));
+                if !improves || !all_movable || candidate.len() > len_max {
                     continue;
                 }
-                let rank = (candidate.len(), self.cuts(candidate, run, to));
+                let rank = (candidate.len(), self.added_ranges(candidate, range, to));
                 if best.is_none_or(|it| rank < (it.0, it.1)) {
                     best = Some((rank.0, rank.1, candidate));
                 }
@@ -280,46 +287,46 @@
         best.map(|it| it.2)
     }
 
-    /// Where no run carries as much as is wanted, the heaviest of those that are free as a whole: owners whose
-    /// slots lie in many short runs have no other.
-    fn heaviest(&self, from: u16, wanted: f64, len_max: usize) -> Option<Run> {
-        let overrun = self.relative(from) > OVERRUN;
-        let fits = |it: &Run| {
+    /// Returns the whole range of `from` with the highest load up to `wanted`. Needed for owners of many short ranges,
+    /// none of which has a load of `wanted`.
+    fn heaviest_range(&self, from: u16, wanted: f64, len_max: usize) -> Option<SlotRange> {
+        let is_overloaded = self.relative_load(from) > OVERLOAD_FACTOR;
+        let fits = |it: &SlotRange| {
             let cost = self.cost(*it);
-            let free = (it.first..it.end).all(|it| self.is_free(it, overrun));
-            free && it.len() <= len_max && cost <= wanted
+            let all_movable = (it.first..it.end).all(|it| self.may_move(it, is_overloaded));
+            all_movable && it.len() <= len_max && cost <= wanted
         };
-        let runs = self.runs(Some(from)).into_iter().filter(fits);
-        runs.max_by(|a, b| self.cost(*a).total_cmp(&self.cost(*b)))
+        let ranges = self.ranges(Some(from)).into_iter().filter(fits);
+        ranges.max_by(|a, b| self.cost(*a).total_cmp(&self.cost(*b)))
     }
 
-    /// The end of the shortest run from `first` that carries `wanted`; without its last slot if that
-    /// is nearer to it.
-    fn grow(&self, first: usize, end_max: usize, wanted: f64) -> Option<usize> {
-        let mut carried = 0.0;
+    /// Returns the end of the shortest range from `first` with a load of `wanted`, without its last slot if the load is
+    /// then closer to `wanted`. Returns `None` if the load up to `end_max` is lower.
+    fn subrange_end(&self, first: usize, end_max: usize, wanted: f64) -> Option<usize> {
+        let mut load = 0.0;
         for end in first + 1..=end_max {
             let last = self.costs[end - 1];
-            carried += last;
-            if carried >= wanted {
-                let too_much = carried - wanted > wanted - (carried - last);
-                return Some(if too_much && end > first + 1 { end - 1 } else { end });
+            load += last;
+            if load >= wanted {
+                let overshoots = load - wanted > wanted - (load - last);
+                return Some(if overshoots && end > first + 1 { end - 1 } else { end });
             }
         }
         None
     }
 
-    fn is_free(&self, slot: usize, overrun: bool) -> bool {
-        let rests = self.input.slots[slot].movable_from > self.input.now;
-        !self.relieved[slot] && (overrun || !rests)
+    fn may_move(&self, slot: usize, is_overloaded: bool) -> bool {
+        let is_settling = self.input.slots[slot].movable_from > self.input.now;
+        !self.rebalanced[slot] && (is_overloaded || !is_settling)
     }
 
-    /// How many new runs come about when `part` of `run` goes to `to`.
-    fn cuts(&self, part: Run, run: Run, to: u16) -> usize {
+    /// Returns how many ranges are added if `part` of `range` moves to `to`.
+    fn added_ranges(&self, part: SlotRange, range: SlotRange, to: u16) -> usize {
         let is_to = |slot: Option<usize>| {
             slot.and_then(|it| self.owners.get(it)).is_some_and(|it| *it == Some(to))
         };
-        let left = part.first > run.first || !is_to(part.first.checked_sub(1));
-        let right = part.end < run.end || !is_to(Some(part.end));
+        let left = part.first > range.first || !is_to(part.first.checked_sub(1));
+        let right = part.end < range.end || !is_to(Some(part.end));
         usize::from(left) + usize::from(right)
     }
 
@@ -333,37 +340,37 @@
                 to: self.owners[at],
                 reason: match it.owner {
                     None => MoveReason::First,
-                    Some(_) if self.relieved[at] => MoveReason::Rebalance,
+                    Some(_) if self.rebalanced[at] => MoveReason::Rebalance,
                     Some(_) => MoveReason::Leave,
                 },
             })
             .collect()
     }
 
-    /// An owner's slots are cut into as many equal parts as there are heirs, and each part is followed by
-    /// them in another order: so a loss gives each of them one run, or few. They go by numbers and not by
-    /// loads, so that loads do not rewrite the plan.
+    /// Returns the successors of each slot. Splits an owner's slots into as many parts of equal length as there are
+    /// candidates, and rotates the candidates from part to part, so that the loss of the owner gives each candidate one
+    /// range or few. Uses numbers of slots and not loads, so that changes of load do not rewrite the plan.
     fn successors(&self) -> Vec<Vec<u16>> {
         let mut successors = vec![Vec::new(); self.owners.len()];
-        for owner in &self.able {
-            let others = self.heirs(*owner);
+        for owner in &self.eligible {
+            let candidates = self.successor_candidates(*owner);
             work::add_entries(self.owners.len() / 8);
             let slots: Vec<usize> =
                 (0..self.owners.len()).filter(|it| self.owners[*it] == Some(*owner)).collect();
             for (at, slot) in slots.iter().enumerate() {
-                let Some(part) = (at * others.len()).checked_div(slots.len()) else { continue };
-                let count = SUCCESSOR_COUNT.min(others.len());
-                let heirs = (0..count).map(|it| others[(part + it) % others.len()]);
-                successors[*slot] = heirs.collect();
+                let Some(part) = (at * candidates.len()).checked_div(slots.len()) else { continue };
+                let count = SUCCESSOR_COUNT.min(candidates.len());
+                let chosen = (0..count).map(|it| candidates[(part + it) % candidates.len()]);
+                successors[*slot] = chosen.collect();
             }
         }
         successors
     }
 
-    /// The others behind the owner, so that not all lean on the same ones.
-    fn heirs(&self, owner: u16) -> Vec<u16> {
-        let at = self.able.iter().position(|it| *it == owner).unwrap_or(0);
-        let behind = self.able[at + 1..].iter();
-        behind.chain(&self.able[..at]).take(HEIRS_MAX).copied().collect()
+    /// Returns the members that follow the owner in the list, so that owners have different successors.
+    fn successor_candidates(&self, owner: u16) -> Vec<u16> {
+        let at = self.eligible.iter().position(|it| *it == owner).unwrap_or(0);
+        let following = self.eligible[at + 1..].iter();
+        following.chain(&self.eligible[..at]).take(SUCCESSORS_PER_OWNER_MAX).copied().collect()
     }
 }
--- a/crates/ownership/src/planner/relief.rs
+++ b/crates/ownership/src/planner/relief.rs
@@ -1,4 +1,4 @@
-//! Which units to take off one overloaded member, and where to.
+//! Selection of the slots and keys to move away from one overloaded member, and of their new owners.
 
 use std::f64::consts::LN_2;
 
@@ -6,249 +6,261 @@
 
 use super::{
     Move, MoveUnit,
-    board::{Board, MemberLoad, SlotPlace},
+    working_plan::{MemberLoad, SlotState, WorkingPlan},
 };
 
-/// A key worth less than this share of a member's fair load gets no entry of its own.
+/// Load from which a key may get an entry of its own, as a share of a member's fair load.
 const KEY_HOT_SHARE: f64 = 0.005;
-/// What moving one hot key costs, next to a slot.
-const KEY_COST: f64 = 0.05;
+/// Cost of moving one hot key, relative to a slot.
+const KEY_COST_RATIO: f64 = 0.05;
 const US_PER_S: f64 = 1e6;
-/// A unit is not worth a move below this share of its member's excess.
-const RELIEF_MIN: f64 = 0.02;
-/// How much lower the busier of two members must end up, over a fair share, when the target is
-/// out of reach.
-const GAIN_MIN: f64 = 0.02;
+/// Load from which a slot or key is worth a move, as a share of its member's excess.
+const RELIEF_SHARE_MIN: f64 = 0.02;
+/// Minimum reduction of the relative load of the busier of two members by a move if the target cannot be reached.
+const IMPROVEMENT_MIN: f64 = 0.02;
 
-/// Levels of load over the fair share.
+/// Thresholds of a member's load relative to its fair load.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Levels {
-    /// Where relief ends.
+pub(super) struct LoadLevels {
+    /// Level at which relief stops.
     pub(super) settle: f64,
+    /// Level that no member should exceed.
     pub(super) target: f64,
 }
 
-/// A slot with its following keys, or one key, by index into the board.
+/// Candidate for a move: a slot with the keys that follow it, or one key, by index into the working plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Item {
+pub(super) enum Candidate {
     Slot(usize),
     Key(usize),
 }
 
-impl Item {
-    /// The share of all keys that an item holds. A key counts as more than it is, for the risk
-    /// that goes with a move.
-    pub(super) fn churn(self, board: &Board<'_>) -> f64 {
-        let slot = 1.0 / board.slots.len() as f64;
+impl Candidate {
+    /// Returns the churn of the move as a share of all keys. A single key counts as more than its share, to account for
+    /// the risk of a move.
+    pub(super) fn churn(self, plan: &WorkingPlan<'_>) -> f64 {
+        let slot = 1.0 / plan.slots.len() as f64;
         match self {
-            Item::Slot(_) => slot,
-            Item::Key(_) => slot * KEY_COST,
+            Candidate::Slot(_) => slot,
+            Candidate::Key(_) => slot * KEY_COST_RATIO,
         }
     }
 
-    pub(super) fn is_moved(self, board: &Board<'_>, moves: &[Move]) -> bool {
+    pub(super) fn has_move(self, plan: &WorkingPlan<'_>, moves: &[Move]) -> bool {
         let unit = match self {
-            Item::Slot(it) => MoveUnit::Slot(Slot(it as u16)),
-            Item::Key(it) => MoveUnit::Key(board.input.keys[it].key_hash),
+            Candidate::Slot(it) => MoveUnit::Slot(Slot(it as u16)),
+            Candidate::Key(it) => MoveUnit::Key(plan.input.keys[it].key_hash),
         };
         moves.iter().any(|it| it.unit == unit)
     }
 
-    fn load(self, board: &Board<'_>) -> f64 {
+    fn load(self, plan: &WorkingPlan<'_>) -> f64 {
         match self {
-            Item::Slot(it) => board.slots[it].whole_load(),
-            Item::Key(it) => board.keys[it].load,
+            Candidate::Slot(it) => plan.slots[it].total_load(),
+            Candidate::Key(it) => plan.keys[it].load,
         }
     }
 
-    /// The slot that an item lies in; a slot and its key do not both move.
-    fn slot(self, board: &Board<'_>) -> usize {
+    /// Returns the slot that the candidate belongs to. A slot and one of its keys do not both move.
+    fn slot(self, plan: &WorkingPlan<'_>) -> usize {
         match self {
-            Item::Slot(it) => it,
-            Item::Key(it) => board.keys[it].slot,
+            Candidate::Slot(it) => it,
+            Candidate::Key(it) => plan.keys[it].slot,
         }
     }
 
-    /// Weighs churn against unavailable time, next to a slot with one request in flight. While a
-    /// unit moves, all its keys wait for the longest of its requests in flight; that grows with
-    /// the logarithm of their number, so few heavy units cost less than many light ones.
-    fn cost(self, board: &Board<'_>) -> f64 {
-        let availability = board.input.limits.availability_weight.clamp(0.0, 1.0);
-        let in_flight = self.load(board) / US_PER_S;
+    /// Returns the cost of the move as a weighted sum of churn and unavailable time, relative to a slot with one
+    /// request in flight. During a move all keys wait for the longest request in flight. That time grows with the
+    /// logarithm of the number of requests, so a few heavy moves cost less than many light ones.
+    fn cost(self, plan: &WorkingPlan<'_>) -> f64 {
+        let availability = plan.input.limits.availability_weight.clamp(0.0, 1.0);
+        let in_flight = self.load(plan) / US_PER_S;
         let wait = in_flight.ln_1p() / LN_2;
         let slot = (1.0 - availability) + availability * wait;
         match self {
-            Item::Slot(_) => slot,
-            Item::Key(_) => slot * KEY_COST,
+            Candidate::Slot(_) => slot,
+            Candidate::Key(_) => slot * KEY_COST_RATIO,
         }
     }
 }
 
+/// Candidate that was selected for a move, with its new owner.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pick {
-    pub(super) item: Item,
+pub(super) struct Selection {
+    pub(super) candidate: Candidate,
     pub(super) to: u16,
     load: f64,
     cost: f64,
 }
 
-/// Which unit is tried first. Neither order is best always; the cheaper result is taken.
+/// Order in which candidates are tried. Neither order is always best, so both are tried and the cheaper result is used.
 #[derive(Debug, Clone, Copy)]
 enum Order {
-    /// Least cost for its relief.
-    Price,
-    /// Most relief.
+    /// Lowest cost per relieved load first.
+    CostPerRelief,
+    /// Highest relieved load first.
     Heaviest,
 }
 
-/// Moves off one member.
+/// Moves that relieve one member.
 #[derive(Debug, Default)]
 pub(super) struct Relief {
-    pub(super) picks: Vec<Pick>,
-    /// Load left above the settle level; 0 or less when all is well.
+    pub(super) selections: Vec<Selection>,
+    /// Remaining load above the settle level; 0 or less if relief is complete.
     excess: f64,
+    /// Total cost of the moves.
     cost: f64,
 }
 
 impl Relief {
-    /// The relief that gets furthest, at the least cost.
+    /// Returns the relief with the lowest remaining excess, and among equal ones the cheapest.
     pub(super) fn cheapest(
-        board: &Board<'_>,
+        plan: &WorkingPlan<'_>,
         member: u16,
-        levels: Levels,
+        levels: LoadLevels,
         churn_left: f64,
         moves: &[Move],
     ) -> Relief {
-        let items = movable(board, member, moves);
-        let worked = [Order::Price, Order::Heaviest].map(|order| {
-            let mut work = Work::new(board, member, levels, churn_left, items.clone());
-            work.run(order);
-            work.relief
+        let candidates = movable_candidates(plan, member, moves);
+        let results = [Order::CostPerRelief, Order::Heaviest].map(|order| {
+            let mut search = Search::new(plan, member, levels, churn_left, candidates.clone());
+            search.run(order);
+            search.relief
         });
-        let short = |it: &Relief| it.excess.max(0.0);
-        let best = worked
+        let shortfall = |it: &Relief| it.excess.max(0.0);
+        let best = results
             .into_iter()
-            .min_by(|a, b| short(a).total_cmp(&short(b)).then(a.cost.total_cmp(&b.cost)));
+            .min_by(|a, b| shortfall(a).total_cmp(&shortfall(b)).then(a.cost.total_cmp(&b.cost)));
         best.expect("there is more than one order")
     }
 }
 
-/// What a member could give up.
-fn movable(board: &Board<'_>, member: u16, moves: &[Move]) -> Vec<Item> {
-    let fair = board.fair * board.weight(member);
+/// Returns the slots and keys of a member that may move.
+fn movable_candidates(plan: &WorkingPlan<'_>, member: u16, moves: &[Move]) -> Vec<Candidate> {
+    let fair_load = plan.fair_load * plan.weight(member);
     let is_movable =
-        |it: &SlotPlace| it.owner == Some(member) && it.is_settled && it.key_load_max <= fair;
-    let slots = board.slots.iter().enumerate().filter(|(_, it)| is_movable(it));
-    let keys = (0..board.keys.len()).filter(|it| {
-        let key = board.keys[*it];
-        let is_settled = key.owner.is_some() || board.slots[key.slot].is_settled;
-        let is_hot = key.load >= KEY_HOT_SHARE * board.fair;
-        board.key_owner(*it) == Some(member) && is_settled && is_hot && key.load <= fair
+        |it: &SlotState| it.owner == Some(member) && it.may_move && it.key_load_max <= fair_load;
+    let slots = plan.slots.iter().enumerate().filter(|(_, it)| is_movable(it));
+    let keys = (0..plan.keys.len()).filter(|it| {
+        let key = plan.keys[*it];
+        let may_move = key.owner.is_some() || plan.slots[key.slot].may_move;
+        let is_hot = key.load >= KEY_HOT_SHARE * plan.fair_load;
+        plan.key_owner(*it) == Some(member) && may_move && is_hot && key.load <= fair_load
     });
-    let items = slots.map(|(index, _)| Item::Slot(index)).chain(keys.map(Item::Key));
-    items.filter(|it| !it.is_moved(board, moves)).collect()
+    let candidates = slots.map(|(index, _)| Candidate::Slot(index)).chain(keys.map(Candidate::Key));
+    candidates.filter(|it| !it.has_move(plan, moves)).collect()
 }
 
-/// One way to relieve a member, worked out on a copy of the members' loads.
-struct Work<'a> {
-    board: &'a Board<'a>,
+/// Search for the moves that relieve one member, on a copy of the members' loads.
+struct Search<'a> {
+    plan: &'a WorkingPlan<'a>,
     member: u16,
-    levels: Levels,
+    levels: LoadLevels,
     churn_left: f64,
     members: Vec<MemberLoad>,
-    items: Vec<Item>,
+    candidates: Vec<Candidate>,
     relief: Relief,
 }
 
-impl<'a> Work<'a> {
+impl<'a> Search<'a> {
     fn new(
-        board: &'a Board<'a>,
+        plan: &'a WorkingPlan<'a>,
         member: u16,
-        levels: Levels,
+        levels: LoadLevels,
         churn_left: f64,
-        items: Vec<Item>,
-    ) -> Work<'a> {
-        let over = board.relative(member, 0.0) - levels.settle;
-        let excess = over * board.weight(member) * board.fair;
-        let relief = Relief { picks: Vec::new(), excess, cost: 0.0 };
-        Work { board, member, levels, churn_left, members: board.members.clone(), items, relief }
+        candidates: Vec<Candidate>,
+    ) -> Search<'a> {
+        let excess_share = plan.relative_load(member, 0.0) - levels.settle;
+        let excess = excess_share * plan.weight(member) * plan.fair_load;
+        let relief = Relief { selections: Vec::new(), excess, cost: 0.0 };
+        Search {
+            plan,
+            member,
+            levels,
+            churn_left,
+            members: plan.members.clone(),
+            candidates,
+            relief,
+        }
     }
 
     fn run(&mut self, order: Order) {
         while self.relief.excess > 0.0
-            && let Some(pick) = self.best(order)
+            && let Some(selection) = self.best_selection(order)
         {
-            self.take(pick);
+            self.apply(selection);
         }
-        self.prune();
+        self.drop_redundant();
     }
 
-    /// The best unit that fits under the settle level elsewhere, else under the target, else one
-    /// that at least leaves the busier of the two less busy than before.
-    fn best(&self, order: Order) -> Option<Pick> {
-        let now = self.relative(self.member, 0.0);
-        let ceilings = [self.levels.settle, self.levels.target, now - GAIN_MIN];
+    /// Returns the best candidate whose new owner stays below the settle level; if there is none, below the target; if
+    /// there is none, below the member's current load.
+    fn best_selection(&self, order: Order) -> Option<Selection> {
+        let current = self.relative_load(self.member, 0.0);
+        let ceilings = [self.levels.settle, self.levels.target, current - IMPROVEMENT_MIN];
         ceilings.into_iter().find_map(|ceiling| {
-            let picks = self.items.iter().filter_map(|it| self.pick(*it, ceiling));
-            // What goes below the settle level, down to the fair load, lasts the longer.
-            let reserve = (self.levels.settle - 1.0) * self.fair();
-            let relief = |it: &Pick| it.load.min(self.relief.excess + reserve);
-            let rank = |it: &Pick| match order {
-                Order::Price => it.cost / relief(it),
+            let selections = self.candidates.iter().filter_map(|it| self.select(*it, ceiling));
+            // Relief below the settle level, down to the fair load, counts too: the next relief is needed later.
+            let reserve = (self.levels.settle - 1.0) * self.fair_load();
+            let relief = |it: &Selection| it.load.min(self.relief.excess + reserve);
+            let rank = |it: &Selection| match order {
+                Order::CostPerRelief => it.cost / relief(it),
                 Order::Heaviest => -relief(it),
             };
-            picks.min_by(|a, b| rank(a).total_cmp(&rank(b)).then(a.load.total_cmp(&b.load)))
+            selections.min_by(|a, b| rank(a).total_cmp(&rank(b)).then(a.load.total_cmp(&b.load)))
         })
     }
 
-    fn pick(&self, item: Item, ceiling: f64) -> Option<Pick> {
-        let load = item.load(self.board);
-        if load < RELIEF_MIN * self.relief.excess || item.churn(self.board) > self.churn_left {
+    fn select(&self, candidate: Candidate, ceiling: f64) -> Option<Selection> {
+        let load = candidate.load(self.plan);
+        if load < RELIEF_SHARE_MIN * self.relief.excess
+            || candidate.churn(self.plan) > self.churn_left
+        {
             return None;
         }
-        let others = self.board.able().filter(|it| *it != self.member);
-        let relative = |it: &u16| self.relative(*it, load);
+        let others = self.plan.eligible().filter(|it| *it != self.member);
+        let relative = |it: &u16| self.relative_load(*it, load);
         let to = others.min_by(|a, b| relative(a).total_cmp(&relative(b)))?;
         if relative(&to) > ceiling {
             return None;
         }
-        Some(Pick { item, to, load, cost: item.cost(self.board) })
+        Some(Selection { candidate, to, load, cost: candidate.cost(self.plan) })
     }
 
-    fn take(&mut self, pick: Pick) {
-        self.members[usize::from(self.member)].load -= pick.load;
-        self.members[usize::from(pick.to)].load += pick.load;
-        self.churn_left -= pick.item.churn(self.board);
-        self.relief.excess -= pick.load;
-        self.relief.cost += pick.cost;
-        self.relief.picks.push(pick);
-        let slot = pick.item.slot(self.board);
-        self.items.retain(|it| match pick.item {
-            Item::Slot(_) => it.slot(self.board) != slot,
-            Item::Key(_) => *it != pick.item && *it != Item::Slot(slot),
+    fn apply(&mut self, selection: Selection) {
+        self.members[usize::from(self.member)].load -= selection.load;
+        self.members[usize::from(selection.to)].load += selection.load;
+        self.churn_left -= selection.candidate.churn(self.plan);
+        self.relief.excess -= selection.load;
+        self.relief.cost += selection.cost;
+        self.relief.selections.push(selection);
+        let slot = selection.candidate.slot(self.plan);
+        self.candidates.retain(|it| match selection.candidate {
+            Candidate::Slot(_) => it.slot(self.plan) != slot,
+            Candidate::Key(_) => *it != selection.candidate && *it != Candidate::Slot(slot),
         });
     }
 
-    /// Takes back picks that later ones made needless, the costliest first.
-    fn prune(&mut self) {
-        let mut order: Vec<Pick> = self.relief.picks.clone();
+    /// Drops selections that later ones have made unnecessary, the most expensive first.
+    fn drop_redundant(&mut self) {
+        let mut order: Vec<Selection> = self.relief.selections.clone();
         order.sort_by(|a, b| b.cost.total_cmp(&a.cost));
-        for pick in order {
-            if self.relief.excess + pick.load > 0.0 {
+        for selection in order {
+            if self.relief.excess + selection.load > 0.0 {
                 continue;
             }
-            self.relief.excess += pick.load;
-            self.relief.cost -= pick.cost;
-            self.relief.picks.retain(|it| it.item != pick.item);
+            self.relief.excess += selection.load;
+            self.relief.cost -= selection.cost;
+            self.relief.selections.retain(|it| it.candidate != selection.candidate);
         }
     }
 
-    fn fair(&self) -> f64 {
-        self.board.weight(self.member) * self.board.fair
+    fn fair_load(&self) -> f64 {
+        self.plan.weight(self.member) * self.plan.fair_load
     }
 
-    fn relative(&self, member: u16, more: f64) -> f64 {
+    fn relative_load(&self, member: u16, extra: f64) -> f64 {
         let it = self.members[usize::from(member)];
-        (it.load + more) / (it.weight * self.board.fair)
+        (it.load + extra) / (it.weight * self.plan.fair_load)
     }
 }
--- a/crates/ownership/src/planner/successors.rs
+++ b/crates/ownership/src/planner/successors.rs
@@ -1,13 +1,14 @@
-//! Who follows an owner that is lost: of another availability zone, spread so that one loss adds
-//! little to each, and kept while they still do.
+//! Choice of the successors that take over if an owner is lost. The first successor is in another availability zone if
+//! possible, successors are spread so that one loss adds little load to each member, and previous choices are kept
+//! while they are good enough.
 
 use model::{KeyHash, Zone};
 
-use super::{SUCCESSOR_COUNT, board::Board};
+use super::{SUCCESSOR_COUNT, working_plan::WorkingPlan};
 
-/// A first successor is kept while the load it would come to is at most this much above the best.
-const KEPT: f64 = 1.5;
-/// How much the loss of a whole zone counts next to that of one member.
+/// Highest load of a previous successor after the loss, relative to that of the best candidate, for which it is kept.
+const KEEP_RATIO_MAX: f64 = 1.5;
+/// Weight of the loss of a whole zone relative to the loss of one member.
 const ZONE_LOSS_SHARE: f64 = 0.25;
 
 /// Successors of each slot, and of each key with an entry.
@@ -16,111 +17,112 @@
     pub(super) keys: Vec<(KeyHash, Vec<u16>)>,
 }
 
-/// A slot, or a key with an entry, and its former successors.
-struct Item<'a> {
+/// Slot or hot key with an entry, and its previous successors.
+struct OwnedUnit<'a> {
     owner: Option<u16>,
     load: f64,
-    former: &'a [u16],
+    previous: &'a [u16],
 }
 
-pub(super) fn successors(board: &Board<'_>) -> Successors {
-    let input = board.input;
-    let slots = board.slots.iter().zip(&input.slots).map(|(place, slot)| Item {
-        owner: place.owner,
-        load: place.whole_load(),
-        former: &slot.successors,
+pub(super) fn successors(plan: &WorkingPlan<'_>) -> Successors {
+    let input = plan.input;
+    let slots = plan.slots.iter().zip(&input.slots).map(|(state, slot)| OwnedUnit {
+        owner: state.owner,
+        load: state.total_load(),
+        previous: &slot.successors,
     });
-    let with_entry = (0..board.keys.len()).filter(|it| board.keys[*it].owner.is_some());
+    let with_entry = (0..plan.keys.len()).filter(|it| plan.keys[*it].owner.is_some());
     let with_entry: Vec<usize> = with_entry.collect();
-    let keys = with_entry.iter().map(|it| Item {
-        owner: board.keys[*it].owner,
-        load: board.keys[*it].load,
-        former: &input.keys[*it].successors,
+    let keys = with_entry.iter().map(|it| OwnedUnit {
+        owner: plan.keys[*it].owner,
+        load: plan.keys[*it].load,
+        previous: &input.keys[*it].successors,
     });
-    let items: Vec<Item<'_>> = slots.chain(keys).collect();
-    let mut chosen = Spread::new(board).choose_all(&items);
-    let key_successors = chosen.split_off(board.slots.len());
+    let units: Vec<OwnedUnit<'_>> = slots.chain(keys).collect();
+    let mut chosen = InheritedLoads::new(plan).choose_all(&units);
+    let key_successors = chosen.split_off(plan.slots.len());
     let hashes = with_entry.iter().map(|it| input.keys[*it].key_hash);
     Successors { slots: chosen, keys: hashes.zip(key_successors).collect() }
 }
 
-/// What each member would inherit.
-struct Spread<'a> {
-    board: &'a Board<'a>,
-    /// By lost owner, then by heir.
-    of_member: Vec<Vec<f64>>,
-    /// By the zone of the lost owners, as an index into `zones`, then by heir.
-    of_zone: Vec<Vec<f64>>,
+/// Loads that members would take over as first successors.
+struct InheritedLoads<'a> {
+    plan: &'a WorkingPlan<'a>,
+    /// Load by lost owner, then by successor.
+    by_member: Vec<Vec<f64>>,
+    /// Load by the lost owners' zone (index into `zones`), then by successor.
+    by_zone: Vec<Vec<f64>>,
     zones: Vec<&'a Zone>,
 }
 
-impl<'a> Spread<'a> {
-    fn new(board: &'a Board<'a>) -> Spread<'a> {
-        let members = board.members.len();
-        let mut zones: Vec<&Zone> = board.input.members.iter().map(|it| &it.zone).collect();
+impl<'a> InheritedLoads<'a> {
+    fn new(plan: &'a WorkingPlan<'a>) -> InheritedLoads<'a> {
+        let members = plan.members.len();
+        let mut zones: Vec<&Zone> = plan.input.members.iter().map(|it| &it.zone).collect();
         zones.sort();
         zones.dedup();
-        Spread {
-            board,
-            of_member: vec![vec![0.0; members]; members],
-            of_zone: vec![vec![0.0; members]; zones.len()],
+        InheritedLoads {
+            plan,
+            by_member: vec![vec![0.0; members]; members],
+            by_zone: vec![vec![0.0; members]; zones.len()],
             zones,
         }
     }
 
-    /// The heaviest items choose first; the result is in the order of the items.
-    fn choose_all(mut self, items: &[Item<'_>]) -> Vec<Vec<u16>> {
-        let mut order: Vec<usize> = (0..items.len()).collect();
-        order.sort_by(|a, b| items[*b].load.total_cmp(&items[*a].load).then(a.cmp(b)));
-        let mut chosen = vec![Vec::new(); items.len()];
+    /// Chooses the successors of all units, the heaviest first. Returns them in the order of `units`.
+    fn choose_all(mut self, units: &[OwnedUnit<'_>]) -> Vec<Vec<u16>> {
+        let mut order: Vec<usize> = (0..units.len()).collect();
+        order.sort_by(|a, b| units[*b].load.total_cmp(&units[*a].load).then(a.cmp(b)));
+        let mut chosen = vec![Vec::new(); units.len()];
         for index in order {
-            chosen[index] = self.choose(&items[index]);
+            chosen[index] = self.choose(&units[index]);
         }
         chosen
     }
 
-    fn choose(&mut self, item: &Item<'_>) -> Vec<u16> {
-        let Some(owner) = item.owner else { return Vec::new() };
+    fn choose(&mut self, unit: &OwnedUnit<'_>) -> Vec<u16> {
+        let Some(owner) = unit.owner else { return Vec::new() };
         let mut chosen: Vec<u16> = Vec::new();
         while chosen.len() < SUCCESSOR_COUNT {
-            let Some(next) = self.next(owner, item, &chosen) else { break };
+            let Some(next) = self.next(owner, unit, &chosen) else { break };
             chosen.push(next);
         }
         if let Some(&first) = chosen.first() {
             let zone = self.zone_of(owner);
-            self.of_member[usize::from(owner)][usize::from(first)] += item.load;
-            self.of_zone[zone][usize::from(first)] += item.load;
+            self.by_member[usize::from(owner)][usize::from(first)] += unit.load;
+            self.by_zone[zone][usize::from(first)] += unit.load;
         }
         chosen
     }
 
-    fn next(&self, owner: u16, item: &Item<'_>, chosen: &[u16]) -> Option<u16> {
-        let free = self.board.able().filter(|it| *it != owner && !chosen.contains(it));
-        let free: Vec<u16> = free.collect();
-        // The lower, the better: first a zone that neither the owner nor a chosen one is in, then
-        // one that the owner is not in.
+    fn next(&self, owner: u16, unit: &OwnedUnit<'_>, chosen: &[u16]) -> Option<u16> {
+        let candidates = self.plan.eligible().filter(|it| *it != owner && !chosen.contains(it));
+        let candidates: Vec<u16> = candidates.collect();
+        // Lower ranks are better: rank 0 is a zone of neither the owner nor a chosen successor, rank 1 a zone of a
+        // chosen successor, ranks 2 and 3 the owner's zone.
         let rank = |it: u16| {
             let zone = self.zone_of(it);
             let is_used = chosen.iter().any(|it| self.zone_of(*it) == zone);
             2 * u8::from(zone == self.zone_of(owner)) + u8::from(is_used)
         };
-        let rank_min = free.iter().map(|it| rank(*it)).min()?;
-        let fit: Vec<u16> = free.into_iter().filter(|it| rank(*it) == rank_min).collect();
-        let cost = |it: u16| self.cost(owner, it, item.load);
-        let best = fit.iter().copied().min_by(|a, b| cost(*a).total_cmp(&cost(*b)))?;
-        let former = item.former.iter().copied().find(|it| fit.contains(it));
-        former.filter(|it| cost(*it) <= KEPT * cost(best)).or(Some(best))
+        let rank_min = candidates.iter().map(|it| rank(*it)).min()?;
+        let best_ranked: Vec<u16> =
+            candidates.into_iter().filter(|it| rank(*it) == rank_min).collect();
+        let cost = |it: u16| self.cost(owner, it, unit.load);
+        let best = best_ranked.iter().copied().min_by(|a, b| cost(*a).total_cmp(&cost(*b)))?;
+        let previous = unit.previous.iter().copied().find(|it| best_ranked.contains(it));
+        previous.filter(|it| cost(*it) <= KEEP_RATIO_MAX * cost(best)).or(Some(best))
     }
 
-    /// The load over its fair share that `heir` would come to if `owner` were lost.
-    fn cost(&self, owner: u16, heir: u16, load: f64) -> f64 {
-        let inherited = self.of_member[usize::from(owner)][usize::from(heir)];
-        let of_zone = self.of_zone[self.zone_of(owner)][usize::from(heir)] - inherited;
-        self.board.relative(heir, load + inherited + ZONE_LOSS_SHARE * of_zone)
+    /// Returns the relative load of `successor` if `owner` were lost, plus a share for the loss of the owner's zone.
+    fn cost(&self, owner: u16, successor: u16, load: f64) -> f64 {
+        let inherited = self.by_member[usize::from(owner)][usize::from(successor)];
+        let rest_of_zone = self.by_zone[self.zone_of(owner)][usize::from(successor)] - inherited;
+        self.plan.relative_load(successor, load + inherited + ZONE_LOSS_SHARE * rest_of_zone)
     }
 
     fn zone_of(&self, member: u16) -> usize {
-        let zone = &self.board.input.members[usize::from(member)].zone;
+        let zone = &self.plan.input.members[usize::from(member)].zone;
         self.zones.binary_search(&zone).expect("every member's zone is listed")
     }
 }
