--- a/crates/ownership/src/member/mod.rs
+++ b/crates/ownership/src/member/mod.rs
@@ -179,8 +179,8 @@
         self.lapsed_at.is_some_and(|at| ctx.now.since(at) < period)
     }
 
-    /// Handles the coordinator's reply to a renewal. `own_until` is the end of the lease if this node is the coordinator
-    /// itself.
+    /// Handles the coordinator's reply to a renewal. `own_until` is the end of the lease if this node is itself the
+    /// coordinator.
     pub(crate) fn handle_renewed(
         &mut self,
         ctx: &mut Ctx<'_>,
--- a/crates/ownership/src/planner/tests/mod.rs
+++ b/crates/ownership/src/planner/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner: seeded random fleets, and the cases that it exists for.
+//! Tests of the planner, on specific cases and on seeded random inputs.
 
 mod ranges;
 
@@ -14,7 +14,7 @@
 };
 use crate::{Limits, MoveReason};
 
-/// Loads in these tests are in hundredths of a request in flight.
+/// Unit of the loads in these tests: a hundredth of a request in flight.
 const LOAD_US_PER_S: f64 = 1e4;
 const ZONES: [&str; 3] = ["pitlane", "drivers-stand", "scoring-hall"];
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Takes a proposal over, checking that its moves start from what is.
+/// Returns the input after a proposal has been carried out. Checks that its moves start at the current owners.
 fn apply(input: &PlannerInput, proposal: &Proposal) -> PlannerInput {
     let mut next = input.clone();
     let mut units = HashSet::new();
@@ -93,8 +93,8 @@
     proposal.moves.iter().filter(|it| matches!(it.unit, MoveUnit::Slot(_))).count()
 }
 
-/// Checks a property on the same random inputs each time.
-fn seeded(property: impl Testable) {
+/// Checks a property on random inputs that are the same in each run.
+fn check_seeded(property: impl Testable) {
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 4)).quickcheck(property);
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn first_grants_spread_by_load() {
+fn first_grants_balance_the_load() {
     let it = input(4, &[100.0; 96], |_| None);
     let proposal = propose(&it);
     assert!(proposal.moves.iter().all(|it| it.reason == MoveReason::First));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn nothing_moves_while_the_load_is_even_enough() {
+fn no_moves_while_the_imbalance_is_below_the_target() {
     let mut loads = [100.0; 96];
     loads[..10].fill(130.0);
     let it = input(4, &loads, |it| Some((it / 24) as u16));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_leaving_member_gives_up_all_and_others_nothing() {
+fn a_leaving_member_releases_all_slots_and_others_release_none() {
     let mut it = input(4, &[100.0; 96], |it| Some((it % 4) as u16));
     it.members[2].weight = 0.0;
     it.churn_left = 0.0;
@@ -131,26 +131,26 @@
 }
 
 #[test]
-fn a_joining_member_gets_no_more_than_the_target_asks_for() {
+fn a_joining_member_gets_only_the_slots_needed_to_reach_the_target() {
     let it = input(5, &[100.0; 100], |it| Some((it % 4) as u16));
     let proposal = propose(&it);
     let next = apply(&it, &proposal);
-    assert!(imbalance(&next) <= 1.15, "{}", imbalance(&next));
-    // Each of the four has 25 slots, and 23 is the most that the target allows.
-    assert!((8..=12).contains(&proposal.moves.len()), "{}", proposal.moves.len());
+    assert!(imbalance(&next) <= 1.15, "imbalance is {}", imbalance(&next));
+    // Each of the four members has 25 slots, and the target allows at most 23.
+    assert!((8..=12).contains(&proposal.moves.len()), "{} moves", proposal.moves.len());
     assert!(proposal.moves.iter().all(|it| it.to == Some(4)));
 }
 
 #[test]
-fn a_cold_member_gets_less() {
+fn a_member_with_a_low_weight_gets_little_load() {
     let mut it = input(5, &[100.0; 100], |it| Some((it % 4) as u16));
     it.members[4].weight = 0.1;
     let next = apply(&it, &propose(&it));
-    assert!(loads(&next)[4] <= 300.0, "{:?}", loads(&next));
+    assert!(loads(&next)[4] <= 300.0, "loads are {:?}", loads(&next));
 }
 
 #[test]
-fn rebalancing_stays_within_the_churn_left() {
+fn rebalancing_stays_within_the_churn_budget() {
     let mut it = input(5, &[100.0; 100], |it| Some((it % 4) as u16));
     it.churn_left = 0.035;
     assert_eq!(propose(&it).moves.len(), 3);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_slot_that_has_just_moved_stays() {
+fn recently_moved_slots_do_not_move_again() {
     let mut it = input(2, &[100.0; 20], |_| Some(0));
     for slot in &mut it.slots {
         slot.movable_from = it.now + Duration::from_secs(1);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn the_member_of_a_very_hot_key_is_relieved_of_other_slots() {
+fn the_owner_of_a_very_hot_key_is_relieved_of_other_slots() {
     let mut it = input(4, &[100.0; 96], |it| Some((it % 4) as u16));
     let key_hash = key_in(96, 0);
     let load_us_per_s = 6000.0 * LOAD_US_PER_S;
@@ -180,12 +180,12 @@
     let next = apply(&it, &proposal);
     assert_eq!(next.slots[0].owner, Some(0));
     let loads = loads(&next);
-    assert!(loads[0] <= 6200.0, "{loads:?}");
-    assert!(loads[1..].iter().all(|it| *it <= 3900.0 * 1.15), "{loads:?}");
+    assert!(loads[0] <= 6200.0, "loads are {loads:?}");
+    assert!(loads[1..].iter().all(|it| *it <= 3900.0 * 1.15), "loads are {loads:?}");
 }
 
 #[test]
-fn a_hot_key_gets_an_entry_only_where_that_is_cheaper() {
+fn a_hot_key_gets_an_entry_only_if_that_is_cheaper_than_moving_slots() {
     let mut it = input(4, &[100.0; 96], |it| Some((it % 4) as u16));
     let key = |slot, load| PlannerKey {
         key_hash: key_in(96, slot),
@@ -196,14 +196,14 @@
     it.keys = vec![key(0, 500.0), key(4, 500.0), key(1, 20.0)];
     let proposal = propose(&it);
     assert_eq!(slot_moves(&proposal), 0);
-    assert_eq!(proposal.moves.len(), 1, "{:?}", proposal.moves);
+    assert_eq!(proposal.moves.len(), 1, "moves are {:?}", proposal.moves);
     let next = apply(&it, &proposal);
     assert!(imbalance(&next) <= 1.15);
     assert_eq!(proposal.key_successors.len(), 1);
 }
 
 #[test]
-fn entries_are_dropped_at_home_and_when_too_many_are_cold() {
+fn entries_with_the_slots_owner_and_excess_cold_entries_are_dropped() {
     let mut it = input(4, &[100.0; 96], |it| Some((it % 4) as u16));
     let entry = |slot: usize, owner, load| PlannerKey {
         key_hash: key_in(96, slot),
@@ -211,7 +211,7 @@
         successors: Vec::new(),
         load_us_per_s: load * LOAD_US_PER_S,
     };
-    // Each away from its slot's owner; one is not cold.
+    // None of the keys is owned by its slot's owner; one of them is not cold.
     it.keys = (0..67)
         .map(|slot| entry(slot, ((slot + 1) % 4) as u16, 0.1 + slot as f64 / 100.0))
         .collect();
@@ -224,11 +224,11 @@
     assert_eq!(proposal.key_successors.len(), 65);
 }
 
-/// What is moved off member 0, whose slot 4 has `more` than its share.
-fn moved(availability_weight: f64, more: f64, owner: impl Fn(usize) -> u16) -> Vec<f64> {
+/// Returns the loads of the moved slots, in a service in which slot 4 has an `extra` load.
+fn moved_loads(availability_weight: f64, extra: f64, owner: impl Fn(usize) -> u16) -> Vec<f64> {
     let mut loads = [20.0; 84];
     loads[..4].fill(320.0);
-    loads[4] += more;
+    loads[4] += extra;
     let mut it = input(4, &loads, |it| Some(owner(it)));
     it.limits.availability_weight = availability_weight;
     let load = |it: &Move| match it.unit {
@@ -239,24 +239,24 @@
 }
 
 #[test]
-fn availability_acts_earlier_and_churn_only_at_the_target() {
+fn availability_weight_lowers_the_trigger_below_the_target() {
     let even = |it| (it % 4) as u16;
-    // 1.142 of the mean.
-    assert_eq!(moved(0.0, 143.0, even), [0.0; 0]);
-    assert!(!moved(1.0, 143.0, even).is_empty());
+    // The load of member 0 is 1.142 of the mean.
+    assert_eq!(moved_loads(0.0, 143.0, even), [0.0; 0]);
+    assert!(!moved_loads(1.0, 143.0, even).is_empty());
 }
 
 #[test]
-fn one_heavy_slot_is_moved_rather_than_many_light_ones() {
+fn one_heavy_slot_moves_rather_than_many_light_ones() {
     let uneven = |it| if it == 1 { 0 } else { (it % 4) as u16 };
     for availability_weight in [0.0, 0.5, 1.0] {
-        assert_eq!(moved(availability_weight, 0.0, uneven), [320.0]);
+        assert_eq!(moved_loads(availability_weight, 0.0, uneven), [320.0]);
     }
 }
 
 #[test]
-fn chance_at_a_light_load_moves_nothing() {
-    // A member at 1.3 times the mean, with a fifth of a request in flight: that may be chance.
+fn random_variation_of_a_light_load_causes_no_moves() {
+    // A member at 1.3 times the mean with a fifth of a request in flight may be random variation.
     let mut loads = [0.8; 96];
     loads.iter_mut().step_by(4).for_each(|it| *it *= 1.3);
     let it = input(4, &loads, |it| Some((it % 4) as u16));
@@ -267,18 +267,18 @@
 }
 
 #[test]
-fn a_quiet_service_is_spread_by_number() {
+fn an_idle_service_is_balanced_by_number_of_slots() {
     let mut loads = [0.0; 96];
     loads[0] = 1.0;
     let it = input(4, &loads, |it| Some((it % 3) as u16));
     let proposal = propose(&it);
-    // Three have 32 slots each; 27 is the most that lies below the settle level.
+    // Three members have 32 slots each, and the settle level allows at most 27.
     assert_eq!(proposal.moves.len(), 15);
     assert_eq!(propose(&apply(&it, &proposal)).moves, []);
 }
 
 #[test]
-fn a_loss_adds_little_to_each() {
+fn the_load_of_a_lost_member_is_spread_over_its_successors() {
     let it = input(6, &[100.0; 120], |it| Some((it % 6) as u16));
     let next = apply(&it, &propose(&it));
     for lost in 0..6 {
@@ -286,15 +286,15 @@
         for slot in after.slots.iter_mut().filter(|it| it.owner == Some(lost)) {
             slot.owner = Some(slot.successors[0]);
         }
-        // Four of the others are in another zone: 20 slots make five for each of them.
+        // Four of the other members are in another zone, so that each takes over five of the 20 slots.
         let loads = loads(&after);
-        let most = loads.iter().copied().fold(0.0, f64::max);
-        assert!(most <= 2600.0, "loss of {lost}: {loads:?}");
+        let busiest = loads.iter().copied().fold(0.0, f64::max);
+        assert!(busiest <= 2600.0, "loads after the loss of member {lost}: {loads:?}");
     }
 }
 
-/// A random fleet with hot keys, some of it unowned or leaving.
-fn fleet(rng: &mut Pcg64Mcg) -> PlannerInput {
+/// Returns a random input with hot keys, in which some slots have no owner and some members are leaving.
+fn random_input(rng: &mut Pcg64Mcg) -> PlannerInput {
     let members = rng.random_range(2..9);
     let slots = rng.random_range(8..200);
     let skew = rng.random_range(0.0..3.0_f64);
@@ -322,27 +322,27 @@
 }
 
 fn check_successors(it: &PlannerInput, owner: u16, successors: &[u16]) {
-    let able: Vec<u16> = (0..it.members.len() as u16)
+    let eligible: Vec<u16> = (0..it.members.len() as u16)
         .filter(|member| *member != owner && it.members[usize::from(*member)].weight > 0.0)
         .collect();
-    assert_eq!(successors.len(), able.len().min(3));
-    assert!(successors.iter().all(|it| able.contains(it)));
+    assert_eq!(successors.len(), eligible.len().min(3));
+    assert!(successors.iter().all(|it| eligible.contains(it)));
     assert_eq!(successors.iter().collect::<HashSet<_>>().len(), successors.len());
     let zone = |member: u16| &it.members[usize::from(member)].zone;
-    if able.iter().any(|it| zone(*it) != zone(owner)) {
-        assert_ne!(zone(successors[0]), zone(owner), "the first is of another zone");
+    if eligible.iter().any(|it| zone(*it) != zone(owner)) {
+        assert_ne!(zone(successors[0]), zone(owner), "the first successor is in the owner's zone");
     }
 }
 
 #[test]
-fn proposals_are_sound() {
+fn random_proposals_are_valid() {
     fn property(seed: u64) -> bool {
-        let it = fleet(&mut Pcg64Mcg::seed_from_u64(seed));
+        let it = random_input(&mut Pcg64Mcg::seed_from_u64(seed));
         let proposal = propose(&it);
-        assert_eq!(proposal, propose(&it), "the same input gives the same proposal");
+        assert_eq!(proposal, propose(&it), "two proposals for the same input differ");
         let next = apply(&it, &proposal);
         for (slot, successors) in next.slots.iter().zip(&proposal.successors) {
-            let owner = slot.owner.expect("a member is able");
+            let owner = slot.owner.expect("a member is eligible");
             assert!(next.members[usize::from(owner)].weight > 0.0);
             check_successors(&next, owner, successors);
         }
@@ -353,14 +353,14 @@
         });
         rebalanced.count() as f64 / it.slots.len() as f64 <= it.churn_left
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
 
-/// A proposal that has been carried out brings no further moves, nor other successors.
+/// Repeatedly carried out proposals lead to a plan without further moves or changes of successors.
 #[test]
-fn proposals_settle() {
+fn repeated_proposals_converge() {
     fn property(seed: u64) -> bool {
-        let mut it = fleet(&mut Pcg64Mcg::seed_from_u64(seed));
+        let mut it = random_input(&mut Pcg64Mcg::seed_from_u64(seed));
         it.churn_left = 1.0;
         for _ in 0..4 {
             it = apply(&it, &propose(&it));
@@ -370,12 +370,12 @@
         let next = apply(&it, &proposal);
         next.slots.iter().zip(&it.slots).all(|(a, b)| a.successors == b.successors)
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
 
-/// Without lumps of load, the target is always reached.
+/// Without slots of high load, one proposal always reaches the target imbalance.
 #[test]
-fn the_target_is_reached() {
+fn the_target_is_reached_without_hot_slots() {
     fn property(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let members = rng.random_range(2..9);
@@ -386,5 +386,5 @@
         let next = apply(&it, &propose(&it));
         imbalance(&next) <= it.limits.imbalance_target
     }
-    seeded(property as fn(u64) -> bool);
+    check_seeded(property as fn(u64) -> bool);
 }
