--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -247,10 +247,10 @@
         match self.coordination.as_ref().map(|it| it.reacquisition(ctx)) {
             None | Some(Reacquisition::NotDue) => {}
             // The coordinator continues with this term until it has acquired the next one.
-            Some(Reacquisition::WithState(_)) => self.takeover.retake_term(ctx.now),
+            Some(Reacquisition::WithState(_)) => self.takeover.schedule_reacquisition(ctx.now),
             Some(Reacquisition::WithoutState) => {
                 self.lose_term(ctx);
-                self.takeover.retake_term(ctx.now);
+                self.takeover.schedule_reacquisition(ctx.now);
             }
         }
         if let Some(coordination) = &mut self.coordination {
@@ -321,7 +321,7 @@
             coordinator.filter(|it| !is_same_incarnation(it, ctx.own_instance())).cloned();
         if term > self.known.term {
             self.known = KnownTerm::new(term, coordinator, ctx.now);
-            self.takeover.retake = false;
+            self.takeover.reacquire = false;
             if self.coordination.as_ref().is_some_and(|it| it.term() < term) {
                 self.lose_term(ctx);
             }
--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -83,7 +83,7 @@
     /// Number of takeovers from a holder that may still have been active; each doubles the hold-back delays.
     hold_back_doublings: u32,
     /// Whether this node has to acquire the term anew because the platform lost the record of the term it held.
-    pub(super) retake: bool,
+    pub(super) reacquire: bool,
 }
 
 impl Takeover {
@@ -100,14 +100,14 @@
             no_majority_since: None,
             hold_back_doublings: 0,
             has_read: false,
-            retake: false,
+            reacquire: false,
         }
     }
 
     /// Schedules a new acquisition of the term that this node holds or has just held, because the platform has lost
     /// its record.
-    pub(super) fn retake_term(&mut self, now: Timestamp) {
-        if !std::mem::replace(&mut self.retake, true) {
+    pub(super) fn schedule_reacquisition(&mut self, now: Timestamp) {
+        if !std::mem::replace(&mut self.reacquire, true) {
             self.next_attempt_at = now;
         }
     }
@@ -126,7 +126,7 @@
 impl Node {
     pub(super) fn tick_takeover(&mut self, ctx: &mut Ctx<'_>) {
         match self.coordination {
-            Some(_) if !self.takeover.retake => return,
+            Some(_) if !self.takeover.reacquire => return,
             Some(_) => {}
             None => self.query_coordinator(ctx),
         }
@@ -138,7 +138,7 @@
     }
 
     fn is_takeover_due(&self, ctx: &Ctx<'_>) -> bool {
-        if self.takeover.retake {
+        if self.takeover.reacquire {
             return true;
         }
         let silence = ctx.now.since(self.known.last_contact_at);
@@ -349,7 +349,7 @@
         if (is_overtaken && version.era() == 0) || !self.is_takeover_due(ctx) {
             return;
         }
-        if !self.takeover.retake && !self.is_term_usable(ctx, object) {
+        if !self.takeover.reacquire && !self.is_term_usable(ctx, object) {
             return;
         }
         if self.known.coordinator.is_some() && !self.known.has_direct_contact {
@@ -431,7 +431,7 @@
     fn complete_takeover(&mut self, ctx: &mut Ctx<'_>, attempt: Attempt, version: ObjectVersion) {
         let Attempt { object, previous, stored, sent_at } = attempt;
         self.takeover.unanswered.clear();
-        self.takeover.retake = false;
+        self.takeover.reacquire = false;
         let object = Coordinator { era: version.era(), ..object };
         let carried = self.carried_state(ctx).filter(|_| stored.is_some());
         // Without carried state, another term may have settled meanwhile: the stored object is the predecessor.
