--- a/crates/ownership/src/coordinator/grants.rs
+++ b/crates/ownership/src/coordinator/grants.rs
@@ -191,7 +191,7 @@
             row.moved_at = Some(ctx.now);
         }
         row.changed_version = version;
-        ctx.event(Event::Granted { slot, token, to: instance, reason });
+        ctx.emit(Event::Granted { slot, token, to: instance, reason });
     }
 
     /// Hot keys that others serve, or may serve next, are kept out of a slot before it is admitted. So are
--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -114,7 +114,7 @@
             self.own_lease_capped_since = None;
         }
         if now != self.acked_confirmation {
-            ctx.event(Event::ConfirmationChanged {
+            ctx.emit(Event::ConfirmationChanged {
                 confirmation: object.confirmation,
                 witnesses: object.witnesses.len() as u16,
             });
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -177,7 +177,7 @@
         let slots = ctx.config.slot_count;
         let base = first_route_version(term);
         let delay = if first_term { FIRST_PLAN_DELAY } else { Duration::ZERO };
-        ctx.event(Event::BecameCoordinator { term: term.0 });
+        ctx.emit(Event::BecameCoordinator { term: term.0 });
         Coordination {
             term,
             object,
@@ -313,7 +313,7 @@
         let planned = self.plan.acked().map(|it| it.members.as_slice());
         let was_past_earlier_leases = self.succession.is_past_earlier_leases();
         if self.succession.settle(ctx.now, &self.confirmation, planned) {
-            ctx.event(Event::Settled { term: self.term.0 });
+            ctx.emit(Event::Settled { term: self.term.0 });
             self.wake();
             self.resolve_unknown(ctx);
         }
@@ -382,13 +382,13 @@
         }
         let (term, slots, me) = (self.term, ctx.config.slot_count, ctx.config);
         let first = |ctx: &mut Ctx<'_>, found: Option<&crate::Plan>| {
-            propose::first_plan(ctx.nonce(), term, slots, me, found)
+            propose::first_plan(ctx.draw_nonce(), term, slots, me, found)
         };
         match self.plan.handle_reply(ctx, call, reply, first) {
             PlanOutcome::Deposed => return TermState::Lost,
             PlanOutcome::HigherTermFound(term) => return TermState::HigherTermFound(term),
             PlanOutcome::Acknowledged(version) => {
-                ctx.event(Event::PlanWritten { version });
+                ctx.emit(Event::PlanWritten { version });
                 self.apply_acknowledged_plan();
                 let slots: Vec<Slot> = self.slot_table.slot_count.iter().collect();
                 self.retain_runs_at_holders(ctx, &slots);
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -90,7 +90,7 @@
             self.pending.is_none(),
             "the coordinator's object is updated while an update is pending"
         );
-        let object = Coordinator { nonce: ctx.nonce(), era: self.version.era(), ..object };
+        let object = Coordinator { nonce: ctx.draw_nonce(), era: self.version.era(), ..object };
         self.pending = Some(PendingUpdate {
             object,
             call: None,
--- a/crates/ownership/src/coordinator/propose.rs
+++ b/crates/ownership/src/coordinator/propose.rs
@@ -119,7 +119,7 @@
             self.confirmation.schedule_read(ctx.now);
         } else {
             self.next_proposal_at = ctx.now + PROPOSE_INTERVAL;
-            let plan = Plan { nonce: ctx.nonce(), ..plan };
+            let plan = Plan { nonce: ctx.draw_nonce(), ..plan };
             self.plan.write(ctx, plan);
         }
     }
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -25,7 +25,7 @@
             RenewalKind::Ended => self.refuse_session(ctx, from, renew.session),
             RenewalKind::Full => {
                 ctx.send(from, Message::JoinRefused { term: self.term });
-                ctx.event(Event::JoinRefused { member: from.clone() });
+                ctx.emit(Event::JoinRefused { member: from.clone() });
             }
             RenewalKind::NewSession => self.open_session(ctx, id, from, renew),
             RenewalKind::Current => self.apply_renewal(ctx, id, renew),
@@ -63,7 +63,7 @@
             self.succession.record_reported(id.clone());
         }
         self.wake();
-        ctx.event(Event::MemberJoined { member: from.clone() });
+        ctx.emit(Event::MemberJoined { member: from.clone() });
         self.schedule_proposal(ctx.now);
         self.request_clearing(ctx);
         self.apply_renewal(ctx, id, renew);
@@ -231,7 +231,7 @@
             if let Some(row) = row {
                 let version = self.bump_route_version();
                 self.members.release_number(&row, version);
-                ctx.event(Event::MemberLost { member: row.instance });
+                ctx.emit(Event::MemberLost { member: row.instance });
             }
             if ended > 0 {
                 self.bump_route_version();
--- a/crates/ownership/src/ctx.rs
+++ b/crates/ownership/src/ctx.rs
@@ -69,11 +69,11 @@
         }
     }
 
-    pub(crate) fn event(&mut self, event: Event) {
+    pub(crate) fn emit(&mut self, event: Event) {
         self.out.push(Output::Event(event));
     }
 
-    pub(crate) fn gate(&mut self, command: GateCommand) {
+    pub(crate) fn send_to_gate(&mut self, command: GateCommand) {
         self.out.push(Output::Gate(command));
     }
 
@@ -84,7 +84,7 @@
         call
     }
 
-    pub(crate) fn nonce(&mut self) -> u64 {
+    pub(crate) fn draw_nonce(&mut self) -> u64 {
         self.rng.random()
     }
 
--- a/crates/ownership/src/member/holdings.rs
+++ b/crates/ownership/src/member/holdings.rs
@@ -71,20 +71,20 @@
         match command {
             Command::Prepare { slot, token } => {
                 self.preparing.insert(*slot, *token);
-                ctx.gate(GateCommand::Prepare { slot: *slot, token: *token });
+                ctx.send_to_gate(GateCommand::Prepare { slot: *slot, token: *token });
                 None
             }
             Command::Admit { slot, token } => {
                 self.preparing.remove(slot);
                 self.slots.insert(*slot, HeldGrant::open(*token));
-                ctx.gate(GateCommand::Admit { slot: *slot, token: *token });
+                ctx.send_to_gate(GateCommand::Admit { slot: *slot, token: *token });
                 None
             }
             Command::Close { slot, token, to } => match self.slots.get_mut(slot) {
                 Some(held) if held.token == *token => {
                     held.closing_since.get_or_insert(ctx.now);
                     let to = to.clone();
-                    ctx.gate(GateCommand::Close { slot: *slot, token: *token, to });
+                    ctx.send_to_gate(GateCommand::Close { slot: *slot, token: *token, to });
                     None
                 }
                 _ => Some(Report::Closed { slot: *slot, token: *token }),
@@ -92,31 +92,31 @@
             Command::AdmitKey { key_hash, token } => {
                 self.excluded.remove(key_hash);
                 self.keys.insert(*key_hash, HeldGrant::open(*token));
-                ctx.gate(GateCommand::AdmitKey { key_hash: *key_hash, token: *token });
+                ctx.send_to_gate(GateCommand::AdmitKey { key_hash: *key_hash, token: *token });
                 None
             }
             Command::ExcludeKey { key_hash, owner } => {
                 self.excluded.insert(*key_hash);
                 let owner = owner.clone();
-                ctx.gate(GateCommand::ExcludeKey { key_hash: *key_hash, owner });
+                ctx.send_to_gate(GateCommand::ExcludeKey { key_hash: *key_hash, owner });
                 None
             }
             Command::RemoveKey { key_hash } => {
                 self.excluded.remove(key_hash);
                 self.keys.remove(key_hash);
-                ctx.gate(GateCommand::RemoveKey { key_hash: *key_hash });
+                ctx.send_to_gate(GateCommand::RemoveKey { key_hash: *key_hash });
                 None
             }
             Command::CloseKey { key_hash, token, to } => {
                 let key = HeldGrant { token: *token, closing_since: Some(ctx.now) };
                 self.keys.insert(*key_hash, key);
                 let to = to.clone();
-                ctx.gate(GateCommand::CloseKey { key_hash: *key_hash, token: *token, to });
+                ctx.send_to_gate(GateCommand::CloseKey { key_hash: *key_hash, token: *token, to });
                 None
             }
             Command::Clear { token } => {
                 self.clearing = Some(*token);
-                ctx.gate(GateCommand::Clear { token: *token });
+                ctx.send_to_gate(GateCommand::Clear { token: *token });
                 None
             }
         }
@@ -146,7 +146,7 @@
         let slot_count = ctx.config.slot_count;
         let of_slot = |it: &KeyHash| slot_count.slot_of(*it) == slot;
         for key_hash in self.excluded.iter().copied().filter(of_slot) {
-            ctx.gate(GateCommand::RemoveKey { key_hash });
+            ctx.send_to_gate(GateCommand::RemoveKey { key_hash });
         }
         self.excluded.retain(|it| !of_slot(it));
         Some(Report::Closed { slot, token })
@@ -167,7 +167,7 @@
         if self.slots.contains_key(&ctx.config.slot_count.slot_of(key_hash)) {
             self.excluded.insert(key_hash);
         } else if !self.excluded.contains(&key_hash) {
-            ctx.gate(GateCommand::RemoveKey { key_hash });
+            ctx.send_to_gate(GateCommand::RemoveKey { key_hash });
         }
         Some(Report::KeyClosed { key_hash, token })
     }
@@ -176,12 +176,12 @@
     pub(crate) fn close_all(&mut self, ctx: &mut Ctx<'_>) {
         for (slot, held) in self.slots.iter_mut().filter(|(_, it)| it.closing_since.is_none()) {
             held.closing_since = Some(ctx.now);
-            ctx.gate(GateCommand::Close { slot: *slot, token: held.token, to: None });
+            ctx.send_to_gate(GateCommand::Close { slot: *slot, token: held.token, to: None });
         }
         for (key_hash, held) in self.keys.iter_mut().filter(|(_, it)| it.closing_since.is_none()) {
             held.closing_since = Some(ctx.now);
             let (key_hash, token) = (*key_hash, held.token);
-            ctx.gate(GateCommand::CloseKey { key_hash, token, to: None });
+            ctx.send_to_gate(GateCommand::CloseKey { key_hash, token, to: None });
         }
     }
 }
--- a/crates/ownership/src/member/mod.rs
+++ b/crates/ownership/src/member/mod.rs
@@ -97,8 +97,8 @@
     /// Has the gate drop all grants first, and starts a new session that holds nothing.
     pub(crate) fn end_session(&mut self, ctx: &mut Ctx<'_>, reason: &'static str) {
         if self.lease_until.is_some() {
-            ctx.gate(GateCommand::DropAll);
-            ctx.event(Event::SessionEnded { reason });
+            ctx.send_to_gate(GateCommand::DropAll);
+            ctx.emit(Event::SessionEnded { reason });
             self.lapsed_at = Some(ctx.now);
         }
         self.session.0 += 1;
@@ -134,7 +134,7 @@
     pub(crate) fn extend_own_lease(&mut self, ctx: &mut Ctx<'_>, until: Timestamp) {
         if self.acknowledged && self.lease_until.is_some_and(|it| it < until) {
             self.lease_until = Some(until);
-            ctx.gate(GateCommand::Lease { until });
+            ctx.send_to_gate(GateCommand::Lease { until });
         }
     }
 
@@ -231,11 +231,11 @@
         let former = self.lease_until;
         let Some(until) = until.max(former).filter(|it| *it > ctx.now) else { return false };
         if former.is_none() {
-            ctx.event(Event::SessionOpened);
+            ctx.emit(Event::SessionOpened);
         }
         if former != Some(until) {
             self.lease_until = Some(until);
-            ctx.gate(GateCommand::Lease { until });
+            ctx.send_to_gate(GateCommand::Lease { until });
         }
         true
     }
--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -68,7 +68,7 @@
             Message::JoinRefused { .. } => {
                 self.known.last_contact_at = ctx.now;
                 Member::retry_join_at(&mut self.member, ctx.now + JOIN_RETRY_DELAY);
-                ctx.event(Event::JoinRefused { member: ctx.own_instance().clone() });
+                ctx.emit(Event::JoinRefused { member: ctx.own_instance().clone() });
             }
         }
     }
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -308,7 +308,7 @@
     fn lose_term(&mut self, ctx: &mut Ctx<'_>) {
         let Some(coordination) = self.coordination.take() else { return };
         let term = coordination.term();
-        ctx.event(Event::LostCoordination { term: term.0 });
+        ctx.emit(Event::LostCoordination { term: term.0 });
         if self.known.term == term {
             self.known.coordinator = None;
             self.known.vacant = true;
--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -365,7 +365,7 @@
         let attempt = Coordinator {
             term: Term(object.term.max(self.known.term).0 + 1 + skipped),
             holder: Some(ctx.own_instance().clone()),
-            nonce: ctx.nonce(),
+            nonce: ctx.draw_nonce(),
             settled: false,
             era: version.era(),
             history_lost,
@@ -402,7 +402,7 @@
             group: ctx.config.group,
             term: Term(term.0 + 1),
             holder: Some(ctx.own_instance().clone()),
-            nonce: ctx.nonce(),
+            nonce: ctx.draw_nonce(),
             witnesses: Vec::new(),
             confirmation: Confirmation::Platform,
             settled: !history_lost,
