--- a/crates/ownership/src/member/holdings.rs
+++ b/crates/ownership/src/member/holdings.rs
@@ -123,7 +123,7 @@
     }
 
     /// Handles the gate's report that it is ready for a slot.
-    pub(crate) fn prepared(&mut self, slot: Slot, token: Token) -> Option<Report> {
+    pub(crate) fn handle_prepared(&mut self, slot: Slot, token: Token) -> Option<Report> {
         let wanted = self.preparing.get(&slot) == Some(&token);
         wanted.then(|| self.preparing.remove(&slot))?;
         Some(Report::Prepared { slot, token })
@@ -131,13 +131,18 @@
 
     /// Handles the gate's report that the upstream has been cleared. Ignores a clearing that an earlier session or term
     /// requested, because it does not cover later grants.
-    pub(crate) fn cleared(&mut self, token: Token) -> Option<Report> {
+    pub(crate) fn handle_cleared(&mut self, token: Token) -> Option<Report> {
         self.clearing.take_if(|it| *it == token)?;
         Some(Report::Cleared { token })
     }
 
     /// Handles the gate's report that it has closed a slot. Hot keys excluded from it no longer need an entry.
-    pub(crate) fn closed(&mut self, ctx: &mut Ctx<'_>, slot: Slot, token: Token) -> Option<Report> {
+    pub(crate) fn handle_closed(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        slot: Slot,
+        token: Token,
+    ) -> Option<Report> {
         let held = self.slots.get(&slot)?;
         if held.token != token || held.closing_since.is_none() {
             return None;
@@ -153,7 +158,7 @@
     }
 
     /// Handles the gate's report that it has closed a hot key. The key stays excluded if its slot is held.
-    pub(crate) fn key_closed(
+    pub(crate) fn handle_key_closed(
         &mut self,
         ctx: &mut Ctx<'_>,
         key_hash: KeyHash,
--- a/crates/ownership/src/member/mod.rs
+++ b/crates/ownership/src/member/mod.rs
@@ -167,14 +167,14 @@
             first_report: self.first_report,
             reports: self.reports.iter().copied().collect(),
             holding: (!self.acknowledged)
-                .then(|| self.holdings.to_message(self.recently_lapsed(ctx))),
+                .then(|| self.holdings.to_message(self.has_recently_lapsed(ctx))),
             load: self.load.take(),
             route_version: self.routes.version,
         };
         ctx.send(coordinator, Message::Renew(Box::new(renew)));
     }
 
-    fn recently_lapsed(&self, ctx: &Ctx<'_>) -> bool {
+    fn has_recently_lapsed(&self, ctx: &Ctx<'_>) -> bool {
         let period = ctx.limits().lease * 2;
         self.lapsed_at.is_some_and(|at| ctx.now.since(at) < period)
     }
--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -29,7 +29,7 @@
             self.known.has_direct_contact = true;
         }
         match message {
-            Message::CoordinatorQuery { .. } => self.reply_coordinator(ctx, from),
+            Message::CoordinatorQuery { .. } => self.send_coordinator(ctx, from),
             Message::CoordinatorReply { term, silence_ms, coordinator } if term == known => {
                 self.defer_takeover(ctx, coordinator.as_ref(), silence_ms);
             }
@@ -50,7 +50,7 @@
             Message::NotCoordinator { .. } if from_coordinator => self.mark_vacant(),
             Message::NotCoordinator { .. } => {}
             // The message is from an earlier term: its sender has not seen the current one yet.
-            _ if message.term() < known && !accepts_earlier => self.reply_coordinator(ctx, from),
+            _ if message.term() < known && !accepts_earlier => self.send_coordinator(ctx, from),
             _ if !from_coordinator => {}
             Message::Announce { .. } => {
                 self.known.last_contact_at = ctx.now;
@@ -91,7 +91,7 @@
         self.update_known_term(ctx, message.term(), coordinator);
     }
 
-    fn reply_coordinator(&mut self, ctx: &mut Ctx<'_>, to: &Instance) {
+    fn send_coordinator(&mut self, ctx: &mut Ctx<'_>, to: &Instance) {
         let silence = ctx.now.since(self.known.last_contact_at);
         let message = Message::CoordinatorReply {
             term: self.known.term,
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -207,21 +207,23 @@
             }
             Input::ClosedSlots(slots) => {
                 let holdings = &mut self.member.holdings;
-                let reports = slots.into_iter().filter_map(|it| holdings.closed(ctx, it.0, it.1));
+                let reports =
+                    slots.into_iter().filter_map(|it| holdings.handle_closed(ctx, it.0, it.1));
                 let reports: Vec<Report> = reports.collect();
                 return self.send_reports(ctx, reports);
             }
             Input::PreparedSlots(slots) => {
                 let holdings = &mut self.member.holdings;
-                let reports = slots.into_iter().filter_map(|it| holdings.prepared(it.0, it.1));
+                let reports =
+                    slots.into_iter().filter_map(|it| holdings.handle_prepared(it.0, it.1));
                 let reports: Vec<Report> = reports.collect();
                 return self.send_reports(ctx, reports);
             }
-            Input::Cleared { token } => self.member.holdings.cleared(token),
-            Input::Prepared { slot, token } => self.member.holdings.prepared(slot, token),
-            Input::Closed { slot, token } => self.member.holdings.closed(ctx, slot, token),
+            Input::Cleared { token } => self.member.holdings.handle_cleared(token),
+            Input::Prepared { slot, token } => self.member.holdings.handle_prepared(slot, token),
+            Input::Closed { slot, token } => self.member.holdings.handle_closed(ctx, slot, token),
             Input::KeyClosed { key_hash, token } => {
-                self.member.holdings.key_closed(ctx, key_hash, token)
+                self.member.holdings.handle_key_closed(ctx, key_hash, token)
             }
         };
         self.send_reports(ctx, report.into_iter().collect());
--- a/crates/ownership/src/planner/ranges.rs
+++ b/crates/ownership/src/planner/ranges.rs
@@ -164,7 +164,7 @@
         let left = range.first.checked_sub(1).and_then(|it| self.owners[it]);
         let right = self.owners.get(range.end).copied().flatten();
         let total = self.cost(range);
-        let shares = self.shares(total);
+        let shares = self.compute_shares(total);
         let position_of = |it: &(u16, f64)| match it.0 {
             member if Some(member) == left => 0,
             member if Some(member) == right => 2,
@@ -191,7 +191,7 @@
     }
 
     /// Returns how much of a load each member takes so that the members' loads become as even as possible.
-    fn shares(&self, load: f64) -> Vec<(u16, f64)> {
+    fn compute_shares(&self, load: f64) -> Vec<(u16, f64)> {
         // Bisects for the relative load up to which members are filled.
         let absorbed = |level: f64| {
             let room = |it: &u16| (level * self.weight(*it) - self.load_of(*it)).max(0.0);
@@ -217,7 +217,7 @@
 
     /// Returns the relative load above which a member is relieved: the document's target, or the random variation of a
     /// load of this size if that is higher.
-    fn trigger(&self) -> f64 {
+    fn relief_trigger(&self) -> f64 {
         if self.is_idle {
             return self.input.limits.imbalance_target;
         }
@@ -228,7 +228,7 @@
 
     /// Moves as few slots as possible to relieve the busiest members, within the remaining churn budget.
     fn relieve(&mut self) {
-        let trigger = self.trigger();
+        let trigger = self.relief_trigger();
         let settle = 1.0 + (trigger - 1.0) * SETTLE_SHARE;
         // Slots without requests may move without limit, because no request waits for them.
         let churn = if self.is_idle { 1.0 } else { self.input.churn_left };
--- a/crates/ownership/src/planner/successors.rs
+++ b/crates/ownership/src/planner/successors.rs
@@ -84,7 +84,7 @@
         let Some(owner) = unit.owner else { return Vec::new() };
         let mut chosen: Vec<u16> = Vec::new();
         while chosen.len() < SUCCESSOR_COUNT {
-            let Some(next) = self.next(owner, unit, &chosen) else { break };
+            let Some(next) = self.choose_next(owner, unit, &chosen) else { break };
             chosen.push(next);
         }
         if let Some(&first) = chosen.first() {
@@ -95,7 +95,7 @@
         chosen
     }
 
-    fn next(&self, owner: u16, unit: &OwnedUnit<'_>, chosen: &[u16]) -> Option<u16> {
+    fn choose_next(&self, owner: u16, unit: &OwnedUnit<'_>, chosen: &[u16]) -> Option<u16> {
         let candidates = self.plan.eligible().filter(|it| *it != owner && !chosen.contains(it));
         let candidates: Vec<u16> = candidates.collect();
         // Lower ranks are better: rank 0 is a zone of neither the owner nor a chosen successor, rank 1 a zone of a
