--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -22,8 +22,9 @@
 /// members of a group of 112 queried each other after the loss of the coordinator, the 12,000 messages per interval
 /// would delay the takeover by the first in rank by a second.
 const QUERIED_MEMBERS_MAX: usize = 8;
-/// Initial and maximum delay before a retry after a failed platform call.
+/// Delay before the first retry after a failed platform call.
 const RETRY_DELAY_MIN: Duration = Duration::from_millis(100);
+/// Upper bound of the retry delay, which doubles with each failure.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
 /// Initial delay before taking the term from a holder that this node has never received a message from; doubled for
 /// each further takeover, because the holder may be active for other members. Longer than a term takes to settle.
--- a/crates/ownership/src/planner/mod.rs
+++ b/crates/ownership/src/planner/mod.rs
@@ -58,7 +58,7 @@
     /// Whether the keys have an order that the slots follow; see `planner::ranges`.
     pub ordered: bool,
     pub members: Vec<PlannerMember>,
-    /// One for each slot, in order.
+    /// All slots of the service, in ascending order.
     pub slots: Vec<PlannerSlot>,
     pub keys: Vec<PlannerKey>,
     /// Share of all keys that rebalancing may still move in this minute. First grants and moves away from lost or
--- a/crates/ownership/src/planner/ranges.rs
+++ b/crates/ownership/src/planner/ranges.rs
@@ -33,7 +33,7 @@
 /// Level at which relief stops, as a share of the distance between a relative load of 1 and the trigger.
 const SETTLE_SHARE: f64 = 0.5;
 const US_PER_S: f64 = 1e6;
-/// Load of the whole service below which all slots count the same. Equals a hundredth of a request in flight.
+/// Load of the whole service below which all slots count the same; corresponds to a hundredth of a request in flight.
 const IDLE_US_PER_S: f64 = 1e4;
 
 /// Returns the proposal for a service with ordered keys.
@@ -69,7 +69,7 @@
 struct SlotLayout<'a> {
     input: &'a PlannerInput,
     owners: Vec<Option<u16>>,
-    /// Cost of each slot: its load and a share for being a slot, in microseconds per second.
+    /// Cost of each slot in microseconds per second: its load plus a fixed share of the mean load.
     costs: Vec<f64>,
     /// Cost of all slots of each member.
     loads: Vec<f64>,
--- a/crates/ownership/src/planner/relief.rs
+++ b/crates/ownership/src/planner/relief.rs
@@ -9,12 +9,12 @@
     working_plan::{MemberLoad, SlotState, WorkingPlan},
 };
 
-/// Load from which a key may get an entry of its own, as a share of a member's fair load.
+/// Minimum load of a key that may get an entry of its own, as a share of a member's fair load.
 const KEY_HOT_SHARE: f64 = 0.005;
 /// Cost of moving one hot key, relative to a slot.
 const KEY_COST_RATIO: f64 = 0.05;
 const US_PER_S: f64 = 1e6;
-/// Load from which a slot or key is worth a move, as a share of its member's excess.
+/// Minimum load of a slot or key that is worth a move, as a share of its member's excess.
 const RELIEF_SHARE_MIN: f64 = 0.02;
 /// Minimum reduction of the relative load of the busier of two members by a move if the target cannot be reached.
 const IMPROVEMENT_MIN: f64 = 0.02;
