--- a/crates/ownership/src/message/mod.rs
+++ b/crates/ownership/src/message/mod.rs
@@ -19,7 +19,7 @@
     pub const FIRST: SessionId = SessionId(1);
 }
 
-/// Message between two nodes of one group. Each carries the highest term that its sender has seen.
+/// Message between two nodes of one group. Each carries the sender's term.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
     /// Asks any member of the group for the current coordinator.
--- a/crates/ownership/src/output.rs
+++ b/crates/ownership/src/output.rs
@@ -30,13 +30,13 @@
 pub enum PlatformRequest {
     ReadCoordinator,
     ReadPlan,
-    /// Update the object if it still has the version `expected`; if that has no revision, create the object if it does
-    /// not exist.
+    /// Update the object if it still has the version `expected`. A version without a revision stands for an object that
+    /// does not exist, so that the update creates it.
     UpdateCoordinator {
         expected: ObjectVersion,
         object: Coordinator,
     },
-    /// Update the plan under the same condition.
+    /// Update the plan on the same condition.
     UpdatePlan {
         expected: ObjectVersion,
         object: Box<Plan>,
