--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -52,7 +52,7 @@
     pub successors: Vec<Instance>,
 }
 
-/// View of a group by one node, used for routing and the status page.
+/// View of a group by one node, used for routing and the status object.
 #[derive(Debug, Clone, Default)]
 pub struct NodeView {
     pub term: Term,
@@ -207,21 +207,23 @@
             }
             Input::ClosedSlots(slots) => {
                 let holdings = &mut self.member.holdings;
-                let reports = slots.into_iter().filter_map(|it| holdings.closed(ctx, it.0, it.1));
+                let reports =
+                    slots.into_iter().filter_map(|it| holdings.handle_closed(ctx, it.0, it.1));
                 let reports: Vec<Report> = reports.collect();
                 return self.send_reports(ctx, reports);
             }
             Input::PreparedSlots(slots) => {
                 let holdings = &mut self.member.holdings;
-                let reports = slots.into_iter().filter_map(|it| holdings.prepared(it.0, it.1));
+                let reports =
+                    slots.into_iter().filter_map(|it| holdings.handle_prepared(it.0, it.1));
                 let reports: Vec<Report> = reports.collect();
                 return self.send_reports(ctx, reports);
             }
-            Input::Cleared { token } => self.member.holdings.cleared(token),
-            Input::Prepared { slot, token } => self.member.holdings.prepared(slot, token),
-            Input::Closed { slot, token } => self.member.holdings.closed(ctx, slot, token),
+            Input::Cleared { token } => self.member.holdings.handle_cleared(token),
+            Input::Prepared { slot, token } => self.member.holdings.handle_prepared(slot, token),
+            Input::Closed { slot, token } => self.member.holdings.handle_closed(ctx, slot, token),
             Input::KeyClosed { key_hash, token } => {
-                self.member.holdings.key_closed(ctx, key_hash, token)
+                self.member.holdings.handle_key_closed(ctx, key_hash, token)
             }
         };
         self.send_reports(ctx, report.into_iter().collect());
@@ -247,10 +249,10 @@
         match self.coordination.as_ref().map(|it| it.reacquisition(ctx)) {
             None | Some(Reacquisition::NotDue) => {}
             // The coordinator continues with this term until it has acquired the next one.
-            Some(Reacquisition::WithState(_)) => self.takeover.retake_term(ctx.now),
+            Some(Reacquisition::WithState(_)) => self.takeover.schedule_reacquisition(ctx.now),
             Some(Reacquisition::WithoutState) => {
                 self.lose_term(ctx);
-                self.takeover.retake_term(ctx.now);
+                self.takeover.schedule_reacquisition(ctx.now);
             }
         }
         if let Some(coordination) = &mut self.coordination {
@@ -308,7 +310,7 @@
     fn lose_term(&mut self, ctx: &mut Ctx<'_>) {
         let Some(coordination) = self.coordination.take() else { return };
         let term = coordination.term();
-        ctx.event(Event::LostCoordination { term: term.0 });
+        ctx.emit(Event::LostCoordination { term: term.0 });
         if self.known.term == term {
             self.known.coordinator = None;
             self.known.vacant = true;
@@ -321,7 +323,7 @@
             coordinator.filter(|it| !is_same_incarnation(it, ctx.own_instance())).cloned();
         if term > self.known.term {
             self.known = KnownTerm::new(term, coordinator, ctx.now);
-            self.takeover.retake = false;
+            self.takeover.reacquire = false;
             if self.coordination.as_ref().is_some_and(|it| it.term() < term) {
                 self.lose_term(ctx);
             }
--- a/crates/ownership/src/node/takeover.rs
+++ b/crates/ownership/src/node/takeover.rs
@@ -22,8 +22,9 @@
 /// members of a group of 112 queried each other after the loss of the coordinator, the 12,000 messages per interval
 /// would delay the takeover by the first in rank by a second.
 const QUERIED_MEMBERS_MAX: usize = 8;
-/// Initial and maximum delay before a retry after a failed platform call.
+/// Delay before the first retry after a failed platform call.
 const RETRY_DELAY_MIN: Duration = Duration::from_millis(100);
+/// Upper bound of the retry delay, which doubles with each failure.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
 /// Initial delay before taking the term from a holder that this node has never received a message from; doubled for
 /// each further takeover, because the holder may be active for other members. Longer than a term takes to settle.
@@ -83,7 +84,7 @@
     /// Number of takeovers from a holder that may still have been active; each doubles the hold-back delays.
     hold_back_doublings: u32,
     /// Whether this node has to acquire the term anew because the platform lost the record of the term it held.
-    pub(super) retake: bool,
+    pub(super) reacquire: bool,
 }
 
 impl Takeover {
@@ -100,14 +101,14 @@
             no_majority_since: None,
             hold_back_doublings: 0,
             has_read: false,
-            retake: false,
+            reacquire: false,
         }
     }
 
     /// Schedules a new acquisition of the term that this node holds or has just held, because the platform has lost
     /// its record.
-    pub(super) fn retake_term(&mut self, now: Timestamp) {
-        if !std::mem::replace(&mut self.retake, true) {
+    pub(super) fn schedule_reacquisition(&mut self, now: Timestamp) {
+        if !std::mem::replace(&mut self.reacquire, true) {
             self.next_attempt_at = now;
         }
     }
@@ -126,7 +127,7 @@
 impl Node {
     pub(super) fn tick_takeover(&mut self, ctx: &mut Ctx<'_>) {
         match self.coordination {
-            Some(_) if !self.takeover.retake => return,
+            Some(_) if !self.takeover.reacquire => return,
             Some(_) => {}
             None => self.query_coordinator(ctx),
         }
@@ -138,7 +139,7 @@
     }
 
     fn is_takeover_due(&self, ctx: &Ctx<'_>) -> bool {
-        if self.takeover.retake {
+        if self.takeover.reacquire {
             return true;
         }
         let silence = ctx.now.since(self.known.last_contact_at);
@@ -349,7 +350,7 @@
         if (is_overtaken && version.era() == 0) || !self.is_takeover_due(ctx) {
             return;
         }
-        if !self.takeover.retake && !self.is_term_usable(ctx, object) {
+        if !self.takeover.reacquire && !self.is_term_usable(ctx, object) {
             return;
         }
         if self.known.coordinator.is_some() && !self.known.has_direct_contact {
@@ -365,7 +366,7 @@
         let attempt = Coordinator {
             term: Term(object.term.max(self.known.term).0 + 1 + skipped),
             holder: Some(ctx.own_instance().clone()),
-            nonce: ctx.nonce(),
+            nonce: ctx.draw_nonce(),
             settled: false,
             era: version.era(),
             history_lost,
@@ -402,7 +403,7 @@
             group: ctx.config.group,
             term: Term(term.0 + 1),
             holder: Some(ctx.own_instance().clone()),
-            nonce: ctx.nonce(),
+            nonce: ctx.draw_nonce(),
             witnesses: Vec::new(),
             confirmation: Confirmation::Platform,
             settled: !history_lost,
@@ -431,7 +432,7 @@
     fn complete_takeover(&mut self, ctx: &mut Ctx<'_>, attempt: Attempt, version: ObjectVersion) {
         let Attempt { object, previous, stored, sent_at } = attempt;
         self.takeover.unanswered.clear();
-        self.takeover.retake = false;
+        self.takeover.reacquire = false;
         let object = Coordinator { era: version.era(), ..object };
         let carried = self.carried_state(ctx).filter(|_| stored.is_some());
         // Without carried state, another term may have settled meanwhile: the stored object is the predecessor.
