--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -74,7 +74,7 @@
         let alive = now.since(self.heard_at) < every.mul_f64(ANOTHER_LIFE_AFTER)
             && self.seen_by_gate != Some(UpstreamState::Lost);
         match (known.born_ms, announcement.born_ms) {
-            _ if known.is_of_same_life(announcement) => {
+            _ if known.is_same_incarnation(announcement) => {
                 let numbered = announcement.sequence > 0;
                 let late = numbered && announcement.sequence <= known.sequence;
                 if late { Place::Late } else { Place::Same }
--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -65,7 +65,7 @@
     /// Whether this is the incarnation of the upstream that sent the announcement.
     fn is_same_upstream(&self, announcement: &Announcement) -> bool {
         self.announcement.address == announcement.address
-            && self.announcement.is_of_same_life(announcement)
+            && self.announcement.is_same_incarnation(announcement)
     }
 
     /// Returns the incarnation of this upstream.
@@ -106,7 +106,10 @@
         let snapshot = self.snapshots.load();
         let Some((service, local)) = local_service(&snapshot) else { return };
         let former = self.bound.load_full();
-        if former.as_ref().is_some_and(|it| !it.announcement.is_of_same_life(&local.announcement)) {
+        if former
+            .as_ref()
+            .is_some_and(|it| !it.announcement.is_same_incarnation(&local.announcement))
+        {
             self.record_upstream_crash("a new incarnation announced itself");
         }
         let bound = match self.next_bound(former.as_deref(), service, local) {
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -104,7 +104,7 @@
         let mut changes = self.snapshots.changes();
         loop {
             let bound = self.bound.load_full();
-            if let Some(it) = bound.filter(|it| it.announcement.is_of_same_life(announcement)) {
+            if let Some(it) = bound.filter(|it| it.announcement.is_same_incarnation(announcement)) {
                 return it;
             }
             if changes.changed().await.is_err() {
--- a/crates/agent/src/report/mod.rs
+++ b/crates/agent/src/report/mod.rs
@@ -68,7 +68,7 @@
 
 impl Announcement {
     /// Whether both come from one life of an upstream.
-    pub(crate) fn is_of_same_life(&self, other: &Announcement) -> bool {
+    pub(crate) fn is_same_incarnation(&self, other: &Announcement) -> bool {
         self.upstream_id == other.upstream_id && self.born_ms == other.born_ms
     }
 
