--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -55,7 +55,7 @@
     pub(crate) document: Arc<ServiceDocument>,
     pub(crate) announcement: Announcement,
     /// Set while the upstream is to get no new work.
-    pub(crate) closing: Option<DrainSchedule>,
+    pub(crate) drain: Option<DrainSchedule>,
     pub(crate) upstream: Arc<dyn Upstream>,
     pub(crate) queue: Arc<AdmissionQueue>,
     members: Vec<Instance>,
@@ -90,12 +90,12 @@
     /// Whether new requests are refused. They are still accepted during the first half of the drain
     /// time, since it takes a while for all peers to learn that this instance is leaving.
     pub(crate) fn refuses_work(&self, now: Timestamp) -> bool {
-        self.closing.is_some_and(|it| now >= it.refuses_at)
+        self.drain.is_some_and(|it| now >= it.refuses_at)
     }
 
     /// Whether no request may reach the upstream any longer, including queued ones.
     pub(crate) fn is_closed(&self, now: Timestamp) -> bool {
-        self.closing.is_some_and(|it| now >= it.closed_at)
+        self.drain.is_some_and(|it| now >= it.closed_at)
     }
 }
 
@@ -120,12 +120,12 @@
             }
         };
         let now = self.clock.now();
-        let former_closing = former.as_ref().and_then(|it| it.closing);
-        let closing = local.leaving.map(|reason| {
-            let closing = DrainSchedule::new(now, reason, &bound.document.drain);
-            former_closing.map_or(closing, |it| it.earliest(closing))
+        let former_drain = former.as_ref().and_then(|it| it.drain);
+        let drain = local.leaving.map(|reason| {
+            let drain = DrainSchedule::new(now, reason, &bound.document.drain);
+            former_drain.map_or(drain, |it| it.earliest(drain))
         });
-        let bound = BoundUpstream { closing, members: members(service), ..bound };
+        let bound = BoundUpstream { drain, members: members(service), ..bound };
         if former.as_ref().is_none_or(|it| it.members != bound.members) {
             self.members_changed_ns.store(now.ns, Ordering::SeqCst);
         }
@@ -167,7 +167,7 @@
             version: service.version,
             document: Arc::clone(document),
             announcement: announcement.clone(),
-            closing: None,
+            drain: None,
             upstream,
             queue,
             members: Vec::new(),
@@ -184,7 +184,7 @@
 /// Whether a new queue is needed: the queue of an upstream that was drained or lost is not reused.
 fn needs_new_queue(former: &BoundUpstream, local: &LocalUpstream) -> bool {
     let was_unavailable =
-        former.closing.is_some() || former.announcement.state == UpstreamState::Lost;
+        former.drain.is_some() || former.announcement.state == UpstreamState::Lost;
     was_unavailable && local.leaving.is_none() && local.announcement.state == UpstreamState::Ready
 }
 
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -40,7 +40,7 @@
 
 impl Gate {
     /// Applies the upstream's announcement of its keys and resolves to the keys that it is to hold.
-    /// `None` means that the announcement gets no such answer, which leaves its grants unchanged.
+    /// `None` leaves the grants of the upstream unchanged.
     pub(crate) async fn keys_to_hold(
         self: &Arc<Gate>,
         announcement: &Announcement,
@@ -48,7 +48,7 @@
         ranges_max: usize,
     ) -> Option<KeysToHold> {
         let received_at = self.clock.now();
-        let bound = timeout(NEW_INCARNATION_WAIT, self.wait_bound_to(announcement)).await.ok()?;
+        let bound = timeout(NEW_INCARNATION_WAIT, self.wait_for_bound(announcement)).await.ok()?;
         let keys = bound.document.ordered_keys?;
         if !matches!(bound.upstream.key_leases(), KeyLeases::ByAnnouncement) {
             return None;
@@ -100,7 +100,7 @@
     }
 
     /// Waits until control has processed the announcement, and returns the upstream bound for it.
-    async fn wait_bound_to(&self, announcement: &Announcement) -> Arc<BoundUpstream> {
+    async fn wait_for_bound(&self, announcement: &Announcement) -> Arc<BoundUpstream> {
         let mut changes = self.snapshots.changes();
         loop {
             let bound = self.bound.load_full();
@@ -119,8 +119,8 @@
         self.leases.lock().has_pending_changes(self.clock.now(), lease_until)
     }
 
-    /// Reports the consequences of an announcement to control, and transfers handover tokens to the
-    /// gates of the next owners.
+    /// Reports the effects of an announcement to control, and transfers handover tokens to the gates
+    /// of the next owners.
     async fn apply_effects(
         self: &Arc<Gate>,
         bound: &Arc<BoundUpstream>,
--- a/crates/agent/src/gate/leases/exchange.rs
+++ b/crates/agent/src/gate/leases/exchange.rs
@@ -97,7 +97,7 @@
     pub(super) handover: Option<HandoverToken>,
 }
 
-/// Consequences of an announcement.
+/// Actions that follow from an announcement.
 #[derive(Debug, Default)]
 pub(super) struct AnnouncementEffects {
     pub(super) transfers: Vec<SlotTransfer>,
@@ -137,12 +137,12 @@
     /// Whether an announcement is newer than all those applied so far; late and duplicate ones are
     /// not. Records its sequence number.
     pub(super) fn accept_sequence(&mut self, sequence: u64) -> bool {
-        let accept_sequence = sequence > self.exchange.sequence;
+        let is_newer = sequence > self.exchange.sequence;
         self.exchange.sequence = self.exchange.sequence.max(sequence);
-        accept_sequence
+        is_newer
     }
 
-    /// Applies an announcement to the leases and returns its consequences.
+    /// Applies an announcement to the leases and returns the actions that follow from it.
     pub(super) fn apply_announcement(
         &mut self,
         now: Timestamp,
@@ -294,8 +294,8 @@
         ranges
     }
 
-    /// Ends the pending revocation and returns its token if the upstream holds nothing of earlier
-    /// sessions or incarnations of this agent.
+    /// Ends the pending release of earlier grants and returns its token, if the upstream no longer
+    /// holds any of them.
     pub(super) fn take_cleared(&mut self) -> Option<Token> {
         let cleared = self.clearing.take_if(|_| self.exchange.holds_nothing);
         cleared.map(|it| it.token)
@@ -341,10 +341,11 @@
     fn try_extend(&mut self, next: &SlotTransfer) -> bool {
         let follows =
             self.range.last.0 + 1 == next.range.first.0 && self.range.token == next.range.token;
-        let fits = follows && self.successor == next.successor && self.handover == next.handover;
-        if fits {
+        let is_alike =
+            follows && self.successor == next.successor && self.handover == next.handover;
+        if is_alike {
             self.range.last = next.range.last;
         }
-        fits
+        is_alike
     }
 }
--- a/crates/agent/src/gate/leases/mod.rs
+++ b/crates/agent/src/gate/leases/mod.rs
@@ -5,10 +5,10 @@
 //! under a grant that the upstream has acknowledged. A slot is reported closed only once the
 //! upstream has released it and runs no requests on it, or once its grant has expired.
 
-mod exchange;
 mod answers;
-mod slot_leases;
+mod exchange;
 mod reconcile;
+mod slot_leases;
 
 #[cfg(test)]
 mod tests;
@@ -37,7 +37,7 @@
     wakeup: Notify,
     /// Notifies of slots that have become usable.
     usable_changes: watch::Sender<()>,
-    /// Notifies of changes that an unanswered announcement may have to be answered with.
+    /// Notifies of changes that the answer to an open announcement may have to contain.
     pending_changes: watch::Sender<()>,
     /// Sequence number of the last announcement applied.
     latest_sequence: watch::Sender<u64>,
@@ -74,9 +74,9 @@
         token: Token,
         successor: Option<Instance>,
     ) -> bool {
-        let closing = self.lock().close(now, slot, token, successor);
+        let is_closing = self.lock().close(now, slot, token, successor);
         self.wake();
-        closing
+        is_closing
     }
 
     /// Has the upstream release the grants of earlier sessions or incarnations of this agent before
@@ -101,7 +101,7 @@
         });
     }
 
-    /// Wakes the reconciling task and any announcement that waits for its answer.
+    /// Wakes the task that reconciles the leases, and any announcement whose answer is held back.
     fn wake(&self) {
         self.wakeup.notify_one();
         self.pending_changes.send_replace(());
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -25,10 +25,11 @@
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time for which admissions and closings of one control step are collected into one batch.
 const BATCH_WINDOW: Duration = Duration::from_millis(2);
-/// An upstream on the same instance answers within a few milliseconds or not at all.
+/// Timeout of a grant call: an upstream on the same instance answers within a few milliseconds or
+/// not at all.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which the answers of requests may arrive after that of the release that waited for
+/// Time by which the answers of requests may arrive after the answer to a release that waited for
 /// them, and the interval at which they are polled. The next pass handles later ones.
 const RUN_ANSWERS_WAIT: Duration = Duration::from_millis(20);
 const RUN_ANSWERS_POLL: Duration = Duration::from_millis(1);
@@ -40,8 +41,7 @@
 
 impl Gate {
     /// Assumes that requests of an earlier incarnation of this agent may run until its lease has
-    /// expired. All that is known of that incarnation is that it had ended when this process
-    /// started.
+    /// expired, counted from the start of this process: that incarnation had ended by then.
     pub(super) fn assume_earlier_runs(&self, bound: &BoundUpstream) {
         let lease = bound.document.ownership.lease.mul_f64(SLOW_CLOCK_FACTOR);
         self.upstream_runs.assume_earlier_runs_until(Timestamp::ZERO + lease + CALL_LATENCY_MARGIN);
@@ -118,8 +118,8 @@
     complete_release(gate, bound, SlotTransfer { range, successor, handover }, is_answered).await;
 }
 
-/// Hands over the token of a released range to the gate of the next owner, then reports its slots
-/// as closed.
+/// Hands the handover token of a released range over to the gate of the next owner, then reports
+/// the slots as closed.
 pub(super) async fn complete_release(
     gate: &Gate,
     bound: &BoundUpstream,
@@ -137,8 +137,8 @@
     report_closed(gate).await;
 }
 
-/// Waits for the answers of requests for which a release has waited: they arrive with its answer,
-/// on other connections.
+/// Waits for the answers of the requests that a release has waited for: they arrive at about the
+/// same time as its own answer, but on other connections.
 async fn wait_for_run_answers(gate: &Gate, range: SlotRange) {
     let until = gate.clock.now() + RUN_ANSWERS_WAIT;
     let mut now = gate.clock.now();
--- a/crates/agent/src/gate/leases/slot_leases.rs
+++ b/crates/agent/src/gate/leases/slot_leases.rs
@@ -9,18 +9,18 @@
 use super::exchange::{AnswerState, Exchange};
 use crate::report::UpstreamId;
 
-/// Factor by which an upstream may hold a key longer than its grant allows: the clock of an
-/// upstream that enforces leases may be up to 2% slow.
+/// Factor by which an upstream may hold a key longer than it was granted: the clock of an upstream
+/// that enforces leases may be up to 2% slow.
 pub(in crate::gate) const SLOW_CLOCK_FACTOR: f64 = 1.02;
 /// Upper bound on the latency of a call to the upstream on the same instance.
 pub(in crate::gate) const CALL_LATENCY_MARGIN: Duration = Duration::from_millis(20);
 /// Shortest hold that is granted; anything shorter ends before it is of use.
 pub(super) const HOLD_MIN: Duration = Duration::from_millis(100);
-/// Least extension that is worth a renewal: a fifth of a lease of 1.5 s, so about three renewal
-/// calls per second and range.
+/// Shortest extension that a renewal is sent for: a fifth of a lease of 1.5 s, so about three
+/// renewals per second and range.
 const RENEWAL_GAIN_MIN: Duration = Duration::from_millis(300);
 /// Delay before a failed grant is retried.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
+const GRANT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Upper bound on the duration of a release, even if less of the lease remains: the answer carries
 /// the handover token, and keys taken over without one are slow at their new owner for some
 /// seconds.
@@ -51,7 +51,7 @@
         successor: Option<Instance>,
         wait_max: Duration,
     },
-    /// Revokes all keys granted under tokens up to and including this one.
+    /// Releases all keys granted under tokens up to and including this one.
     Clear {
         token: Token,
     },
@@ -67,9 +67,12 @@
     Unknown,
 }
 
+/// State of a slot that is being closed.
 #[derive(Debug)]
 pub(super) struct Closing {
     pub(super) successor: Option<Instance>,
+    /// Time until which the release is attempted; once it is answered, the latest end of the
+    /// requests on the slot.
     pub(super) until: Timestamp,
     pub(super) release: ReleaseState,
 }
@@ -83,6 +86,7 @@
     Answered,
 }
 
+/// The lease of one slot.
 #[derive(Debug)]
 pub(super) struct SlotLease {
     pub(super) token: Token,
@@ -104,6 +108,7 @@
     pub(super) answer_state: AnswerState,
 }
 
+/// A handover token that is stored until the slots are granted.
 #[derive(Debug)]
 struct StoredHandover {
     first: Slot,
@@ -125,9 +130,9 @@
 /// Incarnation of an upstream: its id and its start time in milliseconds on its wall clock.
 pub(in crate::gate) type UpstreamIncarnation = (Option<UpstreamId>, Option<u64>);
 
-/// A pending revocation of the grants that earlier sessions or incarnations of this agent made.
-/// Nothing is granted before it has ended, because a release that arrives after a grant could undo
-/// the grant.
+/// A pending release of all grants that earlier sessions or incarnations of this agent made. Nothing
+/// is granted before it has ended, because a release that arrives after a grant could undo the
+/// grant.
 #[derive(Debug)]
 pub(super) struct Clearing {
     pub(super) token: Token,
@@ -180,12 +185,12 @@
         true
     }
 
-    /// Starts to revoke all grants under tokens up to and including this one.
+    /// Starts to release all grants under tokens up to and including this one.
     pub(super) fn clear(&mut self, token: Token) {
         self.clearing = Some(Clearing { token, is_sent: false });
     }
 
-    /// Ends the revocation, whether the upstream answered or not.
+    /// Ends the release that [`SlotLeases::clear`] started, whether the upstream answered or not.
     pub(super) fn finish_clear(&mut self, token: Token) {
         self.clearing.take_if(|it| it.token == token);
     }
@@ -200,7 +205,7 @@
     /// Records the upstream's incarnation. A new incarnation holds no slots.
     pub(super) fn follow_incarnation(&mut self, now: Timestamp, incarnation: &UpstreamIncarnation) {
         match self.incarnation.replace(incarnation.clone()) {
-            Some(known) if known != *incarnation => self.reset_for_new_incarnation(now),
+            Some(former) if former != *incarnation => self.reset_for_new_incarnation(now),
             _ => {}
         }
     }
@@ -238,10 +243,10 @@
     }
 
     fn handover_token_for(&self, now: Timestamp, slot: Slot) -> Option<HandoverToken> {
-        let fits = |it: &&StoredHandover| {
+        let applies = |it: &&StoredHandover| {
             (it.first..=it.last).contains(&slot) && now.since(it.received_at) < HANDOVER_TOKEN_TTL
         };
-        self.handovers.iter().rev().find(fits).map(|it| Arc::clone(&it.handover))
+        self.handovers.iter().rev().find(applies).map(|it| Arc::clone(&it.handover))
     }
 
     /// Whether requests for a slot may be sent to the upstream.
@@ -302,14 +307,14 @@
         range: SlotRange,
         sent_at: Timestamp,
         hold: Duration,
-        end: GrantOutcome,
+        outcome: GrantOutcome,
     ) {
         for (_, lease) in self.slots.range_mut(range.first..=range.last) {
             if lease.token != range.token {
                 continue;
             }
             let hold_end = lease.grant_in_flight_until.take().unwrap_or_default();
-            match end {
+            match outcome {
                 GrantOutcome::Accepted => {
                     lease.usable_until = lease.usable_until.max(sent_at + hold);
                     // The keys are warm from now on.
@@ -317,7 +322,7 @@
                 }
                 GrantOutcome::Outdated | GrantOutcome::Unknown => {
                     lease.unanswered_until = lease.unanswered_until.max(hold_end);
-                    lease.next_grant_at = now + RETRY_AFTER;
+                    lease.next_grant_at = now + GRANT_RETRY_DELAY;
                 }
             }
         }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -3,11 +3,11 @@
 //! A request passes these steps in order: the grant of its key, its at-most-once record, the queue
 //! for a slot of the upstream, a last check of grant and lease, the upstream.
 
+mod admission_queue;
 mod bound;
 mod crash;
 mod handle;
 mod health;
-mod admission_queue;
 mod leases;
 pub(crate) mod load;
 mod records;
@@ -169,8 +169,8 @@
     /// Reports a peer that has a later document than this agent, so that control fetches it.
     fn compare_config(&self, from: &Instance, request: &GateRequest) {
         let bound = self.bound.load();
-        let known = bound.as_ref().filter(|it| it.service == request.service);
-        if known.is_some_and(|it| it.version < request.config) {
+        let same_service = bound.as_ref().filter(|it| it.service == request.service);
+        if same_service.is_some_and(|it| it.version < request.config) {
             let (service, version) = (request.service.clone(), request.config);
             self.reporter.hint(Report::Config { service, version, from: from.clone() });
         }
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -22,7 +22,7 @@
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(10);
 const PREPARE_RETRY_DELAY: Duration = Duration::from_millis(100);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Number of tasks that are started together at most.
+/// Highest number of tasks that are started together.
 const BATCH_MAX: usize = 4096;
 /// Interval at which the requests in flight of a closing unit are counted.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
@@ -145,7 +145,7 @@
     /// Waits for the requests in flight, hands the records over and reports the unit as closed.
     async fn close(&self, unit: RecordUnit, token: Token, successor: Option<Instance>) {
         self.wait_until_idle(unit).await;
-        if let Some(records) = self.export(unit) {
+        if let Some(records) = self.export_records(unit) {
             self.hand_over_records(unit, token, successor, records).await;
         }
         let report = match unit {
@@ -176,7 +176,7 @@
         }
     }
 
-    fn export(&self, unit: RecordUnit) -> Option<bytes::Bytes> {
+    fn export_records(&self, unit: RecordUnit) -> Option<bytes::Bytes> {
         let bound = self.bound.load_full()?;
         let now: Timestamp = self.clock.now();
         self.records.get()?.export(now, unit, |it| bound.document.slot_count.slot_of(it))
