--- a/crates/agent/src/control/status.rs
+++ b/crates/agent/src/control/status.rs
@@ -1,4 +1,4 @@
-//! The status of the group, written by its coordinator: when it changes, and seldom.
+//! The group's status object, which the coordinator writes to the platform.
 
 use std::{
     collections::VecDeque,
@@ -15,57 +15,64 @@
 };
 
 use crate::control::{
-    pace::Pace,
     state::{Control, ONLY_GROUP},
+    status_schedule::StatusSchedule,
 };
 
-/// The period over which the measures look back.
-const MEASURED: Duration = Duration::from_secs(60);
+/// The period that the measures of the status cover.
+const MEASURE_WINDOW: Duration = Duration::from_secs(60);
 
+/// The state of writing the status object.
 #[derive(Debug, Default)]
 pub(crate) struct StatusWriter {
-    /// The object's version; none: to be read first.
-    object: Option<ObjectVersion>,
+    /// The object's version, or `None` if it must be read before the next write.
+    object_version: Option<ObjectVersion>,
+    /// Whether a read or write of the object is in flight.
     in_flight: bool,
-    pace: Pace,
+    schedule: StatusSchedule,
+    /// When the accepted version was first in force on all members, in milliseconds since 1970.
     in_force_since_unix_ms: Option<u64>,
+    /// When the coordinator last sent all versions to its members.
     versions_sent_at: Option<Timestamp>,
-    unowned: UnownedTimes,
+    unowned: UnownedPeriods,
 }
 
-/// When some slot had no owner, within the measured period; the time before the first grants is
-/// none of these.
+/// The periods within [`MEASURE_WINDOW`] in which some slot had no owner. The time before all slots
+/// were first owned does not count.
 #[derive(Debug, Default)]
-struct UnownedTimes {
-    owned_before: bool,
+struct UnownedPeriods {
+    /// Whether all slots have been owned at some time.
+    was_owned: bool,
+    /// The start of the current period.
     since: Option<Timestamp>,
-    /// When each ended, and how long it had lasted.
+    /// The end and the duration of each past period.
     ended: VecDeque<(Timestamp, Duration)>,
 }
 
-impl UnownedTimes {
-    fn note(&mut self, now: Timestamp, unowned: bool) {
-        self.ended.retain(|(at, _)| now.since(*at) <= MEASURED);
+impl UnownedPeriods {
+    fn record(&mut self, now: Timestamp, has_unowned: bool) {
+        self.ended.retain(|(at, _)| now.since(*at) <= MEASURE_WINDOW);
         match self.since {
-            None if unowned && self.owned_before => self.since = Some(now),
-            Some(since) if !unowned => {
+            None if has_unowned && self.was_owned => self.since = Some(now),
+            Some(since) if !has_unowned => {
                 self.ended.push_back((now, now.since(since)));
                 self.since = None;
             }
             _ => {}
         }
-        self.owned_before |= !unowned;
+        self.was_owned |= !has_unowned;
     }
 
-    fn longest(&self, now: Timestamp) -> Duration {
+    fn longest_duration(&self, now: Timestamp) -> Duration {
         let running = self.since.map(|it| now.since(it));
         self.ended.iter().map(|(_, it)| *it).chain(running).max().unwrap_or_default()
     }
 }
 
 impl StatusWriter {
-    /// Whether versions are due to be spread again; notes that they are.
-    pub(super) fn versions_due(&mut self, now: Timestamp, every: Duration) -> bool {
+    /// Returns whether all versions are due to be sent to the members again, and records that they
+    /// are sent.
+    pub(super) fn take_versions_due(&mut self, now: Timestamp, every: Duration) -> bool {
         let due = self.versions_sent_at.is_none_or(|it| now.since(it) >= every);
         if due {
             self.versions_sent_at = Some(now);
@@ -74,67 +81,70 @@
     }
 }
 
-/// Wall-clock milliseconds since 1970, for people to read.
+/// Returns the wall-clock time in milliseconds since 1970, for use in the status.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |it| it.as_millis() as u64)
 }
 
 impl Control {
+    /// Writes the status if this instance is the coordinator and a write is due.
     pub(super) fn write_status(&mut self, now: Timestamp) {
         let Some(group) = &self.group else { return };
-        let unowned = group.view.owners.iter().any(|it| it.owner.is_none());
-        self.status.unowned.note(now, unowned);
+        let has_unowned = group.view.owners.iter().any(|it| it.owner.is_none());
+        self.status.unowned.record(now, has_unowned);
         if !group.view.is_coordinator {
-            // Another's writes are unknown here: read before the next one.
-            self.status.object = None;
-            self.status.pace = Pace::default();
+            // Another coordinator may write the object, so read its version before the next write.
+            self.status.object_version = None;
+            self.status.schedule = StatusSchedule::default();
             return;
         }
         if self.status.in_flight {
             return;
         }
         let status = self.build_status();
-        if !self.status.pace.is_due(now, &status) {
+        if !self.status.schedule.is_due(now, &status) {
             return;
         }
         self.status.in_flight = true;
-        match self.status.object {
+        match self.status.object_version {
             None => self.parts.calls.read_status(&status.service, ONLY_GROUP),
             Some(object) => {
                 self.parts.calls.write_status(object, &status);
                 let jitter = self.rng.random();
-                self.status.pace.written(now, status, jitter);
+                self.status.schedule.record_write(now, status, jitter);
             }
         }
     }
 
-    pub(super) fn status_read(&mut self, result: Result<Option<ObjectVersion>, StoreError>) {
+    pub(super) fn on_status_read(&mut self, result: Result<Option<ObjectVersion>, StoreError>) {
         self.status.in_flight = false;
         match result {
-            Ok(version) => self.status.object = Some(version.unwrap_or_default()),
-            Err(error) => self.status_failed(&error),
+            Ok(version) => self.status.object_version = Some(version.unwrap_or_default()),
+            Err(error) => self.on_status_failure(&error),
         }
     }
 
-    pub(super) fn status_written(&mut self, result: Result<ObjectVersion, StoreError>) {
+    pub(super) fn on_status_written(&mut self, result: Result<ObjectVersion, StoreError>) {
         self.status.in_flight = false;
         match result {
-            Ok(version) => self.status.object = Some(version),
-            Err(error) => self.status_failed(&error),
+            Ok(version) => self.status.object_version = Some(version),
+            Err(error) => self.on_status_failure(&error),
         }
     }
 
-    fn status_failed(&mut self, error: &StoreError) {
-        log::debug!(target: "status", "{error}.");
-        self.status.object = None;
+    fn on_status_failure(&mut self, error: &StoreError) {
+        log::debug!(target: "status", "Reading or writing the status failed and is retried: {error}.");
+        self.status.object_version = None;
         let now = self.now();
-        self.status.pace.failed(now);
+        self.status.schedule.record_failure(now);
     }
 
     fn build_status(&mut self) -> Status {
         let in_force = self.in_force();
-        let Some(group) = &self.group else { unreachable!("a coordinator has a group") };
+        let Some(group) = &self.group else {
+            unreachable!("only a member of a group is its coordinator")
+        };
         let view = &group.view;
         let accepted = self.documents.version(self.service());
         Status {
@@ -178,7 +188,7 @@
         let loads: Vec<u64> = group.view.members.iter().map(|it| it.load_us_per_s).collect();
         let mean = loads.iter().sum::<u64>() as f64 / loads.len().max(1) as f64;
         let busiest = loads.iter().max().copied().unwrap_or_default() as f64;
-        let oldest_ms = unix_ms().saturating_sub(MEASURED.as_millis() as u64);
+        let oldest_ms = unix_ms().saturating_sub(MEASURE_WINDOW.as_millis() as u64);
         let moved = group
             .moves
             .iter()
@@ -188,7 +198,7 @@
         Measures {
             imbalance: if mean > 0.0 { busiest / mean } else { 1.0 },
             churn_per_minute: moved as f64 / slots.max(1) as f64,
-            unavailable_ms_max: self.status.unowned.longest(self.now()).as_millis() as u64,
+            unavailable_ms_max: self.status.unowned.longest_duration(self.now()).as_millis() as u64,
         }
     }
 }
@@ -226,7 +236,8 @@
     Some(HotKeyStatus { key_hash, owner: name })
 }
 
-/// The grants of all slots in order; none if there are too many.
+/// Returns the grants of all slots in order, or an empty list if there are more than
+/// [`GRANTS_MAX`].
 fn grants(view: &NodeView) -> Vec<GrantStatus> {
     let slots = || view.owners.iter().filter(|it| it.key_hash.is_none());
     if slots().count() > GRANTS_MAX {
--- a/crates/agent/src/forward/selector.rs
+++ b/crates/agent/src/forward/selector.rs
@@ -1,4 +1,4 @@
-//! Which instance a request is sent to.
+//! Selects the instance that a request is sent to.
 
 use std::{
     collections::HashMap,
@@ -20,28 +20,30 @@
     snapshot::{KeyRoutes, MemberRoute, Routes, ServiceRoutes},
 };
 
-/// How long one that is leaving is avoided: longer than its leaving takes to spread.
-const AVOID_LEAVING: Duration = Duration::from_secs(3);
-/// How long one that can't be reached is avoided.
-const AVOID_UNREACHABLE: Duration = Duration::from_millis(300);
+/// How long a draining instance is avoided. Longer than its new state takes to reach the routes of
+/// all agents.
+const AVOID_DRAINING_FOR: Duration = Duration::from_secs(3);
+/// How long an unreachable instance is avoided.
+const AVOID_UNREACHABLE_FOR: Duration = Duration::from_millis(300);
 
-/// The targets of one service.
+/// Selects targets for the requests of one service.
 pub(super) struct Selector {
     own: Instance,
-    selection: Arc<Mutex<Option<Selecting>>>,
-    /// Instances that take no requests for now, and until when, beside what the snapshot says.
+    selection: Arc<Mutex<Option<MemberSelection>>>,
+    /// Instances that refused requests, and until when they are avoided even if the snapshot lists
+    /// them as ready.
     avoided: Mutex<HashMap<Instance, Timestamp>>,
 }
 
 /// The selection for one list of members.
-struct Selecting {
+struct MemberSelection {
     selection: Selection,
     members: Vec<MemberRoute>,
 }
 
-/// A request counted as in flight at a target; dropped unfinished, it was cancelled.
-pub(super) struct Asking {
-    selection: Option<Arc<Mutex<Option<Selecting>>>>,
+/// A request in flight at a target. Dropping it without [`InFlight::finish`] counts as cancelled.
+pub(super) struct InFlight {
+    selection: Option<Arc<Mutex<Option<MemberSelection>>>>,
     clock: Clock,
     target: Instance,
     started: Timestamp,
@@ -52,9 +54,9 @@
         Selector { own, selection: Arc::default(), avoided: Mutex::default() }
     }
 
-    /// The next target, and what it was weighed by where there was a choice; none: nobody may take the
-    /// request at the moment.
-    pub(super) fn target(
+    /// Returns the next target, with the weights by which it was picked if there was a choice, or
+    /// `None` if no instance may currently run the request.
+    pub(super) fn select_target(
         &self,
         now: Timestamp,
         routes: &ServiceRoutes,
@@ -65,13 +67,16 @@
         let only = |instance| PickedTarget { instance, comparison: None };
         match (&routes.routes, request.key_hash) {
             _ if hint.is_some() => hint.map(only),
-            (Routes::ByKey(routes), Some(key_hash)) => by_key(routes, key_hash, tried).map(only),
+            (Routes::ByKey(routes), Some(key_hash)) => {
+                owner_or_successor(routes, key_hash, tried).map(only)
+            }
             (Routes::Any(members), None) if request.idempotent || !routes.document.resends => {
                 self.pick(now, routes, request, members, tried)
             }
-            // Whether another member may stand in for the home is for that member to say.
+            // If the designated member is avoided, another one is chosen, whose gate decides whether
+            // it may run the request.
             (Routes::Any(members), None) => {
-                let avoided = self.avoided(now);
+                let avoided = self.avoided_names(now);
                 designated_member(
                     members.iter().filter(|it| !avoided.contains(&it.instance.name)),
                     request.id,
@@ -83,24 +88,25 @@
         }
     }
 
-    /// Sends nothing more to an instance for a while, if there are others.
+    /// Avoids an instance for a while if other instances can be picked.
     pub(super) fn avoid(&self, now: Timestamp, target: &Instance, reason: NotRunReason) {
         let time = match reason {
-            NotRunReason::Draining => AVOID_LEAVING,
-            _ => AVOID_UNREACHABLE,
+            NotRunReason::Draining => AVOID_DRAINING_FOR,
+            _ => AVOID_UNREACHABLE_FOR,
         };
         let mut avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
         avoided.retain(|_, until| now < *until);
         avoided.insert(target.clone(), now + time);
     }
 
-    fn avoided(&self, now: Timestamp) -> Vec<InstanceName> {
+    fn avoided_names(&self, now: Timestamp) -> Vec<InstanceName> {
         let avoided = self.avoided.lock().unwrap_or_else(PoisonError::into_inner);
         let current = avoided.iter().filter(|(_, until)| now < **until);
         current.map(|(instance, _)| instance.name.clone()).collect()
     }
 
-    /// Two choices among the members. Counted as in flight: [`Selector::start`] must follow.
+    /// Picks one of the members and counts the request as in flight there: [`Selector::start`] must
+    /// follow.
     fn pick(
         &self,
         now: Timestamp,
@@ -109,26 +115,26 @@
         members: &[MemberRoute],
         tried: &[Instance],
     ) -> Option<PickedTarget> {
-        let mut lock = lock(&self.selection);
-        let selecting = lock.get_or_insert_with(|| {
+        let mut guard = lock_selection(&self.selection);
+        let state = guard.get_or_insert_with(|| {
             let slow_start = routes.document.upstream.warmup;
             let zone_penalty = routes.document.limits.zone_penalty;
             let config = SelectionConfig { slow_start, zone_penalty, ..SelectionConfig::default() };
             let selection = Selection::new(config, self.own.zone.clone());
-            Selecting { selection, members: Vec::new() }
+            MemberSelection { selection, members: Vec::new() }
         });
-        if !same_members(&selecting.members, members) {
-            let specs: Vec<TargetSpec> = members.iter().map(spec).collect();
-            selecting.selection.update(now, &specs);
-            selecting.members = members.to_vec();
+        if !same_members(&state.members, members) {
+            let specs: Vec<TargetSpec> = members.iter().map(target_spec).collect();
+            state.selection.update(now, &specs);
+            state.members = members.to_vec();
         }
         let mut tried: Vec<InstanceName> = tried.iter().map(|it| it.name.clone()).collect();
-        tried.extend(self.avoided(now));
+        tried.extend(self.avoided_names(now));
         let profile = RequestProfile { kind: request.kind, objective: request.objective };
-        selecting.selection.pick(now, profile, &tried, &mut rand::rng())
+        state.selection.pick(now, profile, &tried, &mut rand::rng())
     }
 
-    /// Takes in what a gate says of its load.
+    /// Records the load that a gate reported with its reply.
     pub(super) fn report(
         &self,
         now: Timestamp,
@@ -142,11 +148,13 @@
             service_time: Duration::from_micros(load.service_us),
             kind_service_time: kind.zip(load.kind_us.map(Duration::from_micros)),
         };
-        if let Some(selecting) = &mut *lock(&self.selection) {
-            selecting.selection.report(now, target, report);
+        if let Some(state) = &mut *lock_selection(&self.selection) {
+            state.selection.report(now, target, report);
         }
     }
 
+    /// Starts tracking a request that is sent to a target. Its result is recorded in the selection
+    /// if the target was picked from there.
     pub(super) fn start(
         &self,
         now: Timestamp,
@@ -154,11 +162,11 @@
         target: &Instance,
         routes: &ServiceRoutes,
         request: &GateRequest,
-    ) -> Asking {
-        let free = request.idempotent || !routes.document.resends;
-        let picked = matches!(routes.routes, Routes::Any(_)) && free;
-        Asking {
-            selection: picked.then(|| Arc::clone(&self.selection)),
+    ) -> InFlight {
+        let may_run_anywhere = request.idempotent || !routes.document.resends;
+        let is_picked = matches!(routes.routes, Routes::Any(_)) && may_run_anywhere;
+        InFlight {
+            selection: is_picked.then(|| Arc::clone(&self.selection)),
             clock,
             target: target.clone(),
             started: now,
@@ -166,7 +174,8 @@
     }
 }
 
-impl Asking {
+impl InFlight {
+    /// Records the outcome of the request.
     pub(super) fn finish(mut self, outcome: Outcome) {
         let result = match outcome {
             Outcome::Answered => TargetResult::Answered,
@@ -182,20 +191,22 @@
     fn end(&mut self, result: TargetResult) {
         let Some(selection) = self.selection.take() else { return };
         let now = self.clock.now();
-        if let Some(selecting) = &mut *lock(&selection) {
+        if let Some(state) = &mut *lock_selection(&selection) {
             let taken = now.since(self.started);
-            selecting.selection.finish(now, &self.target, taken, result);
+            state.selection.finish(now, &self.target, taken, result);
         }
     }
 }
 
-impl Drop for Asking {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.end(TargetResult::Cancelled);
     }
 }
 
-fn lock(selection: &Mutex<Option<Selecting>>) -> MutexGuard<'_, Option<Selecting>> {
+fn lock_selection(
+    selection: &Mutex<Option<MemberSelection>>,
+) -> MutexGuard<'_, Option<MemberSelection>> {
     selection.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -204,7 +215,7 @@
         && a.iter().zip(b).all(|(a, b)| a.instance == b.instance && a.state == b.state)
 }
 
-fn spec(member: &MemberRoute) -> TargetSpec {
+fn target_spec(member: &MemberRoute) -> TargetSpec {
     let state = match member.state {
         UpstreamState::Ready => TargetState::Ready,
         _ => TargetState::Closed,
@@ -212,15 +223,19 @@
     TargetSpec { instance: member.instance.clone(), state, hint: HealthHint::default() }
 }
 
-/// The owner, or whoever follows it once it could not be reached.
-fn by_key(routes: &KeyRoutes, key_hash: KeyHash, tried: &[Instance]) -> Option<Instance> {
+/// Returns the owner of a key, or its first untried successor if the owner has been tried.
+fn owner_or_successor(
+    routes: &KeyRoutes,
+    key_hash: KeyHash,
+    tried: &[Instance],
+) -> Option<Instance> {
     let route = routes.route(key_hash);
     let mut all = route.owner.iter().chain(&route.successors);
     all.find(|it| !tried.contains(it)).or(route.owner.as_ref()).cloned()
 }
 
-/// The one member that may run a request that is not idempotent: the same for all agents that
-/// know the same members, so that a resend finds the record of its first sending.
+/// Returns the only member that may run a non-idempotent request. Agents with the same list of
+/// members choose the same one, so that a resend finds the record of the first sending there.
 pub(crate) fn designated_member<'a>(
     members: impl IntoIterator<Item = &'a MemberRoute>,
     id: RequestId,
