--- a/crates/agent/src/gate/admission_queue.rs
+++ b/crates/agent/src/gate/admission_queue.rs
@@ -26,7 +26,7 @@
 
 /// Expected service time of a request until some have been measured.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
-/// Number of mean deviations above the mean service time that a request is given to run.
+/// Number of mean deviations above the mean service time that are reserved for a request to run.
 const SERVICE_TIME_DEVIATIONS: f64 = 4.0;
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
@@ -36,9 +36,9 @@
     clock: Clock,
     classes: HashMap<ClassName, ClassIndex>,
     state: Mutex<QueueState>,
-    /// Notifies the expiry task that a request has been queued.
+    /// Notification of the expiry task that a request has been queued.
     queued: Arc<Notify>,
-    ticker: Mutex<Option<AbortHandle>>,
+    expiry_task: Mutex<Option<AbortHandle>>,
 }
 
 #[derive(Debug)]
@@ -52,8 +52,8 @@
 /// Result of offering a request to the queue.
 #[derive(Debug)]
 pub(crate) enum AdmissionDecision {
-    Go(Permit),
-    Wait(QueuedRequest),
+    Admitted(Permit),
+    Queued(QueuedRequest),
     Refused { reason: NotRunReason, retry_after: Option<Duration> },
 }
 
@@ -109,11 +109,12 @@
                 decisions: Vec::new(),
             }),
             queued: Arc::default(),
-            ticker: Mutex::default(),
+            expiry_task: Mutex::default(),
         });
         let task =
             tokio::spawn(expire_queued(Arc::downgrade(&queue), Arc::clone(&queue.queued), clock));
-        *queue.ticker.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
+        *queue.expiry_task.lock().unwrap_or_else(PoisonError::into_inner) =
+            Some(task.abort_handle());
         queue
     }
 
@@ -149,7 +150,7 @@
                 state.waiting.insert(ticket, sender);
                 drop(lock);
                 self.queued.notify_one();
-                AdmissionDecision::Wait(QueuedRequest {
+                AdmissionDecision::Queued(QueuedRequest {
                     queue: Arc::clone(self),
                     ticket,
                     verdict,
@@ -180,7 +181,7 @@
         verdict: Verdict,
     ) -> AdmissionDecision {
         match verdict {
-            Verdict::Start => AdmissionDecision::Go(Permit {
+            Verdict::Start => AdmissionDecision::Admitted(Permit {
                 queue: Arc::clone(self),
                 ticket,
                 completion: Completion::NotSent,
@@ -259,9 +260,9 @@
 
 impl Drop for AdmissionQueue {
     fn drop(&mut self) {
-        let ticker = self.ticker.get_mut().unwrap_or_else(PoisonError::into_inner);
-        if let Some(ticker) = ticker {
-            ticker.abort();
+        let expiry_task = self.expiry_task.get_mut().unwrap_or_else(PoisonError::into_inner);
+        if let Some(expiry_task) = expiry_task {
+            expiry_task.abort();
         }
     }
 }
--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -62,7 +62,7 @@
 }
 
 impl BoundUpstream {
-    /// Whether this is the incarnation of the upstream that sent the announcement.
+    /// Returns whether this is the incarnation of the upstream that sent the announcement.
     fn is_same_upstream(&self, announcement: &Announcement) -> bool {
         self.announcement.address == announcement.address
             && self.announcement.is_same_incarnation(announcement)
@@ -73,27 +73,27 @@
         (self.announcement.upstream_id.clone(), self.announcement.born_ms)
     }
 
-    /// Whether the client can be reused under the other document.
+    /// Returns whether the client can be reused under the other document.
     fn has_same_client(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits.body_bytes_max == document.limits.body_bytes_max
     }
 
-    /// Whether the queue can be reused under the other document, so that running requests remain
-    /// counted.
+    /// Returns whether the queue can be reused under the other document, so that running requests
+    /// remain counted.
     fn has_same_queue(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits == document.limits
             && self.document.classes == document.classes
     }
 
-    /// Whether new requests are refused. They are still accepted during the first half of the drain
-    /// time, since it takes a while for all peers to learn that this instance is leaving.
+    /// Returns whether new requests are refused. They are still accepted during the first half of
+    /// the drain time, since it takes a while for all peers to learn that this instance is leaving.
     pub(crate) fn refuses_work(&self, now: Timestamp) -> bool {
         self.drain.is_some_and(|it| now >= it.refuses_at)
     }
 
-    /// Whether no request may reach the upstream any longer, including queued ones.
+    /// Returns whether no request may reach the upstream any longer, including queued ones.
     pub(crate) fn is_closed(&self, now: Timestamp) -> bool {
         self.drain.is_some_and(|it| now >= it.closed_at)
     }
@@ -181,7 +181,8 @@
     }
 }
 
-/// Whether a new queue is needed: the queue of an upstream that was drained or lost is not reused.
+/// Returns whether a new queue is needed: the queue of an upstream that was drained or lost is not
+/// reused.
 fn needs_new_queue(former: &BoundUpstream, local: &LocalUpstream) -> bool {
     let was_unavailable =
         former.drain.is_some() || former.announcement.state == UpstreamState::Lost;
--- a/crates/agent/src/gate/crash/mod.rs
+++ b/crates/agent/src/gate/crash/mod.rs
@@ -23,7 +23,7 @@
 /// All connections of an upstream that crashes are lost within this time of each other. Runs
 /// abandoned within this time before the loss may have been in flight as well.
 const SIMULTANEOUS_LOSS_WINDOW: Duration = Duration::from_millis(250);
-/// Number of runs without an answer that are kept for the case that the upstream has crashed.
+/// Highest number of runs without an answer that are kept in case the upstream has crashed.
 const UNANSWERED_MAX: usize = 1024;
 /// Delays after a lost connection before the upstream's address is probed; the other connections
 /// are lost by then.
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub(super) struct UnansweredRuns {
     state: Mutex<State>,
-    /// Notifies of a lost connection.
+    /// Notification of a lost connection.
     connection_lost: Notify,
 }
 
@@ -56,7 +56,7 @@
     end: RunEnd,
 }
 
-/// The known end of a run.
+/// The end of a run, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RunEnd {
     Answered,
--- a/crates/agent/src/gate/handle.rs
+++ b/crates/agent/src/gate/handle.rs
@@ -24,26 +24,26 @@
         token: Token,
         successor: Option<Instance>,
     },
-    /// Lets all grants of the upstream expire.
+    /// The lease of this agent has ended; all grants of the upstream are left to expire.
     DropAll,
-    /// Releases the upstream's grants of earlier sessions or incarnations of this agent.
+    /// Release of the grants that earlier sessions or incarnations of this agent made.
     Clear {
         token: Token,
     },
-    /// Sends a grant to the upstream.
+    /// A grant that is to be sent to the upstream.
     Grant {
         slot: Slot,
         token: Token,
     },
 }
 
-/// Controls what the gate admits. None of its methods blocks.
+/// Handle by which control sets what the gate admits. None of its methods blocks.
 #[derive(Debug, Clone)]
 pub struct GateHandle {
     pub(crate) clock: Clock,
     pub(crate) table: Arc<GateTable>,
     pub(crate) load: Arc<LoadTable>,
-    /// Limits the requests that the upstream gets while it is cold. An incarnation that follows
+    /// Limit on the requests that the upstream gets while it is cold. An incarnation that follows
     /// another is counted as having received the requests of its predecessor.
     pub(crate) warmup: SharedWarmup,
     tasks: mpsc::UnboundedSender<GateTask>,
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -119,8 +119,8 @@
         self.leases.lock().has_pending_changes(self.clock.now(), lease_until)
     }
 
-    /// Reports the effects of an announcement to control, and transfers handover tokens to the gates
-    /// of the next owners.
+    /// Reports the effects of an announcement to control, and transfers handover tokens to the
+    /// gates of the next owners.
     async fn apply_effects(
         self: &Arc<Gate>,
         bound: &Arc<BoundUpstream>,
--- a/crates/agent/src/gate/leases/exchange.rs
+++ b/crates/agent/src/gate/leases/exchange.rs
@@ -134,8 +134,8 @@
 }
 
 impl SlotLeases {
-    /// Whether an announcement is newer than all those applied so far; late and duplicate ones are
-    /// not. Records its sequence number.
+    /// Returns whether an announcement is newer than all those applied so far; late and duplicate
+    /// ones are not. Records its sequence number.
     pub(super) fn accept_sequence(&mut self, sequence: u64) -> bool {
         let is_newer = sequence > self.exchange.sequence;
         self.exchange.sequence = self.exchange.sequence.max(sequence);
@@ -180,7 +180,7 @@
         effects
     }
 
-    /// Whether the upstream holds, or runs requests on, slots that it is to release.
+    /// Returns whether the upstream holds, or runs requests on, slots that it is to release.
     fn holds_unwanted_slots(&self, announced: &AnnouncedSlots) -> bool {
         let is_kept = |slot: u16, token| {
             let lease = self.slots.get(&Slot(slot));
@@ -192,7 +192,7 @@
             .any(|it| (it.first.0..=it.last.0).any(|slot| !is_kept(slot, it.token)))
     }
 
-    /// Whether a change is pending that the next answer should carry at once.
+    /// Returns whether a change is pending that the next answer should carry at once.
     pub(super) fn has_pending_changes(&self, now: Timestamp, lease_until: Timestamp) -> bool {
         if let Some(clearing) = &self.clearing {
             return !clearing.is_sent;
@@ -268,7 +268,7 @@
         (ranges, deferred)
     }
 
-    /// Whether no answer has granted any of these slots.
+    /// Returns whether no answer has granted any of these slots.
     fn is_never_granted(&self, range: SlotRange) -> bool {
         !self.slots.range(range.first..=range.last).any(|it| it.1.answer_state.is_granted)
     }
@@ -303,7 +303,7 @@
 }
 
 impl SlotLease {
-    /// Whether the upstream has had the time to read the answer that granted the slot.
+    /// Returns whether the upstream has had the time to read the answer that granted the slot.
     pub(super) fn is_grant_read(&self, now: Timestamp) -> bool {
         now >= self.answer_state.usable_from
     }
@@ -325,8 +325,9 @@
         answer_state.ineffective_grants
     }
 
-    /// Whether the upstream has released the slot for good, given that its announcement does not
-    /// show it. An answer that granted the slot may still be in flight unless its effect was seen.
+    /// Returns whether the upstream has released the slot for good, given that its announcement
+    /// does not show it. An answer that granted the slot may still be in flight unless its effect
+    /// was seen.
     fn is_released(&self, now: Timestamp) -> bool {
         let is_revoked = self.answer_state.is_omitted || self.held_until <= now;
         let is_settled = self.answer_state.is_confirmed || self.answer_state.effective_until <= now;
--- a/crates/agent/src/gate/leases/mod.rs
+++ b/crates/agent/src/gate/leases/mod.rs
@@ -33,11 +33,11 @@
 #[derive(Debug)]
 pub(super) struct Leases {
     slot_leases: Mutex<SlotLeases>,
-    /// Wakes the task that reconciles the leases.
+    /// Wake-up of the task that reconciles the leases.
     wakeup: Notify,
-    /// Notifies of slots that have become usable.
+    /// Notification of slots that have become usable.
     usable_changes: watch::Sender<()>,
-    /// Notifies of changes that the answer to an open announcement may have to contain.
+    /// Notification of changes that the answer to an open announcement may have to contain.
     pending_changes: watch::Sender<()>,
     /// Sequence number of the last announcement applied.
     latest_sequence: watch::Sender<u64>,
--- a/crates/agent/src/gate/leases/slot_leases.rs
+++ b/crates/agent/src/gate/leases/slot_leases.rs
@@ -45,13 +45,13 @@
         hold: Duration,
         handover: Option<HandoverToken>,
     },
-    /// Releases the keys of a range, which `successor` takes over if there is one.
+    /// Release of the keys of a range; `successor` takes them over, if there is one.
     Release {
         range: SlotRange,
         successor: Option<Instance>,
         wait_max: Duration,
     },
-    /// Releases all keys granted under tokens up to and including this one.
+    /// Release of all keys granted under tokens up to and including this one.
     Clear {
         token: Token,
     },
@@ -130,9 +130,9 @@
 /// Incarnation of an upstream: its id and its start time in milliseconds on its wall clock.
 pub(in crate::gate) type UpstreamIncarnation = (Option<UpstreamId>, Option<u64>);
 
-/// A pending release of all grants that earlier sessions or incarnations of this agent made. Nothing
-/// is granted before it has ended, because a release that arrives after a grant could undo the
-/// grant.
+/// A pending release of all grants that earlier sessions or incarnations of this agent made.
+/// Nothing is granted before it has ended, because a release that arrives after a grant could undo
+/// the grant.
 #[derive(Debug)]
 pub(super) struct Clearing {
     pub(super) token: Token,
@@ -249,7 +249,7 @@
         self.handovers.iter().rev().find(applies).map(|it| Arc::clone(&it.handover))
     }
 
-    /// Whether requests for a slot may be sent to the upstream.
+    /// Returns whether requests for a slot may be sent to the upstream.
     pub(super) fn is_usable(&self, now: Timestamp, slot: Slot) -> bool {
         let lease = self.slots.get(&slot);
         lease.is_some_and(|it| {
@@ -371,13 +371,13 @@
 }
 
 impl SlotLease {
-    /// Latest time until which unanswered grants, including the one in flight, may make the
-    /// upstream hold the slot.
+    /// Returns the latest time until which unanswered grants, including the one in flight, may make
+    /// the upstream hold the slot.
     fn unanswered_until(&self) -> Timestamp {
         self.unanswered_until.max(self.grant_in_flight_until.unwrap_or_default())
     }
 
-    /// Whether no grant of the slot has been sent or accepted.
+    /// Returns whether no grant of the slot has been sent or accepted.
     fn is_never_requested(&self) -> bool {
         self.usable_until == Timestamp::ZERO && self.grant_in_flight_until.is_none()
     }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -56,7 +56,7 @@
 pub use handle::GateHandle;
 pub(crate) use handle::GateTask;
 
-/// Creates the client of an upstream.
+/// Constructor of the client of an upstream.
 pub type Connect =
     Box<dyn Fn(&Announcement, &ServiceDocument) -> anyhow::Result<Arc<dyn Upstream>> + Send + Sync>;
 
@@ -91,8 +91,8 @@
     upstream_runs: UpstreamRuns,
     unanswered: UnansweredRuns,
     quarantine: Arc<SharedQuarantine>,
-    /// Allows one suspect request at a time, so that a crash of the upstream can be attributed to
-    /// it.
+    /// Permit for running a suspect request. There is only one, so that a crash of the upstream can
+    /// be attributed to that request.
     suspect_permit: Semaphore,
     links: OnceLock<TrafficLinks>,
     /// When the upstream last answered, on the process's clock, in nanoseconds.
@@ -147,7 +147,7 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Whether no new work reaches the upstream, which is also the case if there is none.
+    /// Returns whether no new work reaches the upstream, which is also the case if there is none.
     pub(crate) fn refuses_work(&self) -> bool {
         self.bound
             .load()
@@ -223,7 +223,7 @@
     }
 }
 
-/// Removes a request from the count of those in flight, however it ends.
+/// Guard that removes a request from the count of those in flight, however it ends.
 struct InFlightGuard(Arc<Gate>);
 
 impl Drop for InFlightGuard {
--- a/crates/agent/src/gate/records.rs
+++ b/crates/agent/src/gate/records.rs
@@ -23,9 +23,9 @@
 
 /// An answer kept for resends; clones share it.
 #[derive(Debug, Clone)]
-struct Kept(Arc<Answer>);
+struct SharedAnswer(Arc<Answer>);
 
-impl traffic::Answer for Kept {
+impl traffic::Answer for SharedAnswer {
     fn size_bytes(&self) -> usize {
         let headers = self.0.headers.iter();
         self.0.body.len()
@@ -44,14 +44,13 @@
 
 #[derive(Debug)]
 struct RecordTables {
-    records: Records<Kept>,
+    records: Records<SharedAnswer>,
     units: HashMap<RecordUnit, TableOrigin>,
     /// Keys that have returned to their slot and whose records have been merged, with the time of
     /// return.
     merged: HashSet<(KeyHash, Timestamp)>,
     attached: HashMap<RunningRequest, Vec<oneshot::Sender<GateReply>>>,
-    /// Increases with each table that is opened, so that a table can't be mistaken for an earlier
-    /// one.
+    /// Number of the last table opened, by which a table is told apart from earlier ones.
     epoch: u64,
 }
 
@@ -79,7 +78,7 @@
 pub(crate) struct RequestRecords {
     tables: Mutex<RecordTables>,
     /// Highest age that handed-over records may have when the grant takes effect; shorter than the
-    /// time in which another owner could hold the unit in between.
+    /// time that another owner would need to acquire and lose the unit in between.
     import_age_max: Duration,
 }
 
@@ -118,7 +117,9 @@
                 tables.attached.entry(running).or_default().push(sender);
                 RecordLookup::Attach(receiver)
             }
-            BeginResult::Replay(Kept(answer)) => RecordLookup::Replay(Answer::clone(&answer)),
+            BeginResult::Replay(SharedAnswer(answer)) => {
+                RecordLookup::Replay(Answer::clone(&answer))
+            }
             BeginResult::Unknown(reason) => RecordLookup::Unknown(reason),
             BeginResult::NoRecord => RecordLookup::Unknown(UnknownReason::NoRecord),
             BeginResult::Full => RecordLookup::Full,
@@ -136,7 +137,7 @@
         match (reply, reply.outcome()) {
             _ if !is_current => {}
             (GateReply::Answered(answer), _) => {
-                tables.records.finish(now, unit, id, Kept(Arc::new(answer.clone())));
+                tables.records.finish(now, unit, id, SharedAnswer(Arc::new(answer.clone())));
             }
             (_, Outcome::Unknown(reason)) => {
                 tables.records.finish_unknown(now, unit, id, reason);
@@ -166,7 +167,7 @@
             }
             (None, RecordUnit::Slot(_)) => None,
         }?;
-        let records = map_answers(records, |Kept(answer)| {
+        let records = map_answers(records, |SharedAnswer(answer)| {
             Ok(KeptAnswer {
                 status: answer.status.as_u16(),
                 headers: headers_to_wire(&answer.headers),
@@ -186,7 +187,7 @@
         let records: UnitRecords<KeptAnswer> = wire::decode(records)?;
         let records = map_answers(records, |it| {
             let answer = answer_from_parts(it.status, &it.headers, it.body)?;
-            Ok(Kept(Arc::new(answer)))
+            Ok(SharedAnswer(Arc::new(answer)))
         })?;
         let tables = &mut *self.tables();
         if tables.units.remove(&unit).is_some() {
@@ -198,7 +199,7 @@
     }
 
     /// Removes records that have been kept long enough.
-    pub(crate) fn tick(&self, now: Timestamp) {
+    pub(crate) fn remove_expired(&self, now: Timestamp) {
         self.tables().records.tick(now);
     }
 }
@@ -236,7 +237,7 @@
             }
             _ => {
                 self.records.export(now, unit);
-                match self.slot_held_without_gap(table, unit, key.slot) {
+                match self.uninterrupted_slot(table, unit, key.slot) {
                     Some(slot) => self.split(now, unit, slot, key.key_hash),
                     None => self.records.open(grant.since, unit),
                 }
@@ -255,8 +256,9 @@
         self.epoch
     }
 
-    /// Returns the slot that a key has followed so far, if this gate has held it without a gap.
-    fn slot_held_without_gap(
+    /// Returns the slot that a key has followed so far, if this gate has held it without
+    /// interruption.
+    fn uninterrupted_slot(
         &self,
         table: &GateTable,
         unit: RecordUnit,
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -136,13 +136,13 @@
         context.run_at_most_once(now, &admittance, key, caller).await
     }
 
-    /// Whether a resend may have run before, at a member that has since left the service.
+    /// Returns whether a resend may have run before, at a member that has since left the service.
     fn may_have_run_elsewhere(&self, bound: &BoundUpstream, now: Timestamp, age: Duration) -> bool {
         let settled_at = self.members_changed_at() + MEMBERS_SKEW_MAX;
         !bound.document.keyed && !age.is_zero() && now - age < settled_at
     }
 
-    /// The member that keeps the record of a non-idempotent request, if it is not this one.
+    /// Returns the member that keeps the record of a non-idempotent request, if it is not this one.
     fn other_designated_member(
         &self,
         bound: &BoundUpstream,
@@ -180,9 +180,9 @@
 
     /// Reports an upstream that refuses connections as lost, if its health is not probed. Its next
     /// announcement makes it available again.
-    fn note_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
-        let unreachable = matches!(error, CallError::NotSent { .. });
-        if unreachable && !bound.upstream.is_asked_for_health() {
+    fn report_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
+        let is_unreachable = matches!(error, CallError::NotSent { .. });
+        if is_unreachable && !bound.upstream.is_asked_for_health() {
             self.reporter.hint(Report::Upstream(UpstreamState::Lost));
         }
     }
@@ -215,18 +215,18 @@
         let running = match records.begin(now, &gate.handle.table, admittance, key) {
             RecordLookup::Run(running) => running,
             RecordLookup::Attach(reply) => {
-                let left = self.deadline.since(now);
-                // Not counted as in flight, since the first sending is.
+                let remaining = self.deadline.since(now);
+                // Not counted as in flight, since the first attempt already is.
                 drop(self);
-                return match timeout(left, reply).await {
+                return match timeout(remaining, reply).await {
                     Ok(Ok(reply)) => reply,
                     Ok(Err(_)) => GateReply::unknown(UnknownReason::NoRecord),
                     Err(_) => GateReply::unknown(UnknownReason::DeadlineExceeded),
                 };
             }
             RecordLookup::Replay(answer) => return GateReply::Answered(answer),
-            // The owner changed while ingress held a first sending. This sending has not run, and a
-            // caller that still waits for it has not sent another one.
+            // The owner changed while ingress held a first attempt. This attempt has not run, and a
+            // caller that still waits for it has not made another one.
             RecordLookup::Unknown(UnknownReason::NoRecord) if self.request.age.is_zero() => {
                 return GateReply::not_run(NotRunReason::NoOwner);
             }
@@ -260,7 +260,7 @@
 
     /// Sends the request to the upstream, or returns the reply that states why it was not sent.
     async fn admit_and_send(&self, caller: &mut Caller) -> Result<GateReply, Box<GateReply>> {
-        let _alone = self
+        let _suspect_permit = self
             .acquire_suspect_permit(caller)
             .await
             .inspect_err(|it| self.record_refused_load(it))?;
@@ -270,7 +270,8 @@
         Ok(self.send(permit, clearance).await)
     }
 
-    /// Waits until no other request is running that an upstream may have crashed on.
+    /// Waits until no other suspect request is running, if an upstream may have crashed on this
+    /// one.
     async fn acquire_suspect_permit(
         &self,
         caller: &mut Caller,
@@ -281,14 +282,15 @@
             QuarantineStatus::Quarantined => return Err(quarantined_reply()),
         }
         let until = self.gate.clock.instant(self.queue_until().0);
-        let alone = timeout_at(until, self.gate.suspect_permit.acquire());
-        match self.wait_while_admitted(alone, caller).await? {
+        let acquired = timeout_at(until, self.gate.suspect_permit.acquire());
+        match self.wait_while_admitted(acquired, caller).await? {
             Ok(permit) => Ok(permit.ok()),
             Err(_) => Err(Box::new(GateReply::not_run(NotRunReason::Overloaded))),
         }
     }
 
-    /// The route of the document that matches the request; it selects the expected service time.
+    /// Returns the route of the document that matches the request; it selects the expected service
+    /// time.
     fn route(&self) -> Option<RouteIndex> {
         if let Some(kind) = self.request.kind {
             return Some(RouteIndex(kind.into()));
@@ -304,8 +306,8 @@
         Some(RouteIndex(found.index))
     }
 
-    /// Latest time until which the request waits for a slot, and whether its answer can still meet
-    /// the objective by then. A request that can no longer meet it, as after a first attempt
+    /// Returns the time until which the request waits for a slot, and whether its answer can still
+    /// meet the objective by then. A request that can no longer meet it, as after a first attempt
     /// elsewhere or a refusal, only gets capacity that timely requests leave unused.
     fn queue_until(&self) -> (Timestamp, Timeliness) {
         let class = self.bound.document.classes.iter().find(|it| it.name == self.request.class);
@@ -314,15 +316,17 @@
             return (self.deadline, Timeliness::InTime);
         };
         let now = self.gate.clock.now();
-        let left = self.deadline.since(now);
+        let remaining = self.deadline.since(now);
         let expected = || self.bound.queue.expected_service_time(&self.request.class, self.route());
         let (queue_time, timeliness) = match self.request.has_come_back {
-            _ if objective.is_zero() => (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late),
+            _ if objective.is_zero() => {
+                (remaining.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late)
+            }
             true if objective < expected() => {
-                (left.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late)
+                (remaining.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late)
             }
             true => (objective, Timeliness::InTime),
-            false => (objective.max(left.mul_f64(QUEUE_TIME_SHARE_MIN)), Timeliness::InTime),
+            false => (objective.max(remaining.mul_f64(QUEUE_TIME_SHARE_MIN)), Timeliness::InTime),
         };
         (self.deadline.min(now + queue_time), timeliness)
     }
@@ -330,12 +334,12 @@
     /// Waits for a slot of the upstream.
     async fn wait_for_slot(&self, caller: &mut Caller) -> Result<Permit, Box<GateReply>> {
         let (until, timeliness) = self.queue_until();
-        let offer = self.bound.queue.offer(&self.request.class, self.route(), until, timeliness);
-        let place = match offer {
-            AdmissionDecision::Wait(place) => place,
-            verdict => return into_permit(verdict),
+        let decision = self.bound.queue.offer(&self.request.class, self.route(), until, timeliness);
+        let queued = match decision {
+            AdmissionDecision::Queued(queued) => queued,
+            decision => return into_permit(decision),
         };
-        into_permit(self.wait_while_admitted(place.wait(), caller).await?)
+        into_permit(self.wait_while_admitted(queued.wait(), caller).await?)
     }
 
     /// Waits for `wait` to complete, while the caller is connected and the key is admitted.
@@ -372,8 +376,8 @@
             return Err(Box::new(GateReply::not_run(NotRunReason::Draining)));
         }
         let Some(entry) = &self.entry else { return Ok(None) };
-        let leased = self.bound.upstream.key_leases().are_enforced();
-        if leased && !self.gate.leases.is_usable(now, entry.slot()) {
+        let enforces_leases = self.bound.upstream.key_leases().are_enforced();
+        if enforces_leases && !self.gate.leases.is_usable(now, entry.slot()) {
             return Err(Box::new(GateReply::not_run(NotRunReason::NoOwner)));
         }
         match entry.check_clearance(now) {
@@ -385,7 +389,7 @@
         }
     }
 
-    /// Latest time until which the upstream may run the request.
+    /// Returns the latest time until which the upstream may run the request.
     fn upstream_deadline(&self, clearance: Option<&Clearance>) -> Timestamp {
         match (clearance, fence_check(self.bound)) {
             (Some(it), FenceCheck::Unchecked) => self.deadline.min(it.lease_until - LEASE_MARGIN),
@@ -404,8 +408,8 @@
         })
     }
 
-    /// The slot and key to which the load of the request is added. There is no slot if the key is
-    /// owned separately from its slot.
+    /// Returns the slot and key to which the load of the request is added. There is no slot if the
+    /// key is owned separately from its slot.
     fn load_key(&self) -> Option<(Option<Slot>, KeyHash)> {
         let (key_hash, entry) = (self.request.key_hash?, self.entry.as_ref()?);
         let in_slot = matches!(entry.admittance.unit, RecordUnit::Slot(_));
@@ -454,7 +458,7 @@
             remaining,
             bounds: self.clock_bounds(clearance.as_ref(), until),
         });
-        let cancel_guard = CancelGuard { context: self, armed: true };
+        let cancel_guard = CancelGuard { context: self, is_armed: true };
         let result = self.wait_for_end(call, until).await;
         cancel_guard.disarm();
         if result.has_ended_run() {
@@ -484,7 +488,7 @@
             }
             CallEnd::Failed(error) => {
                 log::debug!(target: "gate", "A request to the upstream failed: {error}.");
-                gate.note_unreachable(self.bound, &error);
+                gate.report_unreachable(self.bound, &error);
                 if !matches!(error, CallError::NotSent { .. } | CallError::Lost { .. }) {
                     gate.record_response(ended);
                 }
@@ -523,26 +527,27 @@
 
     fn must_abandon(&self) -> bool {
         let Some(entry) = &self.entry else { return false };
-        let dropped = entry.is_dropped() && fence_check(self.bound) == FenceCheck::Unchecked;
-        dropped || entry.is_stopped()
+        let is_dropped = entry.is_dropped() && fence_check(self.bound) == FenceCheck::Unchecked;
+        is_dropped || entry.is_stopped()
     }
 }
 
-/// Cancels a request at the upstream when the task that waits for it is dropped with its caller.
+/// Guard that cancels a request at the upstream when the task that waits for it is dropped with its
+/// caller.
 struct CancelGuard<'a> {
     context: &'a RequestContext<'a>,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl CancelGuard<'_> {
     fn disarm(mut self) {
-        self.armed = false;
+        self.is_armed = false;
     }
 }
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        if self.armed {
+        if self.is_armed {
             let RequestContext { gate, bound, request, .. } = self.context;
             gate.cancel_upstream(&bound.upstream, request.id);
         }
@@ -569,7 +574,7 @@
         }
     }
 
-    /// Whether the upstream is known to have stopped running the request.
+    /// Returns whether the upstream is known to have stopped running the request.
     fn has_ended_run(&self) -> bool {
         match self {
             CallEnd::Answered(_)
@@ -580,24 +585,26 @@
     }
 }
 
-/// The age of the request for its record: the age that the caller states, and the time spent in
-/// this system.
+/// Returns the age of the request for its record: the age that the caller states, plus the time
+/// spent in this system.
 fn record_age(request: &GateRequest) -> Duration {
     request.age + request.held
 }
 
-/// Whether the answer states that the upstream timed out at its deadline.
+/// Returns whether the answer states that the upstream timed out at its deadline.
 fn is_upstream_timeout(answer: &upstream::Answer, ended: Timestamp, until: Timestamp) -> bool {
     answer.status == StatusCode::GATEWAY_TIMEOUT && ended + UPSTREAM_TIMEOUT_MARGIN >= until
 }
 
-fn into_permit(verdict: AdmissionDecision) -> Result<Permit, Box<GateReply>> {
-    match verdict {
-        AdmissionDecision::Go(permit) => Ok(permit),
+fn into_permit(decision: AdmissionDecision) -> Result<Permit, Box<GateReply>> {
+    match decision {
+        AdmissionDecision::Admitted(permit) => Ok(permit),
         AdmissionDecision::Refused { reason, retry_after } => {
             Err(Box::new(refusal_reply(reason, retry_after)))
         }
-        AdmissionDecision::Wait(_) => unreachable!("a request that has waited is not queued again"),
+        AdmissionDecision::Queued(_) => {
+            unreachable!("a request that has waited is not queued again")
+        }
     }
 }
 
@@ -606,7 +613,8 @@
     if bound.upstream.key_leases().are_enforced() {
         return FenceCheck::Checked;
     }
-    // Both must declare the check, because the team is accountable for the document.
+    // Both must declare the check: the announcement alone does not bind the team, which is
+    // accountable for the document.
     match bound.document.upstream.checks_fence && bound.announcement.checks_fence {
         true => FenceCheck::Checked,
         false => FenceCheck::Unchecked,
--- a/crates/agent/src/gate/table.rs
+++ b/crates/agent/src/gate/table.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Grant {
     pub(crate) token: Token,
-    /// Token of the first grant since which the slot or key has been held without a gap.
+    /// Token of the first grant of the current uninterrupted hold.
     pub(crate) first_token: Token,
     pub(crate) since: Timestamp,
 }
@@ -54,6 +54,7 @@
     keys: HashMap<KeyHash, Grant>,
     /// Keys that are refused even if their slot is admitted, with their owners.
     excluded_keys: HashMap<KeyHash, Option<Instance>>,
+    /// Times at which keys returned to their slot.
     returned_at: HashMap<KeyHash, Timestamp>,
     /// Highest tokens of keys that were owned separately from their slot.
     fence_floors: HashMap<KeyHash, Token>,
@@ -139,11 +140,11 @@
     stopped: Mutex<HashSet<RecordUnit>>,
     /// Number of times that the whole admitted set was dropped.
     drop_count: AtomicU64,
-    /// Changes with every command except a lease renewal.
+    /// Counter that changes with every command except a lease renewal.
     changes: watch::Sender<u64>,
 }
 
-/// A request in flight through the gate. Closing its unit can't finish while the entry lives.
+/// A request in flight through the gate. Its unit can't finish closing while the entry exists.
 #[derive(Debug)]
 pub(crate) struct Entry {
     table: Arc<GateTable>,
@@ -180,14 +181,14 @@
         Ok(Clearance { token: now_admitted.fence, checked_at: now, lease_until: until })
     }
 
-    /// Whether the request must end at once, because its unit is being closed and the time for the
-    /// handover is over.
+    /// Returns whether the request must end at once, because its unit is being closed and the time
+    /// for the handover is over.
     pub(crate) fn is_stopped(&self) -> bool {
         let stopped = self.table.stopped.lock().unwrap_or_else(PoisonError::into_inner);
         stopped.contains(&self.admittance.unit) || stopped.contains(&RecordUnit::Key(self.key_hash))
     }
 
-    /// Whether the gate has dropped the whole admitted set since the request entered.
+    /// Returns whether the gate has dropped the whole admitted set since the request entered.
     pub(crate) fn is_dropped(&self) -> bool {
         self.table.drop_count.load(Ordering::SeqCst) != self.drop_count
     }
@@ -265,7 +266,7 @@
         self.admitted.load().admittance(slot, key_hash)
     }
 
-    /// Whether a slot has been held without a gap since this token.
+    /// Returns whether a slot has been held without interruption since the grant under this token.
     pub(crate) fn holds_slot(&self, slot: Slot, first_token: Token) -> bool {
         self.admitted.load().slots.get(&slot).is_some_and(|it| it.first_token == first_token)
     }
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -47,7 +47,7 @@
             }
             _ = changes.changed() => gate.rebind(),
             _ = tick.tick() => if let Some(records) = gate.records.get() {
-                records.tick(gate.clock.now());
+                records.remove_expired(gate.clock.now());
             },
         }
     }
--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -19,16 +19,17 @@
 use tokio::{sync::mpsc, time::sleep};
 use traffic::{CrashId, Quarantine, QuarantineStatus};
 
-/// Crashes are rare, so most watches return nothing. A crash must be known to all agents before the
-/// request is sent again, so the delays after failures are short.
+/// Times of the follower of crash records. Crashes are rare, so most watches return nothing. A
+/// crash must be known to all agents before the request is sent again, so delays after failures are
+/// short.
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
     wait: Duration::from_secs(29),
     call_every_min: Duration::from_millis(10),
     pause: Duration::from_millis(100),
     pause_max: Duration::from_millis(1_000),
 };
-const WRITE_PAUSE: Duration = Duration::from_millis(50);
-const WRITE_PAUSE_MAX: Duration = Duration::from_secs(1);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
+const WRITE_RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
 /// Number of crashes that the object of an instance keeps.
 const CRASHES_KEPT: usize = 16;
 /// Number of requests that the record of one crash keeps.
@@ -133,8 +134,8 @@
         .ok()
 }
 
-/// Writes the object of this instance. Other writers of it can only be earlier incarnations of this
-/// agent.
+/// Writer of the object of this instance. The only other writers of that object are earlier
+/// incarnations of this agent.
 struct Writer {
     store: Arc<dyn ObjectStore>,
     path: String,
@@ -148,12 +149,12 @@
     async fn run(mut self, mut writes: mpsc::UnboundedReceiver<PendingWrite>) {
         while let Some(write) = writes.recv().await {
             self.add(write);
-            let mut pause = WRITE_PAUSE;
+            let mut delay = WRITE_RETRY_DELAY;
             while let Err(error) = self.write().await {
                 log::info!(target: "quarantine", "Writing crash records failed: {error}; retrying.");
                 self.stored = None;
-                sleep(pause).await;
-                pause = (pause * 2).min(WRITE_PAUSE_MAX);
+                sleep(delay).await;
+                delay = (delay * 2).min(WRITE_RETRY_DELAY_MAX);
                 // Includes crashes that were reported in the meantime.
                 while let Ok(write) = writes.try_recv() {
                     self.add(write);
