--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -82,7 +82,7 @@
         let is_alive = now.since(self.announced_at) < interval.mul_f64(REPLACEABLE_AFTER_INTERVALS)
             && self.gate_state != Some(UpstreamState::Lost);
         match (known.born_ms, announcement.born_ms) {
-            _ if known.is_of_same_life(announcement) => {
+            _ if known.is_same_incarnation(announcement) => {
                 let is_numbered = announcement.sequence > 0;
                 let is_stale = is_numbered && announcement.sequence <= known.sequence;
                 if is_stale { AnnouncementKind::Stale } else { AnnouncementKind::SameIncarnation }
--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -55,17 +55,17 @@
     pub(crate) document: Arc<ServiceDocument>,
     pub(crate) announcement: Announcement,
     /// Set while the upstream is to get no new work.
-    pub(crate) closing: Option<DrainSchedule>,
+    pub(crate) drain: Option<DrainSchedule>,
     pub(crate) upstream: Arc<dyn Upstream>,
     pub(crate) queue: Arc<AdmissionQueue>,
     members: Vec<Instance>,
 }
 
 impl BoundUpstream {
-    /// Whether this is the incarnation of the upstream that sent the announcement.
+    /// Returns whether this is the incarnation of the upstream that sent the announcement.
     fn is_same_upstream(&self, announcement: &Announcement) -> bool {
         self.announcement.address == announcement.address
-            && self.announcement.is_of_same_life(announcement)
+            && self.announcement.is_same_incarnation(announcement)
     }
 
     /// Returns the incarnation of this upstream.
@@ -73,29 +73,29 @@
         (self.announcement.upstream_id.clone(), self.announcement.born_ms)
     }
 
-    /// Whether the client can be reused under the other document.
+    /// Returns whether the client can be reused under the other document.
     fn has_same_client(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits.body_bytes_max == document.limits.body_bytes_max
     }
 
-    /// Whether the queue can be reused under the other document, so that running requests remain
-    /// counted.
+    /// Returns whether the queue can be reused under the other document, so that running requests
+    /// remain counted.
     fn has_same_queue(&self, document: &ServiceDocument) -> bool {
         self.document.upstream == document.upstream
             && self.document.limits == document.limits
             && self.document.classes == document.classes
     }
 
-    /// Whether new requests are refused. They are still accepted during the first half of the drain
-    /// time, since it takes a while for all peers to learn that this instance is leaving.
+    /// Returns whether new requests are refused. They are still accepted during the first half of
+    /// the drain time, since it takes a while for all peers to learn that this instance is leaving.
     pub(crate) fn refuses_work(&self, now: Timestamp) -> bool {
-        self.closing.is_some_and(|it| now >= it.refuses_at)
+        self.drain.is_some_and(|it| now >= it.refuses_at)
     }
 
-    /// Whether no request may reach the upstream any longer, including queued ones.
+    /// Returns whether no request may reach the upstream any longer, including queued ones.
     pub(crate) fn is_closed(&self, now: Timestamp) -> bool {
-        self.closing.is_some_and(|it| now >= it.closed_at)
+        self.drain.is_some_and(|it| now >= it.closed_at)
     }
 }
 
@@ -106,7 +106,10 @@
         let snapshot = self.snapshots.load();
         let Some((service, local)) = local_service(&snapshot) else { return };
         let former = self.bound.load_full();
-        if former.as_ref().is_some_and(|it| !it.announcement.is_of_same_life(&local.announcement)) {
+        if former
+            .as_ref()
+            .is_some_and(|it| !it.announcement.is_same_incarnation(&local.announcement))
+        {
             self.record_upstream_crash("a new incarnation announced itself");
         }
         let bound = match self.next_bound(former.as_deref(), service, local) {
@@ -117,12 +120,12 @@
             }
         };
         let now = self.clock.now();
-        let former_closing = former.as_ref().and_then(|it| it.closing);
-        let closing = local.leaving.map(|reason| {
-            let closing = DrainSchedule::new(now, reason, &bound.document.drain);
-            former_closing.map_or(closing, |it| it.earliest(closing))
+        let former_drain = former.as_ref().and_then(|it| it.drain);
+        let drain = local.leaving.map(|reason| {
+            let drain = DrainSchedule::new(now, reason, &bound.document.drain);
+            former_drain.map_or(drain, |it| it.earliest(drain))
         });
-        let bound = BoundUpstream { closing, members: members(service), ..bound };
+        let bound = BoundUpstream { drain, members: members(service), ..bound };
         if former.as_ref().is_none_or(|it| it.members != bound.members) {
             self.members_changed_ns.store(now.ns, Ordering::SeqCst);
         }
@@ -164,7 +167,7 @@
             version: service.version,
             document: Arc::clone(document),
             announcement: announcement.clone(),
-            closing: None,
+            drain: None,
             upstream,
             queue,
             members: Vec::new(),
@@ -178,10 +181,11 @@
     }
 }
 
-/// Whether a new queue is needed: the queue of an upstream that was drained or lost is not reused.
+/// Returns whether a new queue is needed: the queue of an upstream that was drained or lost is not
+/// reused.
 fn needs_new_queue(former: &BoundUpstream, local: &LocalUpstream) -> bool {
     let was_unavailable =
-        former.closing.is_some() || former.announcement.state == UpstreamState::Lost;
+        former.drain.is_some() || former.announcement.state == UpstreamState::Lost;
     was_unavailable && local.leaving.is_none() && local.announcement.state == UpstreamState::Ready
 }
 
--- a/crates/agent/src/gate/leases/exchange.rs
+++ b/crates/agent/src/gate/leases/exchange.rs
@@ -97,7 +97,7 @@
     pub(super) handover: Option<HandoverToken>,
 }
 
-/// Consequences of an announcement.
+/// Actions that follow from an announcement.
 #[derive(Debug, Default)]
 pub(super) struct AnnouncementEffects {
     pub(super) transfers: Vec<SlotTransfer>,
@@ -134,15 +134,15 @@
 }
 
 impl SlotLeases {
-    /// Whether an announcement is newer than all those applied so far; late and duplicate ones are
-    /// not. Records its sequence number.
+    /// Returns whether an announcement is newer than all those applied so far; late and duplicate
+    /// ones are not. Records its sequence number.
     pub(super) fn accept_sequence(&mut self, sequence: u64) -> bool {
-        let accept_sequence = sequence > self.exchange.sequence;
+        let is_newer = sequence > self.exchange.sequence;
         self.exchange.sequence = self.exchange.sequence.max(sequence);
-        accept_sequence
+        is_newer
     }
 
-    /// Applies an announcement to the leases and returns its consequences.
+    /// Applies an announcement to the leases and returns the actions that follow from it.
     pub(super) fn apply_announcement(
         &mut self,
         now: Timestamp,
@@ -180,7 +180,7 @@
         effects
     }
 
-    /// Whether the upstream holds, or runs requests on, slots that it is to release.
+    /// Returns whether the upstream holds, or runs requests on, slots that it is to release.
     fn holds_unwanted_slots(&self, announced: &AnnouncedSlots) -> bool {
         let is_kept = |slot: u16, token| {
             let lease = self.slots.get(&Slot(slot));
@@ -192,7 +192,7 @@
             .any(|it| (it.first.0..=it.last.0).any(|slot| !is_kept(slot, it.token)))
     }
 
-    /// Whether a change is pending that the next answer should carry at once.
+    /// Returns whether a change is pending that the next answer should carry at once.
     pub(super) fn has_pending_changes(&self, now: Timestamp, lease_until: Timestamp) -> bool {
         if let Some(clearing) = &self.clearing {
             return !clearing.is_sent;
@@ -268,7 +268,7 @@
         (ranges, deferred)
     }
 
-    /// Whether no answer has granted any of these slots.
+    /// Returns whether no answer has granted any of these slots.
     fn is_never_granted(&self, range: SlotRange) -> bool {
         !self.slots.range(range.first..=range.last).any(|it| it.1.answer_state.is_granted)
     }
@@ -294,8 +294,8 @@
         ranges
     }
 
-    /// Ends the pending revocation and returns its token if the upstream holds nothing of earlier
-    /// sessions or incarnations of this agent.
+    /// Ends the pending release of earlier grants and returns its token, if the upstream no longer
+    /// holds any of them.
     pub(super) fn take_cleared(&mut self) -> Option<Token> {
         let cleared = self.clearing.take_if(|_| self.exchange.holds_nothing);
         cleared.map(|it| it.token)
@@ -303,7 +303,7 @@
 }
 
 impl SlotLease {
-    /// Whether the upstream has had the time to read the answer that granted the slot.
+    /// Returns whether the upstream has had the time to read the answer that granted the slot.
     pub(super) fn is_grant_read(&self, now: Timestamp) -> bool {
         now >= self.answer_state.usable_from
     }
@@ -325,8 +325,9 @@
         answer_state.ineffective_grants
     }
 
-    /// Whether the upstream has released the slot for good, given that its announcement does not
-    /// show it. An answer that granted the slot may still be in flight unless its effect was seen.
+    /// Returns whether the upstream has released the slot for good, given that its announcement
+    /// does not show it. An answer that granted the slot may still be in flight unless its effect
+    /// was seen.
     fn is_released(&self, now: Timestamp) -> bool {
         let is_revoked = self.answer_state.is_omitted || self.held_until <= now;
         let is_settled = self.answer_state.is_confirmed || self.answer_state.effective_until <= now;
@@ -341,10 +342,11 @@
     fn try_extend(&mut self, next: &SlotTransfer) -> bool {
         let follows =
             self.range.last.0 + 1 == next.range.first.0 && self.range.token == next.range.token;
-        let fits = follows && self.successor == next.successor && self.handover == next.handover;
-        if fits {
+        let is_alike =
+            follows && self.successor == next.successor && self.handover == next.handover;
+        if is_alike {
             self.range.last = next.range.last;
         }
-        fits
+        is_alike
     }
 }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -3,11 +3,11 @@
 //! A request passes these steps in order: the grant of its key, its at-most-once record, the queue
 //! for a slot of the upstream, a last check of grant and lease, the upstream.
 
+mod admission_queue;
 mod bound;
 mod crash;
 mod handle;
 mod health;
-mod admission_queue;
 mod leases;
 pub(crate) mod load;
 mod records;
@@ -56,7 +56,7 @@
 pub use handle::GateHandle;
 pub(crate) use handle::GateTask;
 
-/// Creates the client of an upstream.
+/// Constructor of the client of an upstream.
 pub type Connect =
     Box<dyn Fn(&Announcement, &ServiceDocument) -> anyhow::Result<Arc<dyn Upstream>> + Send + Sync>;
 
@@ -91,8 +91,8 @@
     upstream_runs: UpstreamRuns,
     unanswered: UnansweredRuns,
     quarantine: Arc<SharedQuarantine>,
-    /// Allows one suspect request at a time, so that a crash of the upstream can be attributed to
-    /// it.
+    /// Permit for running a suspect request. There is only one, so that a crash of the upstream can
+    /// be attributed to that request.
     suspect_permit: Semaphore,
     links: OnceLock<TrafficLinks>,
     /// When the upstream last answered, on the process's clock, in nanoseconds.
@@ -147,7 +147,7 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Whether no new work reaches the upstream, which is also the case if there is none.
+    /// Returns whether no new work reaches the upstream, which is also the case if there is none.
     pub(crate) fn refuses_work(&self) -> bool {
         self.bound
             .load()
@@ -169,8 +169,8 @@
     /// Reports a peer that has a later document than this agent, so that control fetches it.
     fn compare_config(&self, from: &Instance, request: &GateRequest) {
         let bound = self.bound.load();
-        let known = bound.as_ref().filter(|it| it.service == request.service);
-        if known.is_some_and(|it| it.version < request.config) {
+        let same_service = bound.as_ref().filter(|it| it.service == request.service);
+        if same_service.is_some_and(|it| it.version < request.config) {
             let (service, version) = (request.service.clone(), request.config);
             self.reporter.hint(Report::Config { service, version, from: from.clone() });
         }
@@ -223,7 +223,7 @@
     }
 }
 
-/// Removes a request from the count of those in flight, however it ends.
+/// Guard that removes a request from the count of those in flight, however it ends.
 struct InFlightGuard(Arc<Gate>);
 
 impl Drop for InFlightGuard {
