--- a/crates/traffic/src/admission/class.rs
+++ b/crates/traffic/src/admission/class.rs
@@ -1,5 +1,5 @@
 //! The queue of one class, with the expected service times of its requests. Requests that can be in time
-//! come first, then those that are late; each ordered by deadline.
+//! come first, then late requests; both are ordered by deadline.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -102,7 +102,8 @@
         now + self.service_time_bound(it, deviations) <= it.position.deadline
     }
 
-    /// Returns when the first waiting request, of those in time or of those that are late, has to be refused.
+    /// Returns when the next waiting request has to be refused: the first one that can be in time, or the first late
+    /// one.
     pub(super) fn next_refusal(&self, deviations: f64) -> Option<Timestamp> {
         let first_late = QueuePosition {
             timeliness: Timeliness::Late,
--- a/crates/traffic/src/selection/target.rs
+++ b/crates/traffic/src/selection/target.rs
@@ -82,7 +82,7 @@
     Shed,
     /// The request failed with an error, a lost connection, or no answer before the deadline.
     Failed,
-    /// The caller cancelled the request, which tells nothing about the target.
+    /// The caller cancelled the request, which counts neither as success nor as failure of the target.
     Cancelled,
 }
 
