--- a/crates/ownership/src/coordinator/confirm.rs
+++ b/crates/ownership/src/coordinator/confirm.rs
@@ -1,5 +1,7 @@
-//! The coordinator's right to renew leases: proof, good for a short time, that its term has not
-//! ended.
+//! The coordinator's confirmation: proof, valid for a short time, that no later term has begun.
+//!
+//! A coordinator may renew leases only while its term is confirmed, by a majority of witnesses or
+//! by a read of its object in the platform.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,71 +13,78 @@
     rules::{self, Rule},
 };
 
-/// Questions whose answers may still come.
-const QUESTIONS_MAX: usize = 8;
-/// Questions go out this many times within the time that one is good for.
-const ASKED_PER_CONFIRMATION: u32 = 3;
-/// How often a coordinator that its witnesses confirm reads its object all the same.
-const READ_EVERY: Duration = Duration::from_secs(10);
-/// How many reads fit into the longest absence.
+/// The most queries to witnesses whose replies are still accepted.
+const QUERIES_MAX: usize = 8;
+/// Queries or reads started within the time for which one confirmation is valid.
+const ATTEMPTS_PER_CONFIRMATION: u32 = 3;
+/// The interval of reads of the coordinator object where the platform does not confirm the term.
+const READ_INTERVAL: Duration = Duration::from_secs(10);
+/// Reads started within the longest allowed absence from the platform, so that a few may fail.
 const READS_PER_ABSENCE: u32 = 7;
-/// How long to wait after a read that failed.
+/// The delay before a failed read is repeated.
 const READ_RETRY: Duration = Duration::from_millis(100);
-/// How fresh contact with the platform must be before the path of confirmation is changed.
-const CONTACT_FRESH: Duration = Duration::from_secs(1);
+/// The platform counts as reachable for this long after a successful read or update was sent.
+const CONTACT_AGE_MAX: Duration = Duration::from_secs(1);
 
+/// A query to all witnesses, and the witnesses that have replied to it.
 #[derive(Debug)]
-struct Question {
+struct Query {
     number: u64,
     sent_at: Timestamp,
-    answered: Vec<MemberId>,
+    replied: Vec<MemberId>,
 }
 
-/// By what a coordinator is confirmed at the moment.
-pub(crate) struct ConfirmBy<'a> {
-    /// None: it is not known whether a change of the path took effect, so nothing confirms.
-    pub(crate) path: Option<Confirmation>,
-    /// Every set that may be in force; a majority of each is needed.
+/// The conditions under which a term is currently confirmed.
+pub(crate) struct ConfirmationPolicy<'a> {
+    /// Is `None` while a change of the method is in doubt: the term can't be confirmed then.
+    pub(crate) method: Option<Confirmation>,
+    /// All witness sets that may be in force; a majority of each has to confirm.
     pub(crate) witness_sets: Vec<&'a [Instance]>,
     pub(crate) times: TermTimes,
 }
 
-/// Questions to witnesses, reads of the platform, and what they have proved.
+/// Queries to witnesses and reads of the platform, and the confirmation that they have given.
 #[derive(Debug)]
-pub(crate) struct Confirm {
-    questions: VecDeque<Question>,
+pub(crate) struct TermConfirmation {
+    queries: VecDeque<Query>,
     last_number: u64,
-    next_question: Timestamp,
-    read: Option<(CallId, Timestamp)>,
-    next_read: Timestamp,
-    next_unkeyed_read: Timestamp,
-    until: Timestamp,
-    /// When the question or read was sent that last proved that there was no later term.
+    next_query_at: Timestamp,
+    /// The read in flight, and when it was sent.
+    pending_read: Option<(CallId, Timestamp)>,
+    next_read_at: Timestamp,
+    next_unkeyed_read_at: Timestamp,
+    valid_until: Timestamp,
+    /// When the newest query or read was sent that proved that no later term existed.
     proved_at: Timestamp,
-    /// When proof was last dropped.
+    /// When the confirmation was last discarded.
     reset_at: Timestamp,
-    /// When the read or update was sent that last showed this term in the platform.
+    /// When the newest read or update was sent that showed this term in the platform.
     reached_platform_at: Timestamp,
-    /// Witnesses that have ever answered for this term: they confirm no lower one.
+    /// Witnesses that have replied for this term, or have ended: they confirm no lower term.
     promised: Vec<MemberId>,
+    /// When `promised` first included a majority of each witness set.
     promised_at: Option<Timestamp>,
 }
 
-impl Confirm {
-    /// For a term whose update was sent at `sent_at` and is known to have taken effect.
-    pub(crate) fn new(now: Timestamp, sent_at: Timestamp, by: &ConfirmBy<'_>) -> Confirm {
-        let until = match by.path {
-            Some(Confirmation::Platform) => sent_at + by.times.platform_confirmation(),
+impl TermConfirmation {
+    /// Creates the confirmation state of a term that an update sent at `sent_at` has acquired.
+    pub(crate) fn new(
+        now: Timestamp,
+        sent_at: Timestamp,
+        policy: &ConfirmationPolicy<'_>,
+    ) -> TermConfirmation {
+        let valid_until = match policy.method {
+            Some(Confirmation::Platform) => sent_at + policy.times.platform_confirmation(),
             _ => Timestamp::ZERO,
         };
-        Confirm {
-            questions: VecDeque::new(),
+        TermConfirmation {
+            queries: VecDeque::new(),
             last_number: 0,
-            next_question: now,
-            read: None,
-            next_read: now,
-            next_unkeyed_read: now + READ_EVERY,
-            until,
+            next_query_at: now,
+            pending_read: None,
+            next_read_at: now,
+            next_unkeyed_read_at: now + READ_INTERVAL,
+            valid_until,
             proved_at: Timestamp::ZERO,
             reset_at: now,
             reached_platform_at: sent_at,
@@ -84,104 +93,106 @@
         }
     }
 
-    pub(crate) fn until(&self) -> Timestamp {
-        self.until
+    pub(crate) fn valid_until(&self) -> Timestamp {
+        self.valid_until
     }
 
-    /// Since when proof has been missing, where it is.
-    pub(crate) fn missing_since(&self) -> Timestamp {
-        self.until.max(self.reset_at)
+    /// Returns since when the term has been unconfirmed, or when its confirmation ends.
+    pub(crate) fn unconfirmed_since(&self) -> Timestamp {
+        self.valid_until.max(self.reset_at)
     }
 
-    /// Whether leases may be renewed now.
-    pub(crate) fn holds(&self, now: Timestamp, by: &ConfirmBy<'_>) -> bool {
-        match by.path {
+    /// Returns whether the term is confirmed, so that leases may be renewed.
+    pub(crate) fn is_valid(&self, now: Timestamp, policy: &ConfirmationPolicy<'_>) -> bool {
+        match policy.method {
             None => false,
-            Some(Confirmation::Platform) => now < self.until,
+            Some(Confirmation::Platform) => now < self.valid_until,
             Some(Confirmation::Witnesses) => {
                 let absence = now.since(self.reached_platform_at);
-                now < self.until && absence < by.times.platform_absence_max()
+                now < self.valid_until && absence < policy.times.platform_absence_max()
             }
         }
     }
 
-    /// When a majority of witnesses had promised this term.
+    /// Returns when a majority of the witnesses had promised to confirm no lower term.
     pub(crate) fn promised_at(&self) -> Option<Timestamp> {
         self.promised_at
     }
 
+    /// Returns when the newest query or read was sent that proved that no later term existed.
     pub(crate) fn proved_at(&self) -> Timestamp {
         self.proved_at
     }
 
-    /// Asks anew at once, for something rests on proof from now on.
-    pub(crate) fn prove_soon(&mut self, now: Timestamp) {
-        self.next_question = now;
-        self.next_read = self.next_read.min(now);
+    /// Schedules a query and a read for the next tick, because a grant depends on proof newer than
+    /// `now`.
+    pub(crate) fn request_confirmation(&mut self, now: Timestamp) {
+        self.next_query_at = now;
+        self.next_read_at = self.next_read_at.min(now);
     }
 
-    /// Drops all proof: after a pause, and when the path has changed.
+    /// Discards the confirmation, after a pause or a change of the method.
     pub(crate) fn reset(&mut self, now: Timestamp) {
-        self.until = Timestamp::ZERO;
+        self.valid_until = Timestamp::ZERO;
         self.proved_at = Timestamp::ZERO;
         self.reset_at = now;
-        self.next_question = now;
-        self.next_read = now;
+        self.next_query_at = now;
+        self.next_read_at = now;
     }
 
-    /// Whether the platform has answered of late.
-    pub(crate) fn platform_is_reachable(&self, now: Timestamp) -> bool {
-        now.since(self.reached_platform_at) < CONTACT_FRESH
+    /// Returns whether the platform has shown this term within the last second.
+    pub(crate) fn is_platform_reachable(&self, now: Timestamp) -> bool {
+        now.since(self.reached_platform_at) < CONTACT_AGE_MAX
     }
 
-    /// Finds out soon whether the platform can be reached.
-    pub(crate) fn read_soon(&mut self, now: Timestamp) {
-        self.next_read = self.next_read.min(now + READ_RETRY);
+    /// Schedules a read soon, to check whether the platform is reachable.
+    pub(crate) fn schedule_read(&mut self, now: Timestamp) {
+        self.next_read_at = self.next_read_at.min(now + READ_RETRY);
     }
 
-    /// An update of the coordinator's object, sent at `sent_at`, has taken effect.
-    pub(crate) fn updated(&mut self, sent_at: Timestamp) {
+    /// Records that an update of the coordinator object, sent at `sent_at`, has taken effect.
+    pub(crate) fn record_update(&mut self, sent_at: Timestamp) {
         self.reached_platform_at = self.reached_platform_at.max(sent_at);
     }
 
-    /// Asks and reads when it is time.
-    pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>, term: Term, by: &ConfirmBy<'_>) {
-        let witnessed = by.path != Some(Confirmation::Platform);
-        if witnessed && self.next_question <= ctx.now {
-            self.ask(ctx, term, by);
+    /// Sends the query to witnesses and the read of the platform that are due.
+    pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>, term: Term, policy: &ConfirmationPolicy<'_>) {
+        let uses_witnesses = policy.method != Some(Confirmation::Platform);
+        if uses_witnesses && self.next_query_at <= ctx.now {
+            self.send_query(ctx, term, policy);
         }
-        if self.read.is_none() && self.next_read <= ctx.now {
+        if self.pending_read.is_none() && self.next_read_at <= ctx.now {
             let call = ctx.call_platform(PlatformRequest::ReadCoordinator);
-            self.read = Some((call, ctx.now));
-            self.next_read = Timestamp { ns: u64::MAX };
+            self.pending_read = Some((call, ctx.now));
+            self.next_read_at = Timestamp { ns: u64::MAX };
         }
-        // Without proof from the witnesses the platform is asked, to find out whether the path
-        // can be changed.
-        if witnessed && !self.holds(ctx.now, by) {
-            self.next_read = self.next_read.min(ctx.now + READ_RETRY);
+        // Without a confirmation by witnesses, the platform is read to check whether the method can
+        // be changed.
+        if uses_witnesses && !self.is_valid(ctx.now, policy) {
+            self.next_read_at = self.next_read_at.min(ctx.now + READ_RETRY);
         }
     }
 
-    /// Where nothing is granted, the object is only read now and then: a later term that no message has
-    /// told of shows there.
+    /// Sends the read that is due in a group without keys. Nothing is granted there, so the read
+    /// serves only to detect a later term that no message has announced.
     pub(crate) fn tick_unkeyed(&mut self, ctx: &mut Ctx<'_>) {
-        if self.read.is_none() && self.next_unkeyed_read <= ctx.now {
+        if self.pending_read.is_none() && self.next_unkeyed_read_at <= ctx.now {
             let call = ctx.call_platform(PlatformRequest::ReadCoordinator);
-            self.read = Some((call, ctx.now));
-            self.next_unkeyed_read = ctx.now + READ_EVERY;
+            self.pending_read = Some((call, ctx.now));
+            self.next_unkeyed_read_at = ctx.now + READ_INTERVAL;
         }
     }
 
-    fn ask(&mut self, ctx: &mut Ctx<'_>, term: Term, by: &ConfirmBy<'_>) {
+    fn send_query(&mut self, ctx: &mut Ctx<'_>, term: Term, policy: &ConfirmationPolicy<'_>) {
         self.last_number += 1;
         let number = self.last_number;
-        self.next_question = ctx.now + by.times.confirmation() / ASKED_PER_CONFIRMATION;
-        self.questions.push_back(Question { number, sent_at: ctx.now, answered: Vec::new() });
-        if self.questions.len() > QUESTIONS_MAX {
-            self.questions.pop_front();
+        self.next_query_at = ctx.now + policy.times.confirmation() / ATTEMPTS_PER_CONFIRMATION;
+        self.queries.push_back(Query { number, sent_at: ctx.now, replied: Vec::new() });
+        if self.queries.len() > QUERIES_MAX {
+            self.queries.pop_front();
         }
         let mut asked: Vec<&Instance> = Vec::new();
-        for witness in by.witness_sets.iter().copied().flatten() {
+        for witness in policy.witness_sets.iter().copied().flatten() {
             if !asked.iter().any(|it| is_same_incarnation(it, witness)) {
                 asked.push(witness);
             }
@@ -191,50 +202,56 @@
         }
     }
 
-    /// A witness has heard of no higher term when it answered. A later life of it counts as well if it
-    /// has read the platform since it started: each term that the earlier life has confirmed stood
-    /// there before.
-    pub(crate) fn answered(
+    /// Counts a reply of a witness that had received no higher term. A reply of a later incarnation
+    /// of the witness counts if that incarnation has read the platform since it started: each term
+    /// that the earlier one confirmed had been written there before.
+    pub(crate) fn handle_reply(
         &mut self,
         now: Timestamp,
         from: &Instance,
         number: u64,
         has_read: bool,
-        by: &ConfirmBy<'_>,
+        policy: &ConfirmationPolicy<'_>,
     ) {
-        let stands_for = |it: &&Instance| {
+        let matches_reply = |it: &&Instance| {
             is_same_incarnation(it, from)
                 || (is_same_agent(it, from)
                     && (has_read || !rules::is_enforced(Rule::ReadObjectBeforeWitnessing)))
         };
-        let witnesses = by.witness_sets.iter().copied().flatten().filter(stands_for);
+        let witnesses = policy.witness_sets.iter().copied().flatten().filter(matches_reply);
         let ids: Vec<MemberId> = witnesses.map(MemberId::from).collect();
         for id in &ids {
             if !self.promised.contains(id) {
                 self.promised.push(id.clone());
             }
         }
-        if self.promised_at.is_none() && is_majority(&self.promised, by) {
+        if self.promised_at.is_none() && is_majority(&self.promised, policy) {
             self.promised_at = Some(now);
         }
-        let Some(question) = self.questions.iter_mut().find(|it| it.number == number) else {
+        let Some(query) = self.queries.iter_mut().find(|it| it.number == number) else {
             return;
         };
         for id in ids {
-            if !question.answered.contains(&id) {
-                question.answered.push(id);
+            if !query.replied.contains(&id) {
+                query.replied.push(id);
             }
         }
-        if by.path == Some(Confirmation::Witnesses) && is_majority(&question.answered, by) {
-            self.until = self.until.max(question.sent_at + by.times.confirmation());
-            self.proved_at = self.proved_at.max(question.sent_at);
+        if policy.method == Some(Confirmation::Witnesses) && is_majority(&query.replied, policy) {
+            self.valid_until = self.valid_until.max(query.sent_at + policy.times.confirmation());
+            self.proved_at = self.proved_at.max(query.sent_at);
         }
     }
 
-    /// An agent is there in the place of an earlier one: a witness that has ended confirms no lower
-    /// term either. Two processes are never bound to one address, so the earlier one has ended.
-    pub(crate) fn replaced(&mut self, now: Timestamp, by_agent: &Instance, by: &ConfirmBy<'_>) {
-        for witness in by.witness_sets.iter().copied().flatten() {
+    /// Counts witnesses that a later incarnation of their agent has replaced as promised, since an
+    /// ended witness confirms no lower term. Two processes are never bound to one address at a
+    /// time, so the earlier one has ended.
+    pub(crate) fn record_replacement(
+        &mut self,
+        now: Timestamp,
+        by_agent: &Instance,
+        policy: &ConfirmationPolicy<'_>,
+    ) {
+        for witness in policy.witness_sets.iter().copied().flatten() {
             let id = MemberId::from(witness);
             if is_same_agent(witness, by_agent)
                 && !is_same_incarnation(witness, by_agent)
@@ -243,51 +260,55 @@
                 self.promised.push(id);
             }
         }
-        if self.promised_at.is_none() && is_majority(&self.promised, by) {
+        if self.promised_at.is_none() && is_majority(&self.promised, policy) {
             self.promised_at = Some(now);
         }
     }
 
-    /// Whether `call` is a read of this part; `shown` says whether it showed this term.
-    pub(crate) fn read(
+    /// Handles the end of a platform call if it is the read in flight, and returns whether it is.
+    /// `shows_term` is whether the object read is of this term.
+    pub(crate) fn handle_read(
         &mut self,
         now: Timestamp,
         call: CallId,
-        shown: bool,
-        by: &ConfirmBy<'_>,
+        shows_term: bool,
+        policy: &ConfirmationPolicy<'_>,
     ) -> bool {
-        let Some((_, sent_at)) = self.read.take_if(|it| it.0 == call) else { return false };
-        if !shown {
-            self.next_read = self.next_read.min(now + READ_RETRY);
+        let Some((_, sent_at)) = self.pending_read.take_if(|it| it.0 == call) else { return false };
+        if !shows_term {
+            self.next_read_at = self.next_read_at.min(now + READ_RETRY);
             return true;
         }
         self.reached_platform_at = self.reached_platform_at.max(sent_at);
-        let good_for = by.times.platform_confirmation();
-        match by.path {
+        let valid_for = policy.times.platform_confirmation();
+        match policy.method {
             Some(Confirmation::Platform) => {
-                self.until = self.until.max(sent_at + good_for);
+                self.valid_until = self.valid_until.max(sent_at + valid_for);
                 self.proved_at = self.proved_at.max(sent_at);
-                let next = sent_at + good_for / ASKED_PER_CONFIRMATION;
-                self.next_read = self.next_read.min(next);
+                let next = sent_at + valid_for / ATTEMPTS_PER_CONFIRMATION;
+                self.next_read_at = self.next_read_at.min(next);
             }
-            // Often enough that the longest absence is not reached by missing a few.
+            // A few reads may fail before the longest allowed absence is reached.
             _ => {
-                let every = READ_EVERY.min(by.times.platform_absence_max() / READS_PER_ABSENCE);
-                self.next_read = self.next_read.min(now + every);
+                let every =
+                    READ_INTERVAL.min(policy.times.platform_absence_max() / READS_PER_ABSENCE);
+                self.next_read_at = self.next_read_at.min(now + every);
             }
         }
         true
     }
 
-    pub(crate) fn reads(&self, call: CallId) -> bool {
-        self.read.is_some_and(|it| it.0 == call)
+    /// Returns whether `call` is the read in flight.
+    pub(crate) fn is_own_read(&self, call: CallId) -> bool {
+        self.pending_read.is_some_and(|it| it.0 == call)
     }
 }
 
-fn is_majority(answered: &[MemberId], by: &ConfirmBy<'_>) -> bool {
+/// Returns whether `replied` includes a majority of each witness set.
+fn is_majority(replied: &[MemberId], policy: &ConfirmationPolicy<'_>) -> bool {
     let has = |set: &&[Instance]| {
-        let count = set.iter().filter(|it| answered.contains(&MemberId::from(*it))).count();
+        let count = set.iter().filter(|it| replied.contains(&MemberId::from(*it))).count();
         2 * count > set.len()
     };
-    !by.witness_sets.is_empty() && by.witness_sets.iter().all(has)
+    !policy.witness_sets.is_empty() && policy.witness_sets.iter().all(has)
 }
