--- a/crates/ownership/src/coordinator/answer.rs
+++ b/crates/ownership/src/coordinator/answer.rs
@@ -19,21 +19,21 @@
 
 /// The most runs of slots in one message, of about 20 bytes each; what is left over comes with the next one,
 /// a renewal later.
-const ROUTE_RUNS_MAX: usize = 1024;
+const ROUTE_RANGES_MAX: usize = 1024;
 /// The most members with which routes name successors. A request whose owner can't be reached tries them; without,
 /// its caller waits for the next owner. With more members routes would be 900 runs and 20 KB long, told to each
 /// of them with each plan.
-const SUCCESSORS_TOLD_MAX: usize = 32;
+const ROUTE_SUCCESSORS_MEMBERS_MAX: usize = 32;
 /// The most commands in one message.
 const COMMANDS_MAX: usize = 256;
 /// How often, for each member, the loads of members are told where routing goes by them.
-const MEMBER_LOADS_EVERY: Duration = Duration::from_millis(300);
+const LOADS_REFRESH_PER_MEMBER: Duration = Duration::from_millis(300);
 
 /// Who is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Whom {
+pub(super) enum Recipients {
     /// Members that know routes of this term.
-    Following,
+    WithRoutes,
     /// Also those that have to be told all of them. This waits for a tick: all that join between two of them are
     /// told the same, which is made once, and not for each of a hundred that join together.
     All,
@@ -41,35 +41,35 @@
 
 impl Coordination {
     /// Answers those that wait, if this term is confirmed.
-    pub(super) fn answer_all(&mut self, ctx: &mut Ctx<'_>, whom: Whom) {
+    pub(super) fn send_answers(&mut self, ctx: &mut Ctx<'_>, whom: Recipients) {
         if !self.may_renew(ctx) {
             return;
         }
         let first = first_route_version(self.term);
         let due = |row: &MemberRow| {
-            let follows = row.route_version.max(row.routes_sent) >= first;
-            (row.answer_due || row.push_due) && (follows || whom == Whom::All)
+            let has_routes = row.route_version.max(row.routes_sent_version) >= first;
+            (row.answer_due || row.push_due) && (has_routes || whom == Recipients::All)
         };
         work::add_entries(self.members.rows.len() / 8);
         let due: Vec<MemberId> =
             self.members.rows.iter().filter(|it| due(it.1)).map(|it| it.0.clone()).collect();
         for id in due {
-            self.answer(ctx, &id);
+            self.send_answer(ctx, &id);
         }
     }
 
-    fn answer(&mut self, ctx: &mut Ctx<'_>, id: &MemberId) {
+    fn send_answer(&mut self, ctx: &mut Ctx<'_>, id: &MemberId) {
         assert!(self.may_renew(ctx), "renewal without confirmation");
         let times = self.times(ctx);
         let Some(row) = self.members.rows.get(id) else { return };
-        let since = row.routes_known(ctx.now);
+        let since = row.known_route_version(ctx.now);
         let is_news = since < self.route_version;
         let routes = is_news.then(|| self.routes_since(since));
         let Some(row) = self.members.rows.get(id) else { return };
-        let can_stop = row.leaving && !self.table.concerns(id) && row.commands.is_empty();
+        let can_stop = row.leaving && !self.slot_table.involves(id) && row.commands.is_empty();
         let Some(row) = self.members.rows.get_mut(id) else { return };
         if let Some(routes) = &routes {
-            row.routes_sent = routes.version;
+            row.routes_sent_version = routes.version;
             row.routes_sent_at = ctx.now;
         }
         row.answer_due = false;
@@ -94,22 +94,23 @@
     fn routes_since(&mut self, since: u64) -> Arc<Routes> {
         // What is known of earlier terms makes no difference.
         let since = if since < first_route_version(self.term) { 0 } else { since };
-        let told = self.routes_told.as_ref().filter(|it| it.since == since);
-        if let Some(told) = told.filter(|_| self.routes_made_in == self.route_version) {
+        let told = self.cached_routes.as_ref().filter(|it| it.since == since);
+        if let Some(told) = told.filter(|_| self.cached_routes_version == self.route_version) {
             return Arc::clone(told);
         }
         let routes = Arc::new(self.routes(since));
-        self.routes_made_in = self.route_version;
-        self.routes_told = Some(Arc::clone(&routes));
+        self.cached_routes_version = self.route_version;
+        self.cached_routes = Some(Arc::clone(&routes));
         routes
     }
 
     fn routes(&self, since: u64) -> Routes {
         let is_whole = since < first_route_version(self.term);
-        let gone = if is_whole { Some(Vec::new()) } else { self.members.gone_since(since) };
+        let gone =
+            if is_whole { Some(Vec::new()) } else { self.members.numbers_released_since(since) };
         let Some(gone) = gone else { return self.routes(0) };
         let number = |id: &MemberId| self.members.rows.get(id).map(|it| it.number);
-        let names_told = self.tells_successors();
+        let names_told = self.includes_successors();
         work::add_entries(self.members.rows.len() / 8);
         let mut changed = self.slots_changed_since(since);
         let run = |(slot, row): &(Slot, &SlotRow)| RouteRange {
@@ -118,26 +119,26 @@
             owner: row.holder.grant().and_then(|it| number(&it.member)),
             token: row.last_token,
             successors: match names_told {
-                true => row.names.iter().filter_map(number).collect(),
+                true => row.candidates.iter().filter_map(number).collect(),
                 false => Vec::new(),
             },
         };
         work::add_entries(4 * changed.len());
         let mut slots = joined(changed.iter().map(run));
         let mut version = self.route_version;
-        if slots.len() > ROUTE_RUNS_MAX {
+        if slots.len() > ROUTE_RANGES_MAX {
             // The oldest changes first, so that the receiver has all up to one version.
-            changed.sort_by_key(|(_, row)| row.changed_in);
-            changed.truncate(ROUTE_RUNS_MAX);
-            version = changed.last().map_or(version, |(_, row)| row.changed_in);
+            changed.sort_by_key(|(_, row)| row.changed_version);
+            changed.truncate(ROUTE_RANGES_MAX);
+            version = changed.last().map_or(version, |(_, row)| row.changed_version);
             changed.sort_by_key(|(slot, _)| *slot);
             slots = joined(changed.iter().map(run));
         }
-        let keys = self.table.keys.iter().filter(|(_, row)| row.changed_in > since);
+        let keys = self.slot_table.keys.iter().filter(|(_, row)| row.changed_version > since);
         let keys = keys.map(|(key_hash, row)| self.route_key(*key_hash, &row.holder, number));
         let rows = self.members.rows.values();
-        let joined = rows.clone().filter(|it| it.joined_in > since);
-        let changed = rows.filter(|it| it.joined_in <= since && it.changed_in > since);
+        let joined = rows.clone().filter(|it| it.joined_version > since);
+        let changed = rows.filter(|it| it.joined_version <= since && it.changed_version > since);
         Routes {
             since,
             version,
@@ -151,17 +152,17 @@
 
     fn slots_changed_since(&self, since: u64) -> Vec<(Slot, &SlotRow)> {
         // Most of what members are told is about other members.
-        if since >= self.slots_changed_in {
+        if since >= self.slots_changed_version {
             return Vec::new();
         }
-        work::add_entries(self.table.slots.len());
-        self.table.iter().filter(|(_, row)| row.changed_in > since).collect()
+        work::add_entries(self.slot_table.slots.len());
+        self.slot_table.iter().filter(|(_, row)| row.changed_version > since).collect()
     }
 
     /// Successors are told while that keeps the routes short: they cut the slots of each owner into up to
     /// eight runs.
-    pub(super) fn tells_successors(&self) -> bool {
-        self.members.rows.len() <= SUCCESSORS_TOLD_MAX
+    pub(super) fn includes_successors(&self) -> bool {
+        self.members.rows.len() <= ROUTE_SUCCESSORS_MEMBERS_MAX
     }
 
     fn route_key(
@@ -182,14 +183,14 @@
     }
 
     /// Where routing goes by load, loads are told now and then; the more members, the less often.
-    pub(super) fn refresh_member_loads(&mut self, ctx: &Ctx<'_>) {
-        if ctx.config.keyed || self.next_member_loads > ctx.now {
+    pub(super) fn refresh_loads(&mut self, ctx: &Ctx<'_>) {
+        if ctx.config.keyed || self.next_loads_refresh_at > ctx.now {
             return;
         }
         let members = self.members.rows.len().max(3) as u32;
-        self.next_member_loads = ctx.now + MEMBER_LOADS_EVERY * members;
-        let version = self.bump_routes();
-        self.members.rows.values_mut().for_each(|it| it.changed_in = version);
+        self.next_loads_refresh_at = ctx.now + LOADS_REFRESH_PER_MEMBER * members;
+        let version = self.bump_route_version();
+        self.members.rows.values_mut().for_each(|it| it.changed_version = version);
     }
 }
 
--- a/crates/ownership/src/coordinator/grants.rs
+++ b/crates/ownership/src/coordinator/grants.rs
@@ -13,18 +13,18 @@
 
 use super::{
     Coordination,
+    incarnations::SuccessorIncarnations,
     runs::EarlierRuns,
-    seats::Heirs,
     slots::{Grant, Holder, KeyHolder},
 };
 
 /// How long a slot waits at most for a plan that gives it back to the instance of its former owner:
 /// joins are gathered for 0.1 s and a plan is written within 0.1 s, which leaves room for one more try.
-const HEIR_WAIT: Duration = Duration::from_millis(500);
+const SUCCESSOR_RESERVATION_MAX: Duration = Duration::from_millis(500);
 
 /// The tokens of grants that are given in one go.
 #[derive(Debug, Default)]
-pub(super) struct Batch {
+pub(super) struct GrantBatch {
     tokens: Vec<(MemberId, Token)>,
 }
 
@@ -35,22 +35,26 @@
             return;
         }
         let waits = ctx.limits().coordinator_lease == CoordinatorLease::Full
-            && !self.succession.is_outlasted()
+            && !self.succession.is_past_earlier_leases()
             && rules::is_enforced(Rule::WaitForCoordinatorLease);
-        work::add_entries(self.table.slots.len());
-        for (slot, row) in self.table.slot_count.iter().zip(&mut self.table.slots) {
+        work::add_entries(self.slot_table.slots.len());
+        for (slot, row) in self.slot_table.slot_count.iter().zip(&mut self.slot_table.slots) {
             if row.holder == Holder::Unknown
-                && self.succession.is_clear(ctx.now, &self.confirm, self.plan.slot_names(slot))
+                && self.succession.has_no_holder_among(
+                    ctx.now,
+                    &self.confirmation,
+                    self.plan.slot_candidates(slot),
+                )
             {
                 row.holder = Holder::lapsed(ctx.now);
                 if waits {
-                    let lives = self.plan.slot_lives(slot);
+                    let lives = self.plan.slot_candidate_instances(slot);
                     let lost =
-                        lives.filter(|it| !self.succession.has_vouched(&MemberId::from(*it)));
+                        lives.filter(|it| !self.succession.is_free_of_runs(&MemberId::from(*it)));
                     let end = |it: &Instance| self.succession.runs_end(it);
                     row.runs.add_all(&EarlierRuns::of_earlier_terms(lost, end));
                 }
-                self.confirm.prove_soon(ctx.now);
+                self.confirmation.request_confirmation(ctx.now);
             }
         }
         self.resolve_unknown_keys(ctx);
@@ -58,16 +62,16 @@
 
     /// Grants what is free to the first member that the plan names and that can take it.
     pub(super) fn grant_free(&mut self, ctx: &mut Ctx<'_>) {
-        let proved_at = self.confirm.proved_at();
-        work::add_entries(self.table.slots.len() / 4);
-        let free = self.table.iter().filter(|(_, row)| row.holder.is_free(proved_at));
+        let proved_at = self.confirmation.proved_at();
+        work::add_entries(self.slot_table.slots.len() / 4);
+        let free = self.slot_table.iter().filter(|(_, row)| row.holder.is_free(proved_at));
         let free: Vec<Slot> = free.map(|it| it.0).collect();
         self.grant_all(ctx, &free);
     }
 
     /// The same for slots that their holders have just given up: a planned move waits for no tick.
-    pub(super) fn grant_given_up(&mut self, ctx: &mut Ctx<'_>) {
-        let slots = std::mem::take(&mut self.given_up);
+    pub(super) fn grant_released(&mut self, ctx: &mut Ctx<'_>) {
+        let slots = std::mem::take(&mut self.released_slots);
         self.grant_all(ctx, &slots);
     }
 
@@ -75,18 +79,24 @@
         if slots.is_empty() || !self.may_renew(ctx) || self.plan.acked().is_none() {
             return;
         }
-        let mut batch = Batch::default();
+        let mut batch = GrantBatch::default();
         // Heirs are looked for among all members; most of the time nothing is free.
-        let heirs = self.heirs();
+        let incarnations = self.successor_incarnations();
         work::add_entries(4 * slots.len());
         for slot in slots {
-            self.grant_if_free(ctx, *slot, &heirs, &mut batch);
+            self.grant_if_free(ctx, *slot, &incarnations, &mut batch);
         }
     }
 
-    fn grant_if_free(&mut self, ctx: &mut Ctx<'_>, slot: Slot, heirs: &Heirs, batch: &mut Batch) {
-        let row = &self.table.slots[usize::from(slot.0)];
-        if !row.holder.is_free(self.confirm.proved_at()) {
+    fn grant_if_free(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        slot: Slot,
+        incarnations: &SuccessorIncarnations,
+        batch: &mut GrantBatch,
+    ) {
+        let row = &self.slot_table.slots[usize::from(slot.0)];
+        if !row.holder.is_free(self.confirmation.proved_at()) {
             return;
         }
         let prepared = row.handover.as_ref().map(|it| (it.to.clone(), it.token));
@@ -94,10 +104,10 @@
             Some((to, token)) if self.may_take(ctx.now, slot, &to) => {
                 self.grant(ctx, slot, to, Some(token))
             }
-            _ if self.waits_for_heir(ctx.now, slot, heirs) => {}
+            _ if self.is_reserved_for_successor(ctx.now, slot, incarnations) => {}
             _ => {
                 let able = |it: &&MemberId| self.may_take(ctx.now, slot, it);
-                let to = self.plan.slot_names(slot).find(able).cloned();
+                let to = self.plan.slot_candidates(slot).find(able).cloned();
                 if let Some(to) = to {
                     let token = self.batch_token(ctx, batch, &to);
                     self.grant(ctx, slot, to, Some(token));
@@ -108,19 +118,30 @@
 
     /// Whether the next plan gives the slot back to the instance that had it: its upstream has the keys
     /// warm, and other owners would start cold.
-    pub(super) fn waits_for_heir(&self, now: Timestamp, slot: Slot, heirs: &Heirs) -> bool {
-        let Holder::Nobody { lapsed_at: Some(lapsed_at) } =
-            self.table.slots[usize::from(slot.0)].holder
+    pub(super) fn is_reserved_for_successor(
+        &self,
+        now: Timestamp,
+        slot: Slot,
+        incarnations: &SuccessorIncarnations,
+    ) -> bool {
+        let Holder::Vacant { lapsed_at: Some(lapsed_at) } =
+            self.slot_table.slots[usize::from(slot.0)].holder
         else {
             return false;
         };
         let owner = self.plan.planned_owner(slot);
-        owner.is_some_and(|it| heirs.of(it).is_some()) && now.since(lapsed_at) < HEIR_WAIT
+        owner.is_some_and(|it| incarnations.of(it).is_some())
+            && now.since(lapsed_at) < SUCCESSOR_RESERVATION_MAX
     }
 
     /// A new token; where the order of slots means something, one for all that a member is granted
     /// at a time, so that a run of slots is one grant at its upstream.
-    pub(super) fn batch_token(&mut self, ctx: &Ctx<'_>, batch: &mut Batch, to: &MemberId) -> Token {
+    pub(super) fn batch_token(
+        &mut self,
+        ctx: &Ctx<'_>,
+        batch: &mut GrantBatch,
+        to: &MemberId,
+    ) -> Token {
         match batch.tokens.iter().find(|it| it.0 == *to) {
             Some((_, token)) if ctx.config.ordered => *token,
             _ => {
@@ -132,36 +153,36 @@
     }
 
     pub(super) fn may_grant(&self, slot: Slot, to: &MemberId) -> bool {
-        self.members.eligible(to) && self.plan.names_slot(slot, to)
+        self.members.eligible(to) && self.plan.is_slot_candidate(slot, to)
     }
 
     /// The same, and no run of an earlier grant may go on at another upstream.
     pub(super) fn may_take(&self, now: Timestamp, slot: Slot, to: &MemberId) -> bool {
-        let runs = &self.table.slots[usize::from(slot.0)].runs;
+        let runs = &self.slot_table.slots[usize::from(slot.0)].runs;
         let row = self.members.rows.get(to);
         self.may_grant(slot, to) && row.is_some_and(|it| !runs.any_elsewhere(now, &it.instance))
     }
 
     fn grant(&mut self, ctx: &mut Ctx<'_>, slot: Slot, to: MemberId, token: Option<Token>) {
-        let last = self.table.slots[usize::from(slot.0)].last_token;
+        let last = self.slot_table.slots[usize::from(slot.0)].last_token;
         // A key that came back to the slot meanwhile may have a later token than was prepared.
         let token = token.filter(|it| *it > last).unwrap_or_else(|| self.next_token());
-        let version = self.bump_slot_routes();
+        let version = self.bump_slot_route_version();
         assert!(self.may_take(ctx.now, slot, &to), "slot {slot} is granted while runs may go on");
         self.exclude_keys(slot, &to);
-        let row = &mut self.table.slots[usize::from(slot.0)];
-        let is_free = row.holder.is_free(self.confirm.proved_at());
+        let row = &mut self.slot_table.slots[usize::from(slot.0)];
+        let is_free = row.holder.is_free(self.confirmation.proved_at());
         assert!(is_free, "slot {slot} is granted while {:?}", row.holder);
         assert!(token > row.last_token, "token {token} of slot {slot} after {}", row.last_token);
         let handover = row.handover.take();
         let reason = match (&row.holder, handover) {
             _ if row.last_token == Token::default() => MoveReason::First,
-            (Holder::Nobody { lapsed_at: None }, Some(it)) => it.reason,
+            (Holder::Vacant { lapsed_at: None }, Some(it)) => it.reason,
             _ => MoveReason::Loss,
         };
         let Some(member) = self.members.rows.get_mut(&to) else { return };
         let session = member.session;
-        member.command(Command::Admit { slot, token });
+        member.enqueue(Command::Admit { slot, token });
         let instance = member.instance.clone();
         row.holder = Holder::Member(Grant { member: to, session, token, closing: false });
         row.last_token = token;
@@ -169,7 +190,7 @@
         if reason == MoveReason::Rebalance {
             row.moved_at = Some(ctx.now);
         }
-        row.changed_in = version;
+        row.changed_version = version;
         ctx.event(Event::Granted { slot, token, to: instance, reason });
     }
 
@@ -178,7 +199,7 @@
     fn exclude_keys(&mut self, slot: Slot, to: &MemberId) {
         let mut commands = Vec::new();
         let serves = |it: &Grant| it.member == *to && !it.closing && self.members.is_current(it);
-        for (key_hash, row) in self.table.keys_of(slot) {
+        for (key_hash, row) in self.slot_table.keys_of(slot) {
             let owner = match &row.holder {
                 KeyHolder::Slot => continue,
                 KeyHolder::Entry(Holder::Member(it)) if serves(it) => continue,
@@ -195,7 +216,7 @@
         for (key_hash, owner) in commands {
             let owner = owner.unwrap_or_else(|| member.instance.clone());
             member.excluded.insert(key_hash);
-            member.command(Command::ExcludeKey { key_hash, owner });
+            member.enqueue(Command::ExcludeKey { key_hash, owner });
         }
     }
 }
--- a/crates/ownership/src/coordinator/handover.rs
+++ b/crates/ownership/src/coordinator/handover.rs
@@ -13,7 +13,7 @@
 
 use super::{
     Coordination,
-    grants::Batch,
+    grants::GrantBatch,
     slots::{Handover, HandoverStep, Holder, KeyHolder},
 };
 
@@ -35,11 +35,11 @@
         if !self.may_renew(ctx) || self.plan.acked().is_none() {
             return;
         }
-        let mut running = self.table.slots.iter().filter(|it| it.handover.is_some()).count();
-        let mut batch = Batch::default();
-        work::add_entries(4 * self.table.slots.len());
-        for slot in self.table.slot_count.iter() {
-            match self.next_step(ctx, slot) {
+        let mut running = self.slot_table.slots.iter().filter(|it| it.handover.is_some()).count();
+        let mut batch = GrantBatch::default();
+        work::add_entries(4 * self.slot_table.slots.len());
+        for slot in self.slot_table.slot_count.iter() {
+            match self.next_action(ctx, slot) {
                 // Ordered slots go by runs, and their planner bounds how many of these move.
                 Some(Next::Start(to))
                     if running < HANDOVERS_MAX || ctx.config.ordered || self.is_urgent(slot) =>
@@ -51,7 +51,7 @@
                 Some(Next::Close) => self.close_for_handover(ctx, slot),
                 Some(Next::Cancel) => {
                     running -= 1;
-                    self.table.slots[usize::from(slot.0)].handover = None;
+                    self.slot_table.slots[usize::from(slot.0)].handover = None;
                 }
                 Some(Next::Start(_)) | None => {}
             }
@@ -59,16 +59,16 @@
     }
 
     fn is_urgent(&self, slot: Slot) -> bool {
-        let grant = self.table.slots[usize::from(slot.0)].holder.grant();
+        let grant = self.slot_table.slots[usize::from(slot.0)].holder.grant();
         let holder = grant.and_then(|it| self.members.rows.get(&it.member));
-        holder.is_some_and(|it| it.must_give_up())
+        holder.is_some_and(|it| it.must_release())
     }
 
-    fn next_step(&self, ctx: &Ctx<'_>, slot: Slot) -> Option<Next> {
-        let row = &self.table.slots[usize::from(slot.0)];
+    fn next_action(&self, ctx: &Ctx<'_>, slot: Slot) -> Option<Next> {
+        let row = &self.slot_table.slots[usize::from(slot.0)];
         let grant = row.holder.grant().filter(|it| !it.closing && self.members.is_current(it))?;
         let holder = self.members.rows.get(&grant.member);
-        let must_give_up = holder.is_some_and(|it| it.must_give_up());
+        let must_release = holder.is_some_and(|it| it.must_release());
         match &row.handover {
             Some(it) if !self.may_grant(slot, &it.to) => Some(Next::Cancel),
             Some(Handover { step: HandoverStep::Preparing { since }, .. }) => {
@@ -77,8 +77,8 @@
                 (hung || late).then_some(Next::Close)
             }
             Some(Handover { step: HandoverStep::Closing, .. }) => None,
-            None if self.a_key_leaves(slot) => None,
-            None if must_give_up => match self.heir(ctx.now, slot, &grant.member) {
+            None if self.has_leaving_key(slot) => None,
+            None if must_release => match self.successor_for(ctx.now, slot, &grant.member) {
                 Some(heir) => Some(Next::Start(heir)),
                 None if self.members.any_eligible() => None,
                 None => Some(Next::Close),
@@ -94,31 +94,33 @@
 
     /// Who takes over a slot whose owner is leaving: the planned owner, or the first successor. While none of
     /// them could be granted it, an owner that can still serve keeps it.
-    fn heir(&self, now: Timestamp, slot: Slot, holder: &MemberId) -> Option<MemberId> {
+    fn successor_for(&self, now: Timestamp, slot: Slot, holder: &MemberId) -> Option<MemberId> {
         let row = self.members.rows.get(holder);
         let serves = row.is_some_and(|it| it.upstream != UpstreamState::Lost);
         let able = |it: &MemberId| match serves {
             true => self.may_take(now, slot, it),
             false => self.may_grant(slot, it),
         };
-        let mut names = self.plan.slot_names(slot);
+        let mut names = self.plan.slot_candidates(slot);
         names.find(|it| *it != holder && able(it)).cloned()
     }
 
-    fn a_key_leaves(&self, slot: Slot) -> bool {
-        self.table.keys_of(slot).any(|(_, row)| matches!(row.holder, KeyHolder::LeavingSlot(_)))
+    fn has_leaving_key(&self, slot: Slot) -> bool {
+        self.slot_table
+            .keys_of(slot)
+            .any(|(_, row)| matches!(row.holder, KeyHolder::LeavingSlot(_)))
     }
 
     fn start_handover(&mut self, ctx: &mut Ctx<'_>, slot: Slot, to: MemberId, token: Token) {
-        let row = &mut self.table.slots[usize::from(slot.0)];
+        let row = &mut self.slot_table.slots[usize::from(slot.0)];
         let holder = row.holder.grant().map(|it| it.member.clone());
         let planned = holder
-            .is_some_and(|it| self.members.rows.get(&it).is_some_and(|it| !it.must_give_up()));
+            .is_some_and(|it| self.members.rows.get(&it).is_some_and(|it| !it.must_release()));
         if planned {
-            self.moved.push_back(ctx.now);
+            self.recent_moves.push_back(ctx.now);
         }
         if let Some(member) = self.members.rows.get_mut(&to) {
-            member.command(Command::Prepare { slot, token });
+            member.enqueue(Command::Prepare { slot, token });
         }
         let step = HandoverStep::Preparing { since: ctx.now };
         let reason = if planned { MoveReason::Rebalance } else { MoveReason::Leave };
@@ -127,7 +129,7 @@
 
     /// Tells the old owner to give the slot up.
     pub(super) fn close_for_handover(&mut self, _ctx: &mut Ctx<'_>, slot: Slot) {
-        let row = &mut self.table.slots[usize::from(slot.0)];
+        let row = &mut self.slot_table.slots[usize::from(slot.0)];
         let Holder::Member(grant) = &mut row.holder else { return };
         let to = row.handover.as_mut().map(|it| {
             it.step = HandoverStep::Closing;
@@ -137,10 +139,10 @@
         grant.closing = true;
         let (member, token) = (grant.member.clone(), grant.token);
         if !rules::is_enforced(Rule::WaitForClose) {
-            row.holder = Holder::Nobody { lapsed_at: None };
+            row.holder = Holder::Vacant { lapsed_at: None };
         }
         if let Some(member) = self.members.rows.get_mut(&member) {
-            member.command(Command::Close { slot, token, to });
+            member.enqueue(Command::Close { slot, token, to });
         }
     }
 }
--- a/crates/ownership/src/coordinator/seats.rs
+++ b/crates/ownership/src/coordinator/incarnations.rs
@@ -26,15 +26,15 @@
 
 /// For planned owners that have ended, the new life of the same agent.
 #[derive(Debug, Default)]
-pub(super) struct Heirs(BTreeMap<MemberId, MemberId>);
+pub(super) struct SuccessorIncarnations(BTreeMap<MemberId, MemberId>);
 
-impl Heirs {
+impl SuccessorIncarnations {
     pub(super) fn of(&self, owner: &MemberId) -> Option<&MemberId> {
         self.0.get(owner)
     }
 }
 
-fn is_earlier_life(it: &Instance, of: &Instance) -> bool {
+fn is_earlier_incarnation(it: &Instance, of: &Instance) -> bool {
     is_same_agent(it, of) && !is_same_incarnation(it, of)
 }
 
@@ -44,7 +44,7 @@
     ///
     /// They are asked no earlier than the first plan of this term is acknowledged: whoever answers was
     /// alive after the plan of the earlier terms was read, so every life that this names came before it.
-    pub(super) fn ask_to_clear(&mut self, ctx: &Ctx<'_>) {
+    pub(super) fn request_clearing(&mut self, ctx: &Ctx<'_>) {
         let enforced = ctx.config.keyed && ctx.limits().coordinator_lease == CoordinatorLease::Full;
         if !enforced || self.plan.acked().is_none() {
             return;
@@ -56,104 +56,105 @@
             let token = self.next_token();
             if let Some(row) = self.members.rows.get_mut(&id) {
                 row.earlier_sessions = EarlierSessions::Clearing { token };
-                row.command(Command::Clear { token });
+                row.enqueue(Command::Clear { token });
             }
             if !rules::is_enforced(Rule::ClearEarlierIncarnations) {
-                self.earlier_lives_cleared(ctx.now, &id);
+                self.end_earlier_sessions(ctx.now, &id);
             }
         }
     }
 
     /// A member says that its upstream is cleared: it counts only for what this term has asked this session.
-    pub(super) fn cleared(&mut self, now: Timestamp, id: &MemberId, token: Token) {
+    pub(super) fn handle_cleared(&mut self, now: Timestamp, id: &MemberId, token: Token) {
         let asked = self.members.rows.get(id).map(|it| it.earlier_sessions);
         if asked == Some(EarlierSessions::Clearing { token }) {
-            self.earlier_lives_cleared(now, id);
+            self.end_earlier_sessions(now, id);
         }
     }
 
     /// The upstream beside a member holds nothing of the member's earlier sessions: those of earlier lives end
     /// now, and of its own life nothing is left that had to be waited for.
-    fn earlier_lives_cleared(&mut self, now: Timestamp, id: &MemberId) {
+    fn end_earlier_sessions(&mut self, now: Timestamp, id: &MemberId) {
         let Some(row) = self.members.rows.get_mut(id) else { return };
         row.earlier_sessions = EarlierSessions::Cleared;
         let (instance, joined_at, session) = (row.instance.clone(), row.joined_at, row.session);
         let own = self.members.lapsing.iter_mut().filter(|it| it.member == *id);
         for it in own.filter(|it| it.session < session) {
-            self.table.keep_runs(now, &instance, it.session, it.until);
+            self.slot_table.retain_runs(now, &instance, it.session, it.until);
             it.until = it.until.min(now);
         }
         // One that joined later is a later life, and this one's word has been long on the way.
         let ended = self.members.rows.values_mut().filter(|it| it.joined_at < joined_at);
-        for row in ended.filter(|it| is_earlier_life(&it.instance, &instance)) {
-            self.table.keep_runs(now, &row.instance, row.session, row.lease_until);
+        for row in ended.filter(|it| is_earlier_incarnation(&it.instance, &instance)) {
+            self.slot_table.retain_runs(now, &row.instance, row.session, row.lease_until);
             row.lease_until = row.lease_until.min(now);
         }
         let times = self.object.acked().times;
-        self.succession.cleared(id.clone(), joined_at, times);
+        self.succession.record_cleared(id.clone(), joined_at, times);
         let planned = self.plan.acked().map_or(&[][..], |it| it.members.as_slice());
-        let earlier = planned.iter().filter(|it| is_earlier_life(it, &instance));
+        let earlier = planned.iter().filter(|it| is_earlier_incarnation(it, &instance));
         for it in earlier {
-            self.succession.cleared(it.into(), joined_at, times);
+            self.succession.record_cleared(it.into(), joined_at, times);
         }
         self.wake();
-        self.propose_soon(now);
+        self.schedule_proposal(now);
     }
 
     /// What an earlier term has granted to a member may also be at work from earlier lives of that member, or
     /// from earlier sessions, where the plan that was found names them.
-    pub(super) fn keep_runs_beside_holders(&mut self, ctx: &Ctx<'_>, slots: &[Slot]) {
+    pub(super) fn retain_runs_at_holders(&mut self, ctx: &Ctx<'_>, slots: &[Slot]) {
         let enforced = ctx.limits().coordinator_lease == CoordinatorLease::Full;
-        if !enforced || self.succession.is_outlasted() || self.plan.acked().is_none() {
+        if !enforced || self.succession.is_past_earlier_leases() || self.plan.acked().is_none() {
             return;
         }
         work::add_entries(slots.len());
         let holder = |it: &Grant| self.members.rows.get(&it.member).map(|it| &it.instance);
         let earlier = |it: &&Grant| it.token.term != self.term;
-        let lost = |it: &Instance| !self.succession.has_vouched(&MemberId::from(it));
+        let lost = |it: &Instance| !self.succession.is_free_of_runs(&MemberId::from(it));
         let end = |it: &Instance| self.succession.runs_end(it);
         for slot in slots {
-            let Some(row) = self.table.slots.get_mut(usize::from(slot.0)) else { continue };
+            let Some(row) = self.slot_table.slots.get_mut(usize::from(slot.0)) else { continue };
             let Some(holder) = row.holder.grant().filter(earlier).and_then(holder) else {
                 continue;
             };
-            let lives = self.plan.slot_lives(*slot);
+            let lives = self.plan.slot_candidate_instances(*slot);
             let beside = lives.filter(|it| is_same_agent(it, holder) && lost(it));
             row.runs.add_all(&EarlierRuns::of_earlier_terms(beside, end));
         }
-        for (key_hash, row) in &mut self.table.keys {
+        for (key_hash, row) in &mut self.slot_table.keys {
             let Some(holder) = row.holder.grant().filter(earlier).and_then(holder) else {
                 continue;
             };
-            let by_slot = self.plan.slot_lives(self.table.slot_count.slot_of(*key_hash));
-            let lives = self.plan.key_lives(*key_hash).chain(by_slot);
+            let by_slot =
+                self.plan.slot_candidate_instances(self.slot_table.slot_count.slot_of(*key_hash));
+            let lives = self.plan.key_candidate_instances(*key_hash).chain(by_slot);
             let beside = lives.filter(|it| is_same_agent(it, holder) && lost(it));
             row.runs.add_all(&EarlierRuns::of_earlier_terms(beside, end));
         }
     }
 
     /// The member beside whose upstream alone runs of a slot may go on.
-    pub(super) fn next_to_runs(&self, now: Timestamp, row: &SlotRow) -> Option<&MemberId> {
-        let life = row.runs.lives(now).next()?;
+    pub(super) fn sole_member_with_runs(&self, now: Timestamp, row: &SlotRow) -> Option<&MemberId> {
+        let life = row.runs.instances(now).next()?;
         let mut able = self.members.rows.iter().filter(|(_, it)| it.is_eligible());
         let (id, member) = able.find(|(_, it)| is_same_agent(&it.instance, life))?;
         (!row.runs.any_elsewhere(now, &member.instance)).then_some(id)
     }
 
     /// Whether the plan in force gives slots to an earlier life of a member.
-    pub(super) fn has_heritage(&self, row: &MemberRow) -> bool {
-        self.plan.owners().any(|it| is_earlier_life(it, &row.instance))
+    pub(super) fn has_predecessor(&self, row: &MemberRow) -> bool {
+        self.plan.owners().any(|it| is_earlier_incarnation(it, &row.instance))
     }
 
     /// New lives that can take over what the plan in force gives to an earlier one.
-    pub(super) fn heirs(&self) -> Heirs {
-        let cleared = self.members.rows.iter().filter(|(_, row)| row.is_heir());
+    pub(super) fn successor_incarnations(&self) -> SuccessorIncarnations {
+        let cleared = self.members.rows.iter().filter(|(_, row)| row.is_successor());
         let planned = self.plan.acked().map_or(&[][..], |it| it.members.as_slice());
         work::add_entries(cleared.clone().count() * planned.len() / 4);
         let pairs = cleared.flat_map(|(id, row)| {
-            let earlier = planned.iter().filter(|it| is_earlier_life(it, &row.instance));
+            let earlier = planned.iter().filter(|it| is_earlier_incarnation(it, &row.instance));
             earlier.map(|it| (MemberId::from(it), id.clone()))
         });
-        Heirs(pairs.collect())
+        SuccessorIncarnations(pairs.collect())
     }
 }
--- a/crates/ownership/src/coordinator/loads.rs
+++ b/crates/ownership/src/coordinator/loads.rs
@@ -16,9 +16,9 @@
 /// Keys whose load is kept, over all members.
 const HOT_KEYS_MAX: usize = 256;
 /// A key's load loses this share with each proposal in which nobody has reported it.
-const FADE: f64 = 0.3;
+const UNREPORTED_DECAY: f64 = 0.3;
 /// A key with less load than this is forgotten.
-const FORGOTTEN_US_PER_S: f64 = 100.0;
+const LOAD_MIN_US_PER_S: f64 = 100.0;
 
 /// The hottest keys of the group, in bounded memory.
 #[derive(Debug, Default)]
@@ -39,13 +39,13 @@
             it.reported = true;
             return;
         }
-        if self.loads.len() < HOT_KEYS_MAX || self.make_room(us_per_s) {
+        if self.loads.len() < HOT_KEYS_MAX || self.evict_lighter(us_per_s) {
             self.loads.insert(key_hash, HotKeyLoad { us_per_s, reported: true });
         }
     }
 
     /// Forgets the coolest key if it is cooler than this.
-    fn make_room(&mut self, us_per_s: f64) -> bool {
+    fn evict_lighter(&mut self, us_per_s: f64) -> bool {
         let coolest = self.loads.iter().min_by(|a, b| a.1.us_per_s.total_cmp(&b.1.us_per_s));
         let Some((key_hash, load)) = coolest else { return true };
         let (key_hash, cooler) = (*key_hash, load.us_per_s < us_per_s);
@@ -56,14 +56,14 @@
     }
 
     /// Lets keys that nobody reports any more cool down.
-    pub(crate) fn fade(&mut self) {
+    pub(crate) fn decay_unreported(&mut self) {
         for it in self.loads.values_mut() {
             if !it.reported {
-                it.us_per_s *= 1.0 - FADE;
+                it.us_per_s *= 1.0 - UNREPORTED_DECAY;
             }
             it.reported = false;
         }
-        self.loads.retain(|_, it| it.us_per_s >= FORGOTTEN_US_PER_S);
+        self.loads.retain(|_, it| it.us_per_s >= LOAD_MIN_US_PER_S);
     }
 
     pub(crate) fn load(&self, key_hash: KeyHash) -> f64 {
@@ -83,7 +83,7 @@
 
 impl Coordination {
     /// Whether the members' loads can be compared: a new coordinator hears of them one by one.
-    pub(super) fn loads_are_known(&self, now: Timestamp) -> bool {
+    pub(super) fn has_comparable_loads(&self, now: Timestamp) -> bool {
         let known = |row: &MemberRow| {
             !row.is_eligible()
                 || row.load_reports >= REPORTS_MIN
@@ -92,7 +92,7 @@
         self.members.rows.values().all(known)
     }
 
-    pub(super) fn take_loads(&mut self, id: &MemberId, report: &LoadReport) {
+    pub(super) fn apply_load_report(&mut self, id: &MemberId, report: &LoadReport) {
         if report.period_ms == 0 {
             return;
         }
@@ -107,17 +107,17 @@
         for it in &report.slots {
             rest_us = rest_us.saturating_sub(it.load_us);
             reported.push(it.slot);
-            if let Some(row) = self.table.row(it.slot) {
+            if let Some(row) = self.slot_table.row(it.slot) {
                 smooth(&mut row.load_us_per_s, per_s(it.load_us));
             }
         }
-        self.share_rest(id, &reported, per_s(rest_us.saturating_sub(keys_us)));
+        self.distribute_rest(id, &reported, per_s(rest_us.saturating_sub(keys_us)));
     }
 
     /// Slots too light to be reported share what is left of their owner's load.
-    fn share_rest(&mut self, id: &MemberId, reported: &[Slot], rest_us_per_s: f64) {
-        work::add_entries(self.table.slots.len() / 2);
-        let slots = self.table.slot_count.iter().zip(&mut self.table.slots);
+    fn distribute_rest(&mut self, id: &MemberId, reported: &[Slot], rest_us_per_s: f64) {
+        work::add_entries(self.slot_table.slots.len() / 2);
+        let slots = self.slot_table.slot_count.iter().zip(&mut self.slot_table.slots);
         let mut others: Vec<&mut Option<f64>> = slots
             .filter(|(slot, row)| {
                 row.holder.grant().is_some_and(|it| it.member == *id) && !reported.contains(slot)
--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -15,9 +15,9 @@
 const WITNESSES_MAX: usize = 5;
 const WITNESSES_MIN: usize = 3;
 /// A member becomes a witness when it has been there for this long.
-const WITNESS_AFTER: Duration = Duration::from_secs(1);
+const WITNESS_AGE_MIN: Duration = Duration::from_secs(1);
 /// How long a majority may be missing before the other path is declared.
-const MISSING_MAX: Duration = Duration::from_millis(100);
+const MAJORITY_MISSING_MAX: Duration = Duration::from_millis(100);
 
 impl Coordination {
     /// Only a settled coordinator changes its object.
@@ -40,8 +40,8 @@
     fn choose_confirmation(&mut self, ctx: &Ctx<'_>, wanted: &mut Coordinator) {
         let candidates = self.witness_candidates(ctx);
         let confirmed = self.may_renew(ctx);
-        let missing = ctx.now.since(self.confirm.missing_since()) > MISSING_MAX;
-        let reachable = self.confirm.platform_is_reachable(ctx.now);
+        let missing = ctx.now.since(self.confirmation.unconfirmed_since()) > MAJORITY_MISSING_MAX;
+        let reachable = self.confirmation.is_platform_reachable(ctx.now);
         match wanted.confirmation {
             Confirmation::Witnesses if !confirmed && missing && reachable => {
                 wanted.confirmation = Confirmation::Platform;
@@ -50,7 +50,8 @@
             Confirmation::Witnesses if confirmed && reachable => {
                 let lost =
                     |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
-                let more = wanted.witnesses.len() < WITNESSES_MAX.min(odd(candidates.len()));
+                let more =
+                    wanted.witnesses.len() < WITNESSES_MAX.min(largest_odd(candidates.len()));
                 if candidates.len() < WITNESSES_MIN {
                     wanted.confirmation = Confirmation::Platform;
                     wanted.witnesses = Vec::new();
@@ -64,12 +65,12 @@
                 let lost =
                     |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
                 if wanted.witnesses.iter().any(lost) {
-                    self.confirm.read_soon(ctx.now);
+                    self.confirmation.schedule_read(ctx.now);
                 }
             }
             Confirmation::Platform if confirmed && candidates.len() >= WITNESSES_MIN => {
                 let witnesses = choose_witnesses(ctx.own_instance(), &candidates, &[]);
-                let since = *self.own_capped_since.get_or_insert(ctx.now);
+                let since = *self.own_lease_capped_since.get_or_insert(ctx.now);
                 // By now this node's own lease ends as early as a successor of the new path
                 // expects it to.
                 if ctx.now.since(since) > wanted.times.platform_confirmation() {
@@ -77,12 +78,13 @@
                     wanted.witnesses = witnesses;
                 }
             }
-            Confirmation::Platform => self.own_capped_since = None,
+            Confirmation::Platform => self.own_lease_capped_since = None,
         }
     }
 
     fn witness_candidates(&self, ctx: &Ctx<'_>) -> Vec<&Instance> {
-        let able = |row: &&MemberRow| !row.leaving && ctx.now.since(row.joined_at) >= WITNESS_AFTER;
+        let able =
+            |row: &&MemberRow| !row.leaving && ctx.now.since(row.joined_at) >= WITNESS_AGE_MIN;
         self.members.rows.values().filter(able).map(|it| &it.instance).collect()
     }
 
@@ -103,25 +105,25 @@
     }
 
     /// An update of the object has taken effect.
-    pub(super) fn confirmation_changed(&mut self, ctx: &mut Ctx<'_>) {
+    pub(super) fn apply_confirmation_change(&mut self, ctx: &mut Ctx<'_>) {
         let object = self.object.acked();
         let now = (object.confirmation, object.witnesses.iter().map(MemberId::from).collect());
         let (path, _) = &now;
-        if *path != self.confirmed_by.0 {
-            self.confirm.reset(ctx.now);
-            self.own_capped_since = None;
+        if *path != self.acked_confirmation.0 {
+            self.confirmation.reset(ctx.now);
+            self.own_lease_capped_since = None;
         }
-        if now != self.confirmed_by {
+        if now != self.acked_confirmation {
             ctx.event(Event::ConfirmationChanged {
                 confirmation: object.confirmation,
                 witnesses: object.witnesses.len() as u16,
             });
         }
-        self.confirmed_by = now;
+        self.acked_confirmation = now;
     }
 }
 
-fn odd(count: usize) -> usize {
+fn largest_odd(count: usize) -> usize {
     if count.is_multiple_of(2) { count.saturating_sub(1) } else { count }
 }
 
@@ -129,7 +131,7 @@
 /// fuller by one, so that its loss does not cost a witness as well: while it lives it can do
 /// without them. Those that are witnesses already stay where that makes no difference.
 fn choose_witnesses(me: &Instance, able: &[&Instance], former: &[Instance]) -> Vec<Instance> {
-    let count = WITNESSES_MAX.min(odd(able.len()));
+    let count = WITNESSES_MAX.min(largest_odd(able.len()));
     let mut of_zone: BTreeMap<&Zone, usize> = BTreeMap::from([(&me.zone, 1)]);
     let mut chosen: Vec<Instance> = Vec::new();
     let mut left: Vec<&Instance> = able.to_vec();
--- a/crates/ownership/src/coordinator/members.rs
+++ b/crates/ownership/src/coordinator/members.rs
@@ -17,9 +17,9 @@
 /// The most members of one group.
 pub const GROUP_MEMBERS_MAX: usize = 256;
 /// Routes that a member does not say it has are sent again after this: two renewals, and a slow link.
-const ROUTES_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const ROUTES_RESEND_AFTER: Duration = Duration::from_secs(1);
 /// How many numbers of members that are gone are remembered; who has heard nothing for so long is told all.
-pub(crate) const GONE_MAX: usize = 2 * GROUP_MEMBERS_MAX;
+pub(crate) const RELEASED_NUMBERS_MAX: usize = 2 * GROUP_MEMBERS_MAX;
 /// The weight of the newest report in a member's smoothed load.
 const LOAD_WEIGHT: f64 = 0.3;
 
@@ -44,8 +44,8 @@
     pub(crate) number: MemberNumber,
     /// The route version in which the number was given, and that in which what others are told of it changed
     /// last.
-    pub(crate) joined_in: u64,
-    pub(crate) changed_in: u64,
+    pub(crate) joined_version: u64,
+    pub(crate) changed_version: u64,
     pub(crate) session: SessionId,
     /// The newest renewal taken in.
     pub(crate) sequence: u64,
@@ -65,7 +65,7 @@
     /// The version of routes up to which the member is known to be.
     pub(crate) route_version: u64,
     /// The version of routes up to which it has been sent some.
-    pub(crate) routes_sent: u64,
+    pub(crate) routes_sent_version: u64,
     pub(crate) routes_sent_at: Timestamp,
     /// Hot keys that the session keeps out of its slots, or has been told to.
     pub(crate) excluded: BTreeSet<KeyHash>,
@@ -81,8 +81,8 @@
         MemberRow {
             instance: from.clone(),
             number: MemberNumber(0),
-            joined_in: 0,
-            changed_in: 0,
+            joined_version: 0,
+            changed_version: 0,
             session: renew.session,
             sequence: renew.sequence,
             lease_until: now,
@@ -96,7 +96,7 @@
             first_command: 1,
             last_report: 0,
             route_version: 0,
-            routes_sent: 0,
+            routes_sent_version: 0,
             routes_sent_at: now,
             excluded: BTreeSet::new(),
             earlier_sessions: match &renew.holding {
@@ -110,9 +110,9 @@
 
     /// The version of routes that it need not be told again: what was sent may have been lost, but not if the
     /// answer to it can't be here yet.
-    pub(crate) fn routes_known(&self, now: Timestamp) -> u64 {
-        match now.since(self.routes_sent_at) < ROUTES_AGAIN_AFTER {
-            true => self.route_version.max(self.routes_sent),
+    pub(crate) fn known_route_version(&self, now: Timestamp) -> u64 {
+        match now.since(self.routes_sent_at) < ROUTES_RESEND_AFTER {
+            true => self.route_version.max(self.routes_sent_version),
             false => self.route_version,
         }
     }
@@ -135,23 +135,23 @@
     }
 
     /// Whether slots of its earlier lives may be granted to it.
-    pub(crate) fn is_heir(&self) -> bool {
+    pub(crate) fn is_successor(&self) -> bool {
         self.earlier_sessions == EarlierSessions::Cleared && self.is_eligible()
     }
 
     /// Whether it is to give up all it holds.
-    pub(crate) fn must_give_up(&self) -> bool {
+    pub(crate) fn must_release(&self) -> bool {
         self.leaving || matches!(self.upstream, UpstreamState::Draining | UpstreamState::Lost)
     }
 
-    pub(crate) fn command(&mut self, command: Command) {
+    pub(crate) fn enqueue(&mut self, command: Command) {
         self.commands.push_back(command);
         self.push_due = true;
     }
 
     /// Takes a renewal's state in and gives back the reports not heard before. Says also whether
     /// something changed that others are told.
-    pub(crate) fn take_in(&mut self, renew: &Renew) -> (Vec<Report>, bool) {
+    pub(crate) fn apply_renewal(&mut self, renew: &Renew) -> (Vec<Report>, bool) {
         let changed = self.upstream != renew.upstream
             || self.leaving != renew.leaving
             || self.config != renew.config;
@@ -202,46 +202,46 @@
     pub(crate) lapsing: Vec<LapsingSession>,
     /// For each member, the newest session that has ended in this term.
     ended: BTreeMap<MemberId, SessionId>,
-    numbers: Numbers,
+    numbers: MemberNumbers,
 }
 
 /// Which numbers name members, and which named some that are gone.
 #[derive(Debug, Default)]
-struct Numbers {
-    given: u16,
+struct MemberNumbers {
+    allocated: u16,
     free: BTreeSet<MemberNumber>,
     /// The last that became free, and the route version in which they did.
-    gone: VecDeque<(u64, MemberNumber)>,
+    released: VecDeque<(u64, MemberNumber)>,
     /// What became free up to this version is not remembered any more.
-    forgotten_in: u64,
+    unknown_until_version: u64,
 }
 
-impl Numbers {
-    fn give(&mut self) -> MemberNumber {
+impl MemberNumbers {
+    fn allocate(&mut self) -> MemberNumber {
         self.free.pop_first().unwrap_or_else(|| {
-            self.given += 1;
-            MemberNumber(self.given - 1)
+            self.allocated += 1;
+            MemberNumber(self.allocated - 1)
         })
     }
 
-    fn take_back(&mut self, number: MemberNumber, version: u64) {
+    fn release(&mut self, number: MemberNumber, version: u64) {
         self.free.insert(number);
-        self.gone.push_back((version, number));
-        if self.gone.len() > GONE_MAX
-            && let Some((version, _)) = self.gone.pop_front()
+        self.released.push_back((version, number));
+        if self.released.len() > RELEASED_NUMBERS_MAX
+            && let Some((version, _)) = self.released.pop_front()
         {
-            self.forgotten_in = version;
+            self.unknown_until_version = version;
         }
     }
 }
 
 /// What a renewal is to the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum RenewalKind {
     /// The next renewal of a live session.
-    Known,
+    Current,
     /// A session that the table does not have.
-    New,
+    NewSession,
     /// Late, doubled, or of a session that a newer one has replaced.
     Stale,
     /// Of a session that has ended.
@@ -251,17 +251,17 @@
 }
 
 impl MemberTable {
-    pub(crate) fn standing(&self, id: &MemberId, renew: &Renew) -> Standing {
+    pub(crate) fn classify(&self, id: &MemberId, renew: &Renew) -> RenewalKind {
         if self.ended.get(id).is_some_and(|it| renew.session <= *it) {
-            return Standing::Ended;
+            return RenewalKind::Ended;
         }
         match self.rows.get(id) {
-            Some(row) if renew.session < row.session => Standing::Stale,
-            Some(row) if renew.session > row.session => Standing::New,
-            Some(row) if renew.sequence <= row.sequence => Standing::Stale,
-            Some(_) => Standing::Known,
-            None if self.rows.len() >= GROUP_MEMBERS_MAX => Standing::Full,
-            None => Standing::New,
+            Some(row) if renew.session < row.session => RenewalKind::Stale,
+            Some(row) if renew.session > row.session => RenewalKind::NewSession,
+            Some(row) if renew.sequence <= row.sequence => RenewalKind::Stale,
+            Some(_) => RenewalKind::Current,
+            None if self.rows.len() >= GROUP_MEMBERS_MAX => RenewalKind::Full,
+            None => RenewalKind::NewSession,
         }
     }
 
@@ -275,9 +275,9 @@
         version: u64,
     ) {
         let former = self.rows.get(&id);
-        row.number = former.map_or_else(|| self.numbers.give(), |it| it.number);
-        row.joined_in = version;
-        row.changed_in = version;
+        row.number = former.map_or_else(|| self.numbers.allocate(), |it| it.number);
+        row.joined_version = version;
+        row.changed_version = version;
         let Some(former) = self.rows.insert(id.clone(), row) else { return };
         self.end(id.clone(), former.session);
         self.lapsing.push(LapsingSession {
@@ -312,14 +312,14 @@
     }
 
     /// The number of a member that is gone names nobody, from this route version on.
-    pub(crate) fn take_number_back(&mut self, row: &MemberRow, version: u64) {
-        self.numbers.take_back(row.number, version);
+    pub(crate) fn release_number(&mut self, row: &MemberRow, version: u64) {
+        self.numbers.release(row.number, version);
     }
 
     /// Numbers that have become free since a route version; none: that is not known any more.
-    pub(crate) fn gone_since(&self, since: u64) -> Option<Vec<MemberNumber>> {
-        let gone = self.numbers.gone.iter().filter(|it| it.0 > since);
-        (since >= self.numbers.forgotten_in).then(|| gone.map(|it| it.1).collect())
+    pub(crate) fn numbers_released_since(&self, since: u64) -> Option<Vec<MemberNumber>> {
+        let gone = self.numbers.released.iter().filter(|it| it.0 > since);
+        (since >= self.numbers.unknown_until_version).then(|| gone.map(|it| it.1).collect())
     }
 
     /// Whether a grant is one of its member's current session. One of an earlier session only runs
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
 //! A node's part as coordinator of its group, while it holds the term.
 
 mod answer;
-mod confirm;
+mod confirmation;
 mod grants;
 mod handover;
 mod keys;
@@ -13,7 +13,7 @@
 mod propose;
 mod renewals;
 mod runs;
-mod seats;
+mod incarnations;
 mod slots;
 mod succession;
 
@@ -35,24 +35,24 @@
 pub use self::members::GROUP_MEMBERS_MAX;
 
 use self::{
-    answer::Whom,
-    confirm::{Confirm, ConfirmBy},
+    answer::Recipients,
+    confirmation::{ConfirmationPolicy, TermConfirmation},
     loads::HotKeys,
     members::MemberTable,
-    object::{Decided, ObjectKeeper},
-    plan::{PlanKeeper, PlanReply},
+    object::{CoordinatorWriter, UpdateOutcome},
+    plan::{PlanOutcome, PlanWriter},
     slots::{Holder, SlotTable},
     succession::Succession,
 };
 
 /// How often members that have not answered are told of the term.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(100);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long slots at rest are not looked through.
-const IDLE_FOR: Duration = Duration::from_secs(1);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 /// A new coordinator that no member answers for this long stops announcing itself.
-const DEAF_AFTER: Duration = Duration::from_secs(1);
+const RENEWAL_SILENCE_MAX: Duration = Duration::from_secs(1);
 /// How long witnesses may take to confirm a term whose record the platform has lost.
-const REAFFIRMED_WITHIN: Duration = Duration::from_millis(300);
+const RECONFIRMATION_MAX: Duration = Duration::from_millis(300);
 /// A first plan waits this long, so that all who start together are in it.
 const FIRST_PLAN_DELAY: Duration = Duration::from_millis(1000);
 
@@ -104,49 +104,49 @@
 /// All that a coordinator knows and does.
 pub(crate) struct Coordination {
     term: Term,
-    object: ObjectKeeper,
-    confirm: Confirm,
+    object: CoordinatorWriter,
+    confirmation: TermConfirmation,
     succession: Succession,
     members: MemberTable,
-    table: SlotTable,
+    slot_table: SlotTable,
     hot_keys: HotKeys,
-    plan: PlanKeeper,
+    plan: PlanWriter,
     /// The sequence of the newest token.
     sequence: u64,
     route_version: u64,
     /// The version in which a slot changed last.
-    slots_changed_in: u64,
+    slots_changed_version: u64,
     /// The routes that were told last: many are told the same.
-    routes_told: Option<Arc<Routes>>,
+    cached_routes: Option<Arc<Routes>>,
     /// The version in which these were made.
-    routes_made_in: u64,
-    next_member_loads: Timestamp,
+    cached_routes_version: u64,
+    next_loads_refresh_at: Timestamp,
     config: ConfigVersion,
     /// Others to tell of the term, besides those that the plan names.
-    known: Vec<Instance>,
-    next_announcement: Timestamp,
-    next_proposal: Timestamp,
+    known_instances: Vec<Instance>,
+    next_announcement_at: Timestamp,
+    next_proposal_at: Timestamp,
     proposed_at: Timestamp,
     /// A first plan waits for joins, as long as they come, up to this time.
-    first_plan_by: Timestamp,
+    first_plan_deadline: Timestamp,
     /// Since when some member could be granted something, while nothing has ever been.
     first_ready_at: Option<Timestamp>,
     /// When slots were moved to even out the load, within the last minute.
-    moved: VecDeque<Timestamp>,
+    recent_moves: VecDeque<Timestamp>,
     /// Since when the document has asked for other times than the object holds.
     times_differ_since: Option<Timestamp>,
     /// The path of confirmation and the witnesses, as last acknowledged.
-    confirmed_by: (Confirmation, Vec<MemberId>),
+    acked_confirmation: (Confirmation, Vec<MemberId>),
     /// The latest time until which this node's own lease was ever extended by this term.
-    own_until: Timestamp,
+    own_lease_until: Timestamp,
     /// All is granted and at rest: until then slots are not looked through, unless woken.
     idle_until: Timestamp,
     /// Slots that have been given up and may be granted at once.
-    given_up: Vec<Slot>,
+    released_slots: Vec<Slot>,
     /// Since when this node's own lease is kept as short as witnesses would keep it.
-    own_capped_since: Option<Timestamp>,
+    own_lease_capped_since: Option<Timestamp>,
     /// When any member was last heard.
-    heard_at: Timestamp,
+    last_renewal_at: Timestamp,
     releasing: bool,
     /// When the platform was found to have come back from an older copy.
     rolled_back_at: Option<Timestamp>,
@@ -156,23 +156,24 @@
     pub(crate) fn new(
         ctx: &mut Ctx<'_>,
         acquired: AcquiredTerm,
-        known: Vec<Instance>,
+        known_instances: Vec<Instance>,
     ) -> Coordination {
         let AcquiredTerm { object, version, previous: former, sent_at, carried_plan: carried } =
             acquired;
         let term = object.term;
         let first_term = former.is_none();
-        let object = ObjectKeeper::new(object, version);
+        let object = CoordinatorWriter::new(object, version);
         let times = object.acked().times.min(ctx.limits().into());
-        let confirm = Confirm::new(ctx.now, sent_at, &object.confirm_by(times));
+        let confirmation =
+            TermConfirmation::new(ctx.now, sent_at, &object.confirmation_policy(times));
         let coordinator_lease = ctx.limits().coordinator_lease;
         let nothing_to_wait_for = !ctx.config.keyed;
         let former = former.filter(|_| !nothing_to_wait_for);
         let mut succession = Succession::new(ctx.now, former.as_ref(), coordinator_lease);
-        succession.follows(ctx.now, ctx.own_instance());
-        let holder = if first_term { Holder::Nobody { lapsed_at: None } } else { Holder::Unknown };
+        succession.record_follower(ctx.now, ctx.own_instance());
+        let holder = if first_term { Holder::Vacant { lapsed_at: None } } else { Holder::Unknown };
         let witnesses = object.acked().witnesses.iter().map(MemberId::from).collect();
-        let confirmed_by = (object.acked().confirmation, witnesses);
+        let acked_confirmation = (object.acked().confirmation, witnesses);
         let slots = ctx.config.slot_count;
         let base = first_route_version(term);
         let delay = if first_term { FIRST_PLAN_DELAY } else { Duration::ZERO };
@@ -180,33 +181,33 @@
         Coordination {
             term,
             object,
-            confirm,
+            confirmation,
             succession,
             members: MemberTable::default(),
-            table: SlotTable::new(slots, &holder, base),
+            slot_table: SlotTable::new(slots, &holder, base),
             hot_keys: HotKeys::default(),
-            plan: PlanKeeper::new(ctx.now, term, slots, carried),
+            plan: PlanWriter::new(ctx.now, term, slots, carried),
             sequence: 0,
             route_version: base + u64::from(slots.count()),
-            slots_changed_in: base + u64::from(slots.count()),
-            routes_told: None,
-            routes_made_in: 0,
-            next_member_loads: ctx.now,
+            slots_changed_version: base + u64::from(slots.count()),
+            cached_routes: None,
+            cached_routes_version: 0,
+            next_loads_refresh_at: ctx.now,
             config: ConfigVersion(0),
-            known,
-            next_announcement: ctx.now,
-            next_proposal: ctx.now + delay,
+            known_instances,
+            next_announcement_at: ctx.now,
+            next_proposal_at: ctx.now + delay,
             proposed_at: Timestamp::ZERO,
-            first_plan_by: ctx.now + delay,
+            first_plan_deadline: ctx.now + delay,
             first_ready_at: None,
-            moved: VecDeque::new(),
+            recent_moves: VecDeque::new(),
             times_differ_since: None,
-            confirmed_by,
-            own_until: ctx.now,
+            acked_confirmation,
+            own_lease_until: ctx.now,
             idle_until: ctx.now,
-            given_up: Vec::new(),
-            own_capped_since: None,
-            heard_at: ctx.now,
+            released_slots: Vec::new(),
+            own_lease_capped_since: None,
+            last_renewal_at: ctx.now,
             releasing: false,
             rolled_back_at: None,
         }
@@ -236,10 +237,10 @@
                 ctx.now + self.times(ctx).lease()
             }
         };
-        self.own_until = self.own_until.max(until);
+        self.own_lease_until = self.own_lease_until.max(until);
         // It is extended between renewals too: its own session lapses no earlier than it.
         if let Some(row) = self.members.rows.get_mut(&MemberId::from(ctx.own_instance())) {
-            row.lease_until = row.lease_until.max(self.own_until);
+            row.lease_until = row.lease_until.max(self.own_lease_until);
         }
         Some(until)
     }
@@ -247,9 +248,9 @@
     /// The end of the confirmation, as early as witnesses would have it while these are about to
     /// take over.
     fn confirmed_until(&self, ctx: &Ctx<'_>) -> Timestamp {
-        let until = self.confirm.until();
-        let by_witnesses = self.confirm.proved_at() + self.times(ctx).confirmation();
-        match self.own_capped_since {
+        let until = self.confirmation.valid_until();
+        let by_witnesses = self.confirmation.proved_at() + self.times(ctx).confirmation();
+        match self.own_lease_capped_since {
             Some(_) if rules::is_enforced(Rule::CapCoordinatorLease) => until.min(by_witnesses),
             _ => until,
         }
@@ -271,48 +272,52 @@
         if self.succession.may_be_contested(ctx.now) {
             return false;
         }
-        let by = self.object.confirm_by(self.times(ctx));
-        self.confirm.holds(ctx.now, &by) || !rules::is_enforced(Rule::RenewOnlyWhileConfirmed)
+        let policy = self.object.confirmation_policy(self.times(ctx));
+        self.confirmation.is_valid(ctx.now, &policy) || !rules::is_enforced(Rule::RenewOnlyWhileConfirmed)
     }
 
     /// After a pause nothing that was proved before holds.
     pub(crate) fn reset_confirmation(&mut self, now: Timestamp) {
-        self.confirm.reset(now);
+        self.confirmation.reset(now);
     }
 
     pub(crate) fn handle_message(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
         match message {
             Message::Renew(renew) => {
-                self.heard_at = ctx.now;
-                let by = self.object.confirm_by(self.object.acked().times.min(ctx.limits().into()));
-                self.confirm.replaced(ctx.now, from, &by);
-                self.renew(ctx, from, renew);
-                self.grant_given_up(ctx);
+                self.last_renewal_at = ctx.now;
+                let policy = self
+                    .object
+                    .confirmation_policy(self.object.acked().times.min(ctx.limits().into()));
+                self.confirmation.record_replacement(ctx.now, from, &policy);
+                self.handle_renewal(ctx, from, renew);
+                self.grant_released(ctx);
             }
             Message::WitnessReply { term, number, has_read } if *term == self.term => {
-                let by = self.object.confirm_by(self.object.acked().times.min(ctx.limits().into()));
-                let proved_at = self.confirm.proved_at();
-                self.confirm.answered(ctx.now, from, *number, *has_read, &by);
-                if self.confirm.proved_at() > proved_at {
+                let policy = self
+                    .object
+                    .confirmation_policy(self.object.acked().times.min(ctx.limits().into()));
+                let proved_at = self.confirmation.proved_at();
+                self.confirmation.handle_answer(ctx.now, from, *number, *has_read, &policy);
+                if self.confirmation.proved_at() > proved_at {
                     self.advance(ctx);
                 }
             }
             _ => return,
         }
-        self.answer_all(ctx, Whom::Following);
+        self.send_answers(ctx, Recipients::WithRoutes);
     }
 
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         self.expire(ctx);
         let planned = self.plan.acked().map(|it| it.members.as_slice());
-        let was_outlasted = self.succession.is_outlasted();
-        if self.succession.settle(ctx.now, &self.confirm, planned) {
+        let was_past_earlier_leases = self.succession.is_past_earlier_leases();
+        if self.succession.settle(ctx.now, &self.confirmation, planned) {
             ctx.event(Event::Settled { term: self.term.0 });
             self.wake();
             self.resolve_unknown(ctx);
         }
-        if self.succession.is_outlasted() && !was_outlasted {
-            self.table.outlast_earlier_terms();
+        if self.succession.is_past_earlier_leases() && !was_past_earlier_leases {
+            self.slot_table.end_runs_of_earlier_terms();
             self.wake();
         }
         if ctx.config.keyed {
@@ -322,10 +327,11 @@
             self.plan.tick(ctx);
         }
         if ctx.config.keyed {
-            let by = self.object.confirm_by(self.object.acked().times.min(ctx.limits().into()));
-            self.confirm.tick(ctx, self.term, &by);
+            let policy =
+                self.object.confirmation_policy(self.object.acked().times.min(ctx.limits().into()));
+            self.confirmation.tick(ctx, self.term, &policy);
         } else {
-            self.confirm.tick_unkeyed(ctx);
+            self.confirmation.tick_unkeyed(ctx);
         }
         self.object.tick(ctx);
         self.announce(ctx);
@@ -334,8 +340,8 @@
             self.propose(ctx);
         }
         self.maintain(ctx);
-        self.refresh_member_loads(ctx);
-        self.answer_all(ctx, Whom::All);
+        self.refresh_loads(ctx);
+        self.send_answers(ctx, Recipients::All);
     }
 
     /// Looks through all slots and keys for what can go on: with each tick, with a plan and with new proof,
@@ -349,8 +355,8 @@
         self.grant_free(ctx);
         self.advance_handovers(ctx);
         self.advance_keys(ctx);
-        if self.table.is_at_rest() {
-            self.idle_until = ctx.now + IDLE_FOR;
+        if self.slot_table.is_stable() {
+            self.idle_until = ctx.now + IDLE_INTERVAL;
         }
     }
 
@@ -366,65 +372,66 @@
             return TermState::RolledBack;
         }
         match self.object.reply(ctx, call, reply) {
-            Decided::No => {}
-            Decided::Deposed => return TermState::Lost,
-            Decided::Updated { sent_at } => return self.object_updated(ctx, sent_at),
+            UpdateOutcome::Undecided => {}
+            UpdateOutcome::Deposed => return TermState::Lost,
+            UpdateOutcome::Applied { sent_at } => return self.handle_object_update(ctx, sent_at),
         }
-        if self.confirm.reads(call) {
-            return self.confirm_read(ctx, call, reply);
+        if self.confirmation.is_own_read(call) {
+            return self.handle_confirmation_read(ctx, call, reply);
         }
         let (term, slots, me) = (self.term, ctx.config.slot_count, ctx.config);
         let first = |ctx: &mut Ctx<'_>, found: Option<&crate::Plan>| {
             propose::first_plan(ctx.nonce(), term, slots, me, found)
         };
         match self.plan.reply(ctx, call, reply, first) {
-            PlanReply::Deposed => return TermState::Lost,
-            PlanReply::HigherTermFound(term) => return TermState::HigherTermFound(term),
-            PlanReply::Acknowledged(version) => {
+            PlanOutcome::Deposed => return TermState::Lost,
+            PlanOutcome::HigherTermFound(term) => return TermState::HigherTermFound(term),
+            PlanOutcome::Acknowledged(version) => {
                 ctx.event(Event::PlanWritten { version });
-                self.plan_acknowledged();
-                let slots: Vec<Slot> = self.table.slot_count.iter().collect();
-                self.keep_runs_beside_holders(ctx, &slots);
-                self.ask_to_clear(ctx);
+                self.apply_acknowledged_plan();
+                let slots: Vec<Slot> = self.slot_table.slot_count.iter().collect();
+                self.retain_runs_at_holders(ctx, &slots);
+                self.request_clearing(ctx);
                 self.wake();
                 self.advance(ctx);
-                self.answer_all(ctx, Whom::Following);
+                self.send_answers(ctx, Recipients::WithRoutes);
             }
-            PlanReply::NotMine | PlanReply::Nothing => {}
+            PlanOutcome::NotOwnCall | PlanOutcome::Pending => {}
         }
         if self.plan.history_lost() {
-            self.succession.lose_history();
+            self.succession.set_history_lost();
         }
         TermState::Held
     }
 
-    fn confirm_read(
+    fn handle_confirmation_read(
         &mut self,
         ctx: &mut Ctx<'_>,
         call: CallId,
         reply: &PlatformReply,
     ) -> TermState {
-        let by = self.object.confirm_by(self.object.acked().times.min(ctx.limits().into()));
+        let policy =
+            self.object.confirmation_policy(self.object.acked().times.min(ctx.limits().into()));
         let shown = match reply {
-            PlatformReply::Coordinator(_, Some(it)) if self.object.is_own(it) => true,
+            PlatformReply::Coordinator(_, Some(it)) if self.object.has_own_term(it) => true,
             PlatformReply::Coordinator(..) => return TermState::Lost,
             _ => false,
         };
-        self.confirm.read(ctx.now, call, shown, &by);
+        self.confirmation.handle_read(ctx.now, call, shown, &policy);
         if shown {
             self.advance(ctx);
-            self.answer_all(ctx, Whom::Following);
+            self.send_answers(ctx, Recipients::WithRoutes);
         }
         TermState::Held
     }
 
-    fn object_updated(&mut self, ctx: &mut Ctx<'_>, sent_at: Timestamp) -> TermState {
-        self.confirm.updated(sent_at);
+    fn handle_object_update(&mut self, ctx: &mut Ctx<'_>, sent_at: Timestamp) -> TermState {
+        self.confirmation.record_update(sent_at);
         let object = self.object.acked();
         if object.holder.is_none() {
             return TermState::Released;
         }
-        self.confirmation_changed(ctx);
+        self.apply_confirmation_change(ctx);
         TermState::Held
     }
 
@@ -432,16 +439,18 @@
     fn announce(&mut self, ctx: &mut Ctx<'_>) {
         let is_done = self.is_settled() && !self.members.rows.is_empty();
         // One that hears nobody leaves the term to others.
-        let is_deaf = ctx.now.since(self.heard_at) > DEAF_AFTER;
-        if is_done || is_deaf || self.next_announcement > ctx.now {
+        let is_unreached = ctx.now.since(self.last_renewal_at) > RENEWAL_SILENCE_MAX;
+        if is_done || is_unreached || self.next_announcement_at > ctx.now {
             return;
         }
-        self.next_announcement = ctx.now + ANNOUNCE_EVERY;
+        self.next_announcement_at = ctx.now + ANNOUNCE_INTERVAL;
         let planned = self.plan.acked().map_or(&[][..], |it| it.members.as_slice());
         let witnesses = self.object.acked().witnesses.as_slice();
         let mut told: Vec<&Instance> = Vec::new();
-        for it in planned.iter().chain(witnesses).chain(&self.known).chain(&ctx.config.peers) {
-            let skip = self.succession.has_answered(&MemberId::from(it));
+        for it in
+            planned.iter().chain(witnesses).chain(&self.known_instances).chain(&ctx.config.peers)
+        {
+            let skip = self.succession.is_accounted_for(&MemberId::from(it));
             if !skip && !told.iter().any(|known| is_same_incarnation(known, it)) {
                 told.push(it);
             }
@@ -461,31 +470,31 @@
         self.idle_until = Timestamp::ZERO;
     }
 
-    fn bump_routes(&mut self) -> u64 {
+    fn bump_route_version(&mut self) -> u64 {
         self.route_version += 1;
         self.route_version
     }
 
     /// The version of a change of a slot.
-    fn bump_slot_routes(&mut self) -> u64 {
-        self.slots_changed_in = self.bump_routes();
-        self.slots_changed_in
+    fn bump_slot_route_version(&mut self) -> u64 {
+        self.slots_changed_version = self.bump_route_version();
+        self.slots_changed_version
     }
 
     /// Others are told of a change of a member.
-    fn member_changed(&mut self, id: &MemberId) {
-        let version = self.bump_routes();
+    fn mark_member_changed(&mut self, id: &MemberId) {
+        let version = self.bump_route_version();
         if let Some(row) = self.members.rows.get_mut(id) {
-            row.changed_in = version;
+            row.changed_version = version;
         }
     }
 
     /// A new plan is due soon; joins that come together are taken together.
-    fn propose_soon(&mut self, now: Timestamp) {
-        let soon = now + propose::GATHER_FOR;
-        self.next_proposal = match now < self.first_plan_by {
-            true => soon.min(self.first_plan_by),
-            false => self.next_proposal.min(soon),
+    fn schedule_proposal(&mut self, now: Timestamp) {
+        let soon = now + propose::GATHER_DELAY;
+        self.next_proposal_at = match now < self.first_plan_deadline {
+            true => soon.min(self.first_plan_deadline),
+            false => self.next_proposal_at.min(soon),
         };
     }
 
@@ -506,7 +515,7 @@
             }));
         }
         let witnessed = self.object.acked().confirmation == Confirmation::Witnesses;
-        match witnessed && ctx.now.since(rolled_back_at) <= REAFFIRMED_WITHIN {
+        match witnessed && ctx.now.since(rolled_back_at) <= RECONFIRMATION_MAX {
             true => Reacquisition::NotDue,
             false => Reacquisition::WithoutState,
         }
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -10,7 +10,7 @@
     rules::{self, Rule},
 };
 
-use super::ConfirmBy;
+use super::ConfirmationPolicy;
 
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
@@ -18,7 +18,7 @@
 /// this one may be in force. It is sent again, unchanged, until that is decided: an
 /// acknowledgement or a conflict settles all sendings, however late one of them lands.
 #[derive(Debug)]
-struct Pending {
+struct PendingUpdate {
     object: Coordinator,
     call: Option<CallId>,
     /// The platform has refused it: reading will show whether an earlier sending took effect.
@@ -29,26 +29,26 @@
 
 /// What has become of the update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Decided {
+pub(crate) enum UpdateOutcome {
     /// The reply was not about this object, or decides nothing.
-    No,
+    Undecided,
     /// It took effect; it had been sent at this time.
-    Updated { sent_at: Timestamp },
+    Applied { sent_at: Timestamp },
     /// Somebody else has written the object: the term has ended.
     Deposed,
 }
 
 /// `coordinators/S/G` as its holder sees it.
 #[derive(Debug)]
-pub(crate) struct ObjectKeeper {
+pub(crate) struct CoordinatorWriter {
     acked: Coordinator,
     version: ObjectVersion,
-    pending: Option<Pending>,
+    pending: Option<PendingUpdate>,
 }
 
-impl ObjectKeeper {
-    pub(crate) fn new(acked: Coordinator, version: ObjectVersion) -> ObjectKeeper {
-        ObjectKeeper { acked, version, pending: None }
+impl CoordinatorWriter {
+    pub(crate) fn new(acked: Coordinator, version: ObjectVersion) -> CoordinatorWriter {
+        CoordinatorWriter { acked, version, pending: None }
     }
 
     pub(crate) fn acked(&self) -> &Coordinator {
@@ -60,7 +60,7 @@
     }
 
     /// By what the coordinator is confirmed while the update is on its way.
-    pub(crate) fn confirm_by(&self, times: crate::TermTimes) -> ConfirmBy<'_> {
+    pub(crate) fn confirmation_policy(&self, times: crate::TermTimes) -> ConfirmationPolicy<'_> {
         let mut path = Some(self.acked.confirmation);
         let mut witness_sets = vec![self.acked.witnesses.as_slice()];
         if let Some(pending) = &self.pending {
@@ -74,14 +74,14 @@
         if path == Some(Confirmation::Platform) {
             witness_sets.clear();
         }
-        ConfirmBy { path, witness_sets, times }
+        ConfirmationPolicy { path, witness_sets, times }
     }
 
     /// Starts an update; only one may be on its way.
     pub(crate) fn update(&mut self, ctx: &mut Ctx<'_>, object: Coordinator) {
         assert!(self.pending.is_none(), "a second update of the coordinator's object");
         let object = Coordinator { nonce: ctx.nonce(), era: self.version.era(), ..object };
-        self.pending = Some(Pending {
+        self.pending = Some(PendingUpdate {
             object,
             call: None,
             refused: false,
@@ -113,43 +113,43 @@
         ctx: &mut Ctx<'_>,
         call: CallId,
         reply: &PlatformReply,
-    ) -> Decided {
+    ) -> UpdateOutcome {
         let Some(pending) = self.pending.as_mut().filter(|it| it.call == Some(call)) else {
-            return Decided::No;
+            return UpdateOutcome::Undecided;
         };
         pending.call = None;
         match reply {
-            PlatformReply::Updated(version) => self.taken_effect(*version),
+            PlatformReply::Updated(version) => self.apply_update(*version),
             PlatformReply::Conflict => {
                 pending.refused = true;
                 pending.retry_at = ctx.now;
                 self.tick(ctx);
-                Decided::No
+                UpdateOutcome::Undecided
             }
             PlatformReply::Coordinator(version, Some(object)) => {
                 if object.nonce == pending.object.nonce && !object.is_rolled_back(*version) {
-                    self.taken_effect(*version)
+                    self.apply_update(*version)
                 } else {
-                    Decided::Deposed
+                    UpdateOutcome::Deposed
                 }
             }
-            PlatformReply::Coordinator(_, None) => Decided::Deposed,
+            PlatformReply::Coordinator(_, None) => UpdateOutcome::Deposed,
             PlatformReply::Failed if !rules::is_enforced(Rule::AssumeUnansweredUpdateApplied) => {
                 self.pending = None;
-                Decided::No
+                UpdateOutcome::Undecided
             }
             PlatformReply::Failed | PlatformReply::Plan(..) => {
                 pending.retry_at = ctx.now + ctx.jittered(RETRY_AFTER);
-                Decided::No
+                UpdateOutcome::Undecided
             }
         }
     }
 
-    fn taken_effect(&mut self, version: ObjectVersion) -> Decided {
-        let Some(pending) = self.pending.take() else { return Decided::No };
+    fn apply_update(&mut self, version: ObjectVersion) -> UpdateOutcome {
+        let Some(pending) = self.pending.take() else { return UpdateOutcome::Undecided };
         self.acked = pending.object;
         self.version = version;
-        Decided::Updated { sent_at: pending.sent_at }
+        UpdateOutcome::Applied { sent_at: pending.sent_at }
     }
 
     /// The era of the platform in which the term was taken.
@@ -158,7 +158,7 @@
     }
 
     /// Whether an object read from the platform is of this term, which nobody else writes.
-    pub(crate) fn is_own(&self, object: &Coordinator) -> bool {
+    pub(crate) fn has_own_term(&self, object: &Coordinator) -> bool {
         object.term == self.acked.term
     }
 }
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -23,22 +23,22 @@
 
 /// Names of one plan, by slot and key.
 #[derive(Debug)]
-struct Named {
+struct IndexedPlan {
     plan: Plan,
     ids: Vec<MemberId>,
 }
 
-impl Named {
-    fn new(plan: Plan) -> Named {
+impl IndexedPlan {
+    fn new(plan: Plan) -> IndexedPlan {
         let ids = plan.members.iter().map(MemberId::from).collect();
-        Named { plan, ids }
+        IndexedPlan { plan, ids }
     }
 
     fn slot(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
         self.slot_indexes(slot).filter_map(|it| self.ids.get(it))
     }
 
-    fn slot_lives(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
+    fn slot_candidate_instances(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
         self.slot_indexes(slot).filter_map(|it| self.plan.members.get(it))
     }
 
@@ -46,7 +46,7 @@
         self.key_indexes(key_hash).filter_map(|it| self.ids.get(it))
     }
 
-    fn key_lives(&self, key_hash: KeyHash) -> impl Iterator<Item = &Instance> {
+    fn key_candidate_instances(&self, key_hash: KeyHash) -> impl Iterator<Item = &Instance> {
         self.key_indexes(key_hash).filter_map(|it| self.plan.members.get(it))
     }
 
@@ -67,9 +67,9 @@
 
 /// What has become of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PlanReply {
-    NotMine,
-    Nothing,
+pub(crate) enum PlanOutcome {
+    NotOwnCall,
+    Pending,
     /// A plan has been acknowledged, with this version.
     Acknowledged(u64),
     /// Another term has written a plan.
@@ -81,14 +81,14 @@
 /// `plans/S/G` as the coordinator sees it. Grants rest on plans that this term has written itself:
 /// its first write also keeps any write of an earlier term from taking effect.
 #[derive(Debug)]
-pub(crate) struct PlanKeeper {
+pub(crate) struct PlanWriter {
     term: Term,
     slot_count: SlotCount,
     version: ObjectVersion,
     /// The newest plan that this term has seen acknowledged.
-    acked: Option<Named>,
+    acked: Option<IndexedPlan>,
     /// A plan written whose fate is not known.
-    doubtful: Option<Named>,
+    in_doubt: Option<IndexedPlan>,
     step: Option<Step>,
     call: Option<CallId>,
     retry_at: Timestamp,
@@ -98,19 +98,19 @@
     history_lost: bool,
 }
 
-impl PlanKeeper {
+impl PlanWriter {
     pub(crate) fn new(
         now: Timestamp,
         term: Term,
         slot_count: SlotCount,
         carried: Option<Plan>,
-    ) -> PlanKeeper {
-        PlanKeeper {
+    ) -> PlanWriter {
+        PlanWriter {
             term,
             slot_count,
             version: ObjectVersion(0),
             acked: None,
-            doubtful: None,
+            in_doubt: None,
             step: Some(Step::Read),
             call: None,
             retry_at: now,
@@ -135,32 +135,35 @@
     }
 
     /// All that may hold a slot by the plan in force.
-    pub(crate) fn slot_names(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
+    pub(crate) fn slot_candidates(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
         self.acked.iter().flat_map(move |it| it.slot(slot))
     }
 
     /// The same, with their addresses.
-    pub(crate) fn slot_lives(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
-        self.acked.iter().flat_map(move |it| it.slot_lives(slot))
+    pub(crate) fn slot_candidate_instances(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
+        self.acked.iter().flat_map(move |it| it.slot_candidate_instances(slot))
     }
 
-    pub(crate) fn key_lives(&self, key_hash: KeyHash) -> impl Iterator<Item = &Instance> {
-        self.acked.iter().flat_map(move |it| it.key_lives(key_hash))
+    pub(crate) fn key_candidate_instances(
+        &self,
+        key_hash: KeyHash,
+    ) -> impl Iterator<Item = &Instance> {
+        self.acked.iter().flat_map(move |it| it.key_candidate_instances(key_hash))
     }
 
-    pub(crate) fn key_names(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
+    pub(crate) fn key_candidates(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
         self.acked.iter().flat_map(move |it| it.key(key_hash))
     }
 
     /// Whether each plan that may be in force names the member for the slot.
-    pub(crate) fn names_slot(&self, slot: Slot, member: &MemberId) -> bool {
-        let names = |it: &Named| it.slot(slot).any(|it| it == member);
-        self.acked.as_ref().is_some_and(names) && self.doubtful.as_ref().is_none_or(names)
+    pub(crate) fn is_slot_candidate(&self, slot: Slot, member: &MemberId) -> bool {
+        let names = |it: &IndexedPlan| it.slot(slot).any(|it| it == member);
+        self.acked.as_ref().is_some_and(names) && self.in_doubt.as_ref().is_none_or(names)
     }
 
-    pub(crate) fn names_key(&self, key_hash: KeyHash, member: &MemberId) -> bool {
-        let names = |it: &Named| it.key(key_hash).any(|it| it == member);
-        self.acked.as_ref().is_some_and(names) && self.doubtful.as_ref().is_none_or(names)
+    pub(crate) fn is_key_candidate(&self, key_hash: KeyHash, member: &MemberId) -> bool {
+        let names = |it: &IndexedPlan| it.key(key_hash).any(|it| it == member);
+        self.acked.as_ref().is_some_and(names) && self.in_doubt.as_ref().is_none_or(names)
     }
 
     /// The planned owners of all slots, as often as each has one.
@@ -204,7 +207,7 @@
             None => return,
             Some(Step::Read) => PlatformRequest::ReadPlan,
             Some(Step::Write(plan)) => {
-                self.doubtful = Some(Named::new(plan.as_ref().clone()));
+                self.in_doubt = Some(IndexedPlan::new(plan.as_ref().clone()));
                 PlatformRequest::UpdatePlan { expected: self.version, object: plan.clone() }
             }
         };
@@ -217,13 +220,13 @@
         call: CallId,
         reply: &PlatformReply,
         first: impl FnOnce(&mut Ctx<'_>, Option<&Plan>) -> Plan,
-    ) -> PlanReply {
+    ) -> PlanOutcome {
         if self.call != Some(call) {
-            return PlanReply::NotMine;
+            return PlanOutcome::NotOwnCall;
         }
         self.call = None;
         match reply {
-            PlatformReply::Updated(version) => return self.taken_effect(*version),
+            PlatformReply::Updated(version) => return self.apply_update(*version),
             // An earlier sending may have taken effect: reading will show.
             PlatformReply::Conflict => self.step = Some(Step::Read),
             PlatformReply::Plan(version, found) => {
@@ -234,7 +237,7 @@
             }
         }
         self.tick(ctx);
-        PlanReply::Nothing
+        PlanOutcome::Pending
     }
 
     fn read(
@@ -243,27 +246,27 @@
         version: ObjectVersion,
         found: Option<&Plan>,
         first: impl FnOnce(&mut Ctx<'_>, Option<&Plan>) -> Plan,
-    ) -> PlanReply {
+    ) -> PlanOutcome {
         let nonce = found.map(|it| it.nonce);
         let rolled_back = found.is_some_and(|it| it.is_rolled_back(version));
         let own =
-            !rolled_back && self.doubtful.as_ref().is_some_and(|it| Some(it.plan.nonce) == nonce);
+            !rolled_back && self.in_doubt.as_ref().is_some_and(|it| Some(it.plan.nonce) == nonce);
         match found {
-            Some(_) if own => return self.taken_effect(version),
-            Some(plan) if plan.term > self.term => return PlanReply::HigherTermFound(plan.term),
+            Some(_) if own => return self.apply_update(version),
+            Some(plan) if plan.term > self.term => return PlanOutcome::HigherTermFound(plan.term),
             // What this term has seen acknowledged was replaced.
-            _ if self.acked.is_some() => return PlanReply::Deposed,
+            _ if self.acked.is_some() => return PlanOutcome::Deposed,
             // Slots of another size: what they name says nothing about the slots of this document.
             Some(plan) if plan.slot_count != self.slot_count => {
                 self.step = Some(Step::Read);
                 self.retry_at = ctx.now + OTHER_SLOTS_RETRY;
-                return PlanReply::Nothing;
+                return PlanOutcome::Pending;
             }
             _ => {}
         }
         // An earlier term wrote meanwhile: the first write of this term goes on top of that.
         self.version = version;
-        self.doubtful = None;
+        self.in_doubt = None;
         self.step = None;
         let carried = self.carried.take().filter(|_| rolled_back || found.is_none());
         // One that this node never saw acknowledged may be there.
@@ -272,14 +275,14 @@
         self.history_lost |= rolled_back && carried.is_none();
         let plan = first(ctx, carried.as_ref().or(found));
         self.write(ctx, plan);
-        PlanReply::Nothing
+        PlanOutcome::Pending
     }
 
-    fn taken_effect(&mut self, version: ObjectVersion) -> PlanReply {
+    fn apply_update(&mut self, version: ObjectVersion) -> PlanOutcome {
         self.version = version;
         self.step = None;
-        self.acked = self.doubtful.take();
+        self.acked = self.in_doubt.take();
         let plan = self.acked.as_ref().map_or(0, |it| it.plan.version);
-        PlanReply::Acknowledged(plan)
+        PlanOutcome::Acknowledged(plan)
     }
 }
--- a/crates/ownership/src/coordinator/propose.rs
+++ b/crates/ownership/src/coordinator/propose.rs
@@ -13,24 +13,24 @@
 
 use super::{
     Coordination,
+    incarnations::SuccessorIncarnations,
     members::MemberRow,
-    seats::Heirs,
     slots::{Holder, KeyHolder, SlotRow},
 };
 
 /// Joins and losses that come within this time are planned for together.
-pub(super) const GATHER_FOR: Duration = Duration::from_millis(100);
+pub(super) const GATHER_DELAY: Duration = Duration::from_millis(100);
 /// The first grants of a term wait this long for members whose upstreams are still starting, once the first
 /// is ready: upstreams that start together announce themselves within 1.5 s of each other, and what the
 /// first is granted alone has to be moved again.
-const FIRST_GRANTS_WAIT: Duration = Duration::from_millis(1_600);
+const FIRST_GRANTS_DELAY_MAX: Duration = Duration::from_millis(1_600);
 /// How often a new plan is thought of.
-const PROPOSE_EVERY: Duration = Duration::from_secs(1);
+const PROPOSE_INTERVAL: Duration = Duration::from_secs(1);
 /// A proposal for 112 members and its plan were simulated to keep a tenth of a core busy for 70 to 190 ms: with this
 /// pause between them, proposals take a third of such a machine at most.
-const PAUSE_PER_MEMBER: Duration = Duration::from_millis(5);
+const PROPOSAL_PAUSE_PER_MEMBER: Duration = Duration::from_millis(5);
 /// A slot that was moved stays for this long.
-const SETTLED_FOR: Duration = Duration::from_secs(10);
+const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
 const MINUTE: Duration = Duration::from_secs(60);
 /// The most hot keys with entries of their own.
 const PLANNED_KEYS_MAX: usize = 256;
@@ -76,19 +76,19 @@
 }
 
 impl Coordination {
-    pub(super) fn plan_acknowledged(&mut self) {
-        self.take_planned_keys();
-        let told = self.tells_successors();
-        work::add_entries(8 * self.table.slots.len());
-        for (slot, row) in self.table.slot_count.iter().zip(&mut self.table.slots) {
-            if self.plan.slot_names(slot).eq(&row.names) {
+    pub(super) fn apply_acknowledged_plan(&mut self) {
+        self.sync_planned_keys();
+        let told = self.includes_successors();
+        work::add_entries(8 * self.slot_table.slots.len());
+        for (slot, row) in self.slot_table.slot_count.iter().zip(&mut self.slot_table.slots) {
+            if self.plan.slot_candidates(slot).eq(&row.candidates) {
                 continue;
             }
-            row.names = self.plan.slot_names(slot).cloned().collect();
+            row.candidates = self.plan.slot_candidates(slot).cloned().collect();
             if told {
                 self.route_version += 1;
-                row.changed_in = self.route_version;
-                self.slots_changed_in = self.route_version;
+                row.changed_version = self.route_version;
+                self.slots_changed_version = self.route_version;
             }
         }
     }
@@ -98,11 +98,11 @@
         let ready = self.is_settled() && self.plan.is_idle() && self.may_renew(ctx);
         // What the plan in force can still repair is repaired first.
         let rested_at = self.proposed_at + self.proposal_pause();
-        let due_at = self.next_proposal.max(rested_at);
-        if !ready || due_at > ctx.now || self.any_grant_waits(ctx.now) {
+        let due_at = self.next_proposal_at.max(rested_at);
+        if !ready || due_at > ctx.now || self.has_pending_grant(ctx.now) {
             return;
         }
-        if self.waits_for_upstreams(ctx.now) {
+        if self.is_delayed_for_upstreams(ctx.now) {
             return;
         }
         self.proposed_at = ctx.now;
@@ -111,14 +111,14 @@
         let proposal = propose(&input);
         let Some(acked) = self.plan.acked() else { return };
         let plan = self.next_plan(acked, &members, &input, &proposal);
-        self.hot_keys.fade();
+        self.hot_keys.decay_unreported();
         if is_same_plan(acked, &plan) {
-            self.next_proposal = ctx.now + PROPOSE_EVERY;
-        } else if !self.confirm.platform_is_reachable(ctx.now) {
+            self.next_proposal_at = ctx.now + PROPOSE_INTERVAL;
+        } else if !self.confirmation.is_platform_reachable(ctx.now) {
             // A plan in doubt would only narrow whom a loss can be repaired with.
-            self.confirm.read_soon(ctx.now);
+            self.confirmation.schedule_read(ctx.now);
         } else {
-            self.next_proposal = ctx.now + PROPOSE_EVERY;
+            self.next_proposal_at = ctx.now + PROPOSE_INTERVAL;
             let plan = Plan { nonce: ctx.nonce(), ..plan };
             self.plan.write(ctx, plan);
         }
@@ -126,32 +126,32 @@
 
     /// The least time from one proposal to the next.
     fn proposal_pause(&self) -> Duration {
-        PAUSE_PER_MEMBER * self.members.rows.len() as u32
+        PROPOSAL_PAUSE_PER_MEMBER * self.members.rows.len() as u32
     }
 
     /// Whether nothing was granted in this term and some member may soon be ready for its share. Where an
     /// earlier term planned owners, only new lives of these are waited for.
-    fn waits_for_upstreams(&mut self, now: Timestamp) -> bool {
+    fn is_delayed_for_upstreams(&mut self, now: Timestamp) -> bool {
         let granted = |row: &SlotRow| row.last_token != Token::default();
-        if !self.members.any_eligible() || self.table.slots.iter().any(granted) {
+        if !self.members.any_eligible() || self.slot_table.slots.iter().any(granted) {
             self.first_ready_at = None;
             return false;
         }
         let since = *self.first_ready_at.get_or_insert(now);
         let is_expected = |row: &MemberRow| match self.plan.owners().next().is_some() {
-            true => !row.leaving && self.has_heritage(row) && !row.is_heir(),
+            true => !row.leaving && self.has_predecessor(row) && !row.is_successor(),
             false => !row.leaving && row.upstream == UpstreamState::Starting,
         };
-        self.members.rows.values().any(is_expected) && now.since(since) < FIRST_GRANTS_WAIT
+        self.members.rows.values().any(is_expected) && now.since(since) < FIRST_GRANTS_DELAY_MAX
     }
 
-    fn any_grant_waits(&self, now: Timestamp) -> bool {
-        let heirs = self.heirs();
-        work::add_entries(self.table.slots.len());
-        self.table.iter().any(|(slot, row)| {
-            matches!(row.holder, Holder::Nobody { .. })
-                && !self.waits_for_heir(now, slot, &heirs)
-                && row.names.iter().any(|it| self.may_take(now, slot, it))
+    fn has_pending_grant(&self, now: Timestamp) -> bool {
+        let incarnations = self.successor_incarnations();
+        work::add_entries(self.slot_table.slots.len());
+        self.slot_table.iter().any(|(slot, row)| {
+            matches!(row.holder, Holder::Vacant { .. })
+                && !self.is_reserved_for_successor(now, slot, &incarnations)
+                && row.candidates.iter().any(|it| self.may_take(now, slot, it))
         })
     }
 
@@ -166,26 +166,26 @@
     }
 
     fn planner_input(&mut self, ctx: &Ctx<'_>, members: &Members) -> PlannerInput {
-        self.moved.retain(|it| ctx.now.since(*it) < MINUTE);
-        let moved = self.moved.len() as f64 / f64::from(self.table.slot_count.count());
-        work::add_entries(16 * self.table.slots.len());
+        self.recent_moves.retain(|it| ctx.now.since(*it) < MINUTE);
+        let moved = self.recent_moves.len() as f64 / f64::from(self.slot_table.slot_count.count());
+        work::add_entries(16 * self.slot_table.slots.len());
         let instances = members.instances.iter().zip(&members.weights);
         let member = |(it, weight): (&Instance, &f64)| PlannerMember {
             zone: it.zone.clone(),
             weight: *weight,
         };
-        let slots = self.table.iter();
-        let heirs = self.heirs();
+        let slots = self.slot_table.iter();
+        let incarnations = self.successor_incarnations();
         PlannerInput {
             now: ctx.now,
-            slot_count: self.table.slot_count,
+            slot_count: self.slot_table.slot_count,
             ordered: ctx.config.ordered,
             members: instances.map(member).collect(),
             slots: slots
-                .map(|(slot, row)| self.planner_slot(ctx.now, slot, row, members, &heirs))
+                .map(|(slot, row)| self.planner_slot(ctx.now, slot, row, members, &incarnations))
                 .collect(),
             keys: self.planner_keys(members),
-            churn_left: match self.loads_are_known(ctx.now) {
+            churn_left: match self.has_comparable_loads(ctx.now) {
                 true => (ctx.limits().churn_per_minute_max - moved).max(0.0),
                 false => 0.0,
             },
@@ -201,34 +201,34 @@
         slot: Slot,
         row: &SlotRow,
         members: &Members,
-        heirs: &Heirs,
+        incarnations: &SuccessorIncarnations,
     ) -> PlannerSlot {
         let planned = self.plan.planned_owner(slot);
         let owner = match (&row.handover, row.holder.grant()) {
             (Some(it), _) => Some(&it.to),
             (None, Some(grant)) => Some(&grant.member),
             (None, None) => {
-                let next = self.next_to_runs(now, row);
-                next.or_else(|| planned.and_then(|it| heirs.of(it)))
+                let next = self.sole_member_with_runs(now, row);
+                next.or_else(|| planned.and_then(|it| incarnations.of(it)))
             }
         };
-        let names = self.plan.slot_names(slot);
+        let names = self.plan.slot_candidates(slot);
         PlannerSlot {
             slot,
             owner: owner.and_then(|it| members.index(it)),
             successors: names.skip(1).filter_map(|it| members.index(it)).collect(),
             load_us_per_s: row.load_us_per_s.unwrap_or(0.0),
-            movable_from: row.moved_at.map(|it| it + SETTLED_FOR).unwrap_or_default(),
+            movable_from: row.moved_at.map(|it| it + MOVE_COOLDOWN).unwrap_or_default(),
         }
     }
 
     fn planner_keys(&self, members: &Members) -> Vec<PlannerKey> {
-        let rows = self.table.keys.iter().map(|(key_hash, row)| {
+        let rows = self.slot_table.keys.iter().map(|(key_hash, row)| {
             let owner = match &row.holder {
                 KeyHolder::Entry(Holder::Member(it)) => members.index(&it.member),
                 _ => self.plan.planned_key_owner(*key_hash).and_then(|it| members.index(it)),
             };
-            let names = self.plan.key_names(*key_hash);
+            let names = self.plan.key_candidates(*key_hash);
             PlannerKey {
                 key_hash: *key_hash,
                 owner,
@@ -236,7 +236,7 @@
                 load_us_per_s: self.hot_keys.load(*key_hash),
             }
         });
-        let new = self.hot_keys.keys().filter(|it| !self.table.keys.contains_key(it));
+        let new = self.hot_keys.keys().filter(|it| !self.slot_table.keys.contains_key(it));
         let new = new.map(|key_hash| PlannerKey {
             key_hash,
             owner: None,
@@ -270,12 +270,17 @@
         for (at, slot) in input.slots.iter().enumerate() {
             let owner = moves.get(&MoveUnit::Slot(slot.slot)).copied().unwrap_or(slot.owner);
             let mut successors = proposal.successors.get(at).cloned().unwrap_or_default();
-            let row = &self.table.slots[at];
+            let row = &self.slot_table.slots[at];
             let holder = row.holder.grant().and_then(|it| members.index(&it.member));
             let next = row.handover.as_ref().and_then(|it| members.index(&it.to));
-            name_too(&mut successors, owner, [holder, next]);
-            self.keep_a_name(&mut successors, owner, &row.names, members);
-            name_lives(&mut plan.members, &mut successors, owner, row.runs.lives(input.now));
+            append_successors(&mut successors, owner, [holder, next]);
+            self.retain_candidate(&mut successors, owner, &row.candidates, members);
+            append_incarnations(
+                &mut plan.members,
+                &mut successors,
+                owner,
+                row.runs.instances(input.now),
+            );
             plan.slots.push(PlanSlot { slot: slot.slot, owner, successors });
         }
         for key in &input.keys {
@@ -283,9 +288,9 @@
             let Some(mut entry) = self.next_key(key.key_hash, owner, members, proposal) else {
                 continue;
             };
-            if let Some(row) = self.table.keys.get(&key.key_hash) {
-                let lives = row.runs.lives(input.now);
-                name_lives(&mut plan.members, &mut entry.successors, owner, lives);
+            if let Some(row) = self.slot_table.keys.get(&key.key_hash) {
+                let lives = row.runs.instances(input.now);
+                append_incarnations(&mut plan.members, &mut entry.successors, owner, lives);
             }
             plan.hot_keys.push(entry);
         }
@@ -295,7 +300,7 @@
 
     /// Until a plan is acknowledged, a loss is repaired with those that it and the one before both
     /// name: somebody besides the owner must be.
-    fn keep_a_name(
+    fn retain_candidate(
         &self,
         successors: &mut Vec<u16>,
         owner: Option<u16>,
@@ -318,7 +323,7 @@
         members: &Members,
         proposal: &Proposal,
     ) -> Option<HotKey> {
-        let row = self.table.keys.get(&key_hash);
+        let row = self.slot_table.keys.get(&key_hash);
         let apart = row.is_some_and(|it| it.holder != KeyHolder::Slot);
         if owner.is_none() && !apart {
             return None;
@@ -329,12 +334,12 @@
             KeyHolder::Entry(Holder::Member(it)) => members.index(&it.member),
             _ => None,
         });
-        name_too(&mut successors, owner, [holder, None]);
+        append_successors(&mut successors, owner, [holder, None]);
         Some(HotKey { key_hash, owner, successors })
     }
 }
 
-fn name_too(successors: &mut Vec<u16>, owner: Option<u16>, others: [Option<u16>; 2]) {
+fn append_successors(successors: &mut Vec<u16>, owner: Option<u16>, others: [Option<u16>; 2]) {
     successors.retain(|it| Some(*it) != owner);
     for it in others.into_iter().flatten() {
         if Some(it) != owner && !successors.contains(&it) {
@@ -345,7 +350,7 @@
 
 /// Names lives that have ended too, behind the members: a later term has to know at whose upstreams runs may go
 /// on.
-fn name_lives<'a>(
+fn append_incarnations<'a>(
     members: &mut Vec<Instance>,
     successors: &mut Vec<u16>,
     owner: Option<u16>,
@@ -357,7 +362,7 @@
             members.push(life.clone());
             members.len() - 1
         });
-        name_too(successors, owner, [Some(at as u16), None]);
+        append_successors(successors, owner, [Some(at as u16), None]);
     }
 }
 
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -9,26 +9,26 @@
 
 use super::{
     Coordination,
-    members::{MemberRow, Standing},
+    members::{MemberRow, RenewalKind},
     slots::{Grant, HandoverStep, Holder, KeyHolder, KeyRow},
 };
 
 impl Coordination {
-    pub(super) fn renew(&mut self, ctx: &mut Ctx<'_>, from: &Instance, renew: &Renew) {
+    pub(super) fn handle_renewal(&mut self, ctx: &mut Ctx<'_>, from: &Instance, renew: &Renew) {
         if renew.term != self.term {
             return ctx.send(from, Message::Announce { term: self.term });
         }
-        self.succession.follows(ctx.now, from);
+        self.succession.record_follower(ctx.now, from);
         let id = MemberId::from(from);
-        match self.members.standing(&id, renew) {
-            Standing::Stale => {}
-            Standing::Ended => self.refuse_session(ctx, from, renew.session),
-            Standing::Full => {
+        match self.members.classify(&id, renew) {
+            RenewalKind::Stale => {}
+            RenewalKind::Ended => self.refuse_session(ctx, from, renew.session),
+            RenewalKind::Full => {
                 ctx.send(from, Message::JoinRefused { term: self.term });
                 ctx.event(Event::JoinRefused { member: from.clone() });
             }
-            Standing::New => self.open_session(ctx, id, from, renew),
-            Standing::Known => self.take_in(ctx, id, renew),
+            RenewalKind::NewSession => self.open_session(ctx, id, from, renew),
+            RenewalKind::Current => self.apply_renewal(ctx, id, renew),
         }
     }
 
@@ -51,21 +51,21 @@
         row.lease_until = ctx.now + times.with_drift_margin(times.lease());
         // Of its own former session a coordinator knows that it is over: it ends with its lease. An
         // earlier term may have given that too, but not any more once its leases have run out.
-        let own = is_same_incarnation(from, ctx.own_instance()) && self.succession.is_outlasted();
-        let ends_at = own.then(|| self.own_until.max(ctx.now));
-        let version = self.bump_routes();
+        let own = is_same_incarnation(from, ctx.own_instance()) && self.succession.is_past_earlier_leases();
+        let ends_at = own.then(|| self.own_lease_until.max(ctx.now));
+        let version = self.bump_route_version();
         self.members.insert(id.clone(), row, ends_at, version);
         self.adopt(&id, renew.session, holding);
         let adopted: Vec<Slot> = holding.slots.iter().map(|it| it.slot).collect();
-        self.keep_runs_beside_holders(ctx, &adopted);
+        self.retain_runs_at_holders(ctx, &adopted);
         if !holding.recently_lapsed {
-            self.succession.vouched(id.clone());
+            self.succession.record_reported(id.clone());
         }
         self.wake();
         ctx.event(Event::MemberJoined { member: from.clone() });
-        self.propose_soon(ctx.now);
-        self.ask_to_clear(ctx);
-        self.take_in(ctx, id, renew);
+        self.schedule_proposal(ctx.now);
+        self.request_clearing(ctx);
+        self.apply_renewal(ctx, id, renew);
     }
 
     fn adopt(&mut self, id: &MemberId, session: SessionId, holding: &Holding) {
@@ -77,7 +77,7 @@
         }
         // A key kept out although no plan has an entry for it was about to follow its slot again.
         for key_hash in &holding.excluded {
-            self.table.keys.entry(*key_hash).or_insert_with(KeyRow::unknown);
+            self.slot_table.keys.entry(*key_hash).or_insert_with(KeyRow::unknown);
         }
         if let Some(row) = self.members.rows.get_mut(id) {
             row.excluded = holding.excluded.iter().copied().collect();
@@ -89,14 +89,14 @@
     fn is_outdated(&self, holding: &Holding) -> bool {
         let newer = |holder: &Holder, token: Token| match holder {
             Holder::Unknown => false,
-            Holder::Nobody { .. } => true,
+            Holder::Vacant { .. } => true,
             Holder::Member(it) => it.token >= token,
         };
         let slots = holding.slots.iter().any(|it| {
-            let row = self.table.slots.get(usize::from(it.slot.0));
+            let row = self.slot_table.slots.get(usize::from(it.slot.0));
             row.is_none_or(|row| newer(&row.holder, it.token))
         });
-        let keys = holding.keys.iter().any(|it| match self.table.keys.get(&it.key_hash) {
+        let keys = holding.keys.iter().any(|it| match self.slot_table.keys.get(&it.key_hash) {
             None => false,
             Some(row) => match &row.holder {
                 KeyHolder::Slot => true,
@@ -108,51 +108,57 @@
     }
 
     fn adopt_slot(&mut self, id: &MemberId, session: SessionId, held: &HeldSlot) {
-        let version = self.bump_slot_routes();
-        let Some(row) = self.table.row(held.slot) else { return };
+        let version = self.bump_slot_route_version();
+        let Some(row) = self.slot_table.row(held.slot) else { return };
         let (member, token, closing) = (id.clone(), held.token, held.closing);
         row.holder = Holder::Member(Grant { member, session, token, closing });
         row.last_token = row.last_token.max(held.token);
-        row.changed_in = version;
+        row.changed_version = version;
     }
 
     fn adopt_key(&mut self, id: &MemberId, session: SessionId, held: &HeldKey) {
-        let version = self.bump_routes();
+        let version = self.bump_route_version();
         let (member, token, closing) = (id.clone(), held.token, held.closing);
         let grant = Grant { member, session, token, closing };
-        let row = self.table.keys.entry(held.key_hash).or_insert_with(KeyRow::unknown);
+        let row = self.slot_table.keys.entry(held.key_hash).or_insert_with(KeyRow::unknown);
         row.holder = KeyHolder::Entry(Holder::Member(grant));
         row.last_token = row.last_token.max(held.token);
-        row.changed_in = version;
+        row.changed_version = version;
     }
 
-    fn take_in(&mut self, ctx: &mut Ctx<'_>, id: MemberId, renew: &Renew) {
+    fn apply_renewal(&mut self, ctx: &mut Ctx<'_>, id: MemberId, renew: &Renew) {
         let Some(row) = self.members.rows.get_mut(&id) else { return };
-        let (reports, changed) = row.take_in(renew);
+        let (reports, changed) = row.apply_renewal(renew);
         self.config = self.config.max(renew.config);
         if let Some(load) = &renew.load {
             match ctx.config.ordered {
                 true => self
-                    .take_loads(&id, &load.clone().attribute_keys_to_slots(ctx.config.slot_count)),
-                false => self.take_loads(&id, load),
+                    .apply_load_report(&id, &load.clone().attribute_keys_to_slots(ctx.config.slot_count)),
+                false => self.apply_load_report(&id, load),
             }
         }
         if changed || !reports.is_empty() {
             self.wake();
         }
         for report in reports {
-            self.report(ctx, &id, renew.session, report);
+            self.handle_report(ctx, &id, renew.session, report);
         }
         if changed {
-            self.member_changed(&id);
-            self.propose_soon(ctx.now);
+            self.mark_member_changed(&id);
+            self.schedule_proposal(ctx.now);
         }
     }
 
-    fn report(&mut self, ctx: &mut Ctx<'_>, id: &MemberId, session: SessionId, report: Report) {
+    fn handle_report(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        id: &MemberId,
+        session: SessionId,
+        report: Report,
+    ) {
         match report {
             Report::Prepared { slot, token } => {
-                let Some(row) = self.table.row(slot) else { return };
+                let Some(row) = self.slot_table.row(slot) else { return };
                 let Some(handover) = &row.handover else { return };
                 let waits = matches!(handover.step, HandoverStep::Preparing { .. });
                 if waits && handover.to == *id && handover.token == token {
@@ -161,19 +167,19 @@
             }
             Report::Closed { slot, token } => {
                 let then = self.holder_when_closed(token);
-                let Some(row) = self.table.row(slot) else { return };
-                if row.holder.is_of(id, session)
+                let Some(row) = self.slot_table.row(slot) else { return };
+                if row.holder.is_held_by(id, session)
                     && row.holder.grant().is_some_and(|it| it.token == token && it.closing)
                 {
                     row.holder = then;
-                    self.forget_excluded(id, slot);
-                    self.given_up.push(slot);
+                    self.remove_exclusions(id, slot);
+                    self.released_slots.push(slot);
                 }
             }
-            Report::Cleared { token } => self.cleared(ctx.now, id, token),
+            Report::Cleared { token } => self.handle_cleared(ctx.now, id, token),
             Report::KeyClosed { key_hash, token } => {
                 let then = self.holder_when_closed(token);
-                let Some(row) = self.table.keys.get_mut(&key_hash) else { return };
+                let Some(row) = self.slot_table.keys.get_mut(&key_hash) else { return };
                 let grant = match &row.holder {
                     KeyHolder::LeavingSlot(it) | KeyHolder::Entry(Holder::Member(it)) => it,
                     KeyHolder::Slot | KeyHolder::Entry(_) => return,
@@ -192,15 +198,15 @@
     /// Whose a slot or key is that is given up to this term. While leases of earlier terms may live, one of
     /// these may have seen an adopted session lapse and granted to others what it held.
     fn holder_when_closed(&self, token: Token) -> Holder {
-        match token.term == self.term || self.succession.is_outlasted() {
-            true => Holder::Nobody { lapsed_at: None },
+        match token.term == self.term || self.succession.is_past_earlier_leases() {
+            true => Holder::Vacant { lapsed_at: None },
             false => Holder::Unknown,
         }
     }
 
     /// A slot that is given up keeps no keys out any more.
-    fn forget_excluded(&mut self, id: &MemberId, slot: Slot) {
-        let slot_count = self.table.slot_count;
+    fn remove_exclusions(&mut self, id: &MemberId, slot: Slot) {
+        let slot_count = self.slot_table.slot_count;
         if let Some(member) = self.members.rows.get_mut(id) {
             member.excluded.retain(|it| slot_count.slot_of(*it) != slot);
         }
@@ -211,24 +217,25 @@
         for (id, session, row) in self.members.expire(ctx.now) {
             // Until its leases have run out an earlier term may have seen an adopted session lapse and
             // granted its slots to others.
-            let (outlasted, term) = (self.succession.is_outlasted(), self.term);
-            let ended = self.table.end_session(&id, session, |grant| {
-                match outlasted || grant.token.term == term {
-                    true => Holder::lapsed(ctx.now),
-                    false => Holder::Unknown,
-                }
-            });
+            let (past_earlier_leases, term) = (self.succession.is_past_earlier_leases(), self.term);
+            let ended =
+                self.slot_table.end_session(&id, session, |grant| {
+                    match past_earlier_leases || grant.token.term == term {
+                        true => Holder::lapsed(ctx.now),
+                        false => Holder::Unknown,
+                    }
+                });
             if let Some(row) = row {
-                let version = self.bump_routes();
-                self.members.take_number_back(&row, version);
+                let version = self.bump_route_version();
+                self.members.release_number(&row, version);
                 ctx.event(Event::MemberLost { member: row.instance });
             }
             if ended > 0 {
-                self.bump_routes();
-                self.confirm.prove_soon(ctx.now);
+                self.bump_route_version();
+                self.confirmation.request_confirmation(ctx.now);
             }
             self.wake();
-            self.propose_soon(ctx.now);
+            self.schedule_proposal(ctx.now);
         }
     }
 }
--- a/crates/ownership/src/coordinator/slots.rs
+++ b/crates/ownership/src/coordinator/slots.rs
@@ -31,7 +31,7 @@
     /// No grant of it lives. Where that follows from time alone, `lapsed_at` says since when: a
     /// later term may have adopted and renewed the session before, so it may be granted anew only
     /// on proof, asked for after that time, that there is no later term.
-    Nobody {
+    Vacant {
         lapsed_at: Option<Timestamp>,
     },
     Member(Grant),
@@ -41,22 +41,22 @@
     pub(crate) fn grant(&self) -> Option<&Grant> {
         match self {
             Holder::Member(it) => Some(it),
-            Holder::Unknown | Holder::Nobody { .. } => None,
+            Holder::Unknown | Holder::Vacant { .. } => None,
         }
     }
 
     pub(crate) fn lapsed(now: Timestamp) -> Holder {
-        Holder::Nobody { lapsed_at: Some(now) }
+        Holder::Vacant { lapsed_at: Some(now) }
     }
 
     /// Whether it may be granted, on proof asked for at `proved_at`.
     pub(crate) fn is_free(&self, proved_at: Timestamp) -> bool {
         let proved =
             |it: Timestamp| it <= proved_at || !rules::is_enforced(Rule::ProveTermAfterLapse);
-        matches!(self, Holder::Nobody { lapsed_at } if lapsed_at.is_none_or(proved))
+        matches!(self, Holder::Vacant { lapsed_at } if lapsed_at.is_none_or(proved))
     }
 
-    pub(crate) fn is_of(&self, member: &MemberId, session: SessionId) -> bool {
+    pub(crate) fn is_held_by(&self, member: &MemberId, session: SessionId) -> bool {
         self.grant().is_some_and(|it| it.member == *member && it.session == session)
     }
 }
@@ -92,9 +92,9 @@
     pub(crate) load_us_per_s: Option<f64>,
     pub(crate) moved_at: Option<Timestamp>,
     /// Who is named for it by the plan in force, in order.
-    pub(crate) names: Vec<MemberId>,
+    pub(crate) candidates: Vec<MemberId>,
     /// The route version in which the owner changed last.
-    pub(crate) changed_in: u64,
+    pub(crate) changed_version: u64,
 }
 
 /// Whether a hot key is served by the owner of its slot.
@@ -122,7 +122,7 @@
     pub(crate) holder: KeyHolder,
     pub(crate) runs: EarlierRuns,
     pub(crate) last_token: Token,
-    pub(crate) changed_in: u64,
+    pub(crate) changed_version: u64,
 }
 
 /// All slots and hot keys of the group.
@@ -143,8 +143,8 @@
             last_token: Token::default(),
             load_us_per_s: None,
             moved_at: None,
-            names: Vec::new(),
-            changed_in: base + 1 + u64::from(slot.0),
+            candidates: Vec::new(),
+            changed_version: base + 1 + u64::from(slot.0),
         };
         let slots = slot_count.iter().map(row).collect();
         SlotTable { slot_count, slots, keys: BTreeMap::new() }
@@ -193,7 +193,7 @@
     }
 
     /// A session's grants end before its lease does, which is at `until`.
-    pub(crate) fn keep_runs(
+    pub(crate) fn retain_runs(
         &mut self,
         now: Timestamp,
         member: &Instance,
@@ -211,14 +211,14 @@
         }
     }
 
-    pub(crate) fn outlast_earlier_terms(&mut self) {
+    pub(crate) fn end_runs_of_earlier_terms(&mut self) {
         work::add_entries(self.slots.len() / 4);
-        self.slots.iter_mut().for_each(|it| it.runs.outlast_earlier_terms());
-        self.keys.values_mut().for_each(|it| it.runs.outlast_earlier_terms());
+        self.slots.iter_mut().for_each(|it| it.runs.end_runs_of_earlier_terms());
+        self.keys.values_mut().for_each(|it| it.runs.end_runs_of_earlier_terms());
     }
 
     /// Whether everything is granted, and nothing is on its way.
-    pub(crate) fn is_at_rest(&self) -> bool {
+    pub(crate) fn is_stable(&self) -> bool {
         let held = |it: &Holder| it.grant().is_some_and(|it| !it.closing);
         work::add_entries(self.slots.len() / 4);
         let slots = self.slots.iter().all(|row| row.handover.is_none() && held(&row.holder));
@@ -231,7 +231,7 @@
     }
 
     /// Whether a session holds anything or is about to.
-    pub(crate) fn concerns(&self, member: &MemberId) -> bool {
+    pub(crate) fn involves(&self, member: &MemberId) -> bool {
         let of = |it: Option<&Grant>| it.is_some_and(|it| it.member == *member);
         work::add_entries(self.slots.len());
         let slots = self.slots.iter().any(|row| {
--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -13,7 +13,7 @@
     rules::{self, Rule},
 };
 
-use super::Confirm;
+use super::TermConfirmation;
 
 /// The earlier terms, as the object showed them when this term replaced them.
 #[derive(Debug)]
@@ -22,14 +22,14 @@
     /// None: there was no object.
     predecessor: Option<Predecessor>,
     /// Members that have said, following this term, what they hold.
-    answered: BTreeSet<MemberId>,
+    accounted_for: BTreeSet<MemberId>,
     /// Those of them that have closed, or still hold, all that they were granted within a lease.
-    vouched: BTreeSet<MemberId>,
+    free_of_runs: BTreeSet<MemberId>,
     /// When runs end that were begun for those of them whose upstreams have been cleared.
     runs_end: BTreeMap<MemberId, Timestamp>,
     settled: bool,
     /// The time of all leases that earlier terms gave has passed.
-    outlasted: bool,
+    past_earlier_leases: bool,
     /// How long the earlier coordinator may have held its own.
     coordinator_lease: CoordinatorLease,
     /// A later life of the agent that held the earlier term was there at this time.
@@ -50,7 +50,7 @@
 
 impl Predecessor {
     /// How long after this term was taken a coordinator may be at work that is not known.
-    fn unknown_ends(&self) -> Duration {
+    fn unrecorded_max(&self) -> Duration {
         let times = self.times;
         let confirmation = times.confirmation().max(times.platform_confirmation());
         times.platform_absence_max() + confirmation
@@ -74,18 +74,18 @@
         Succession {
             acquired_at: now,
             predecessor,
-            answered: BTreeSet::new(),
-            vouched: BTreeSet::new(),
+            accounted_for: BTreeSet::new(),
+            free_of_runs: BTreeSet::new(),
             runs_end: BTreeMap::new(),
             settled,
-            outlasted: settled,
+            past_earlier_leases: settled,
             coordinator_lease,
             replaced_at: None,
         }
     }
 
     /// What the platform shows of earlier terms is not all that there was.
-    pub(crate) fn lose_history(&mut self) {
+    pub(crate) fn set_history_lost(&mut self) {
         if let Some(predecessor) = &mut self.predecessor {
             predecessor.history_lost = true;
         }
@@ -96,7 +96,7 @@
     pub(crate) fn may_be_contested(&self, now: Timestamp) -> bool {
         let former = self.predecessor.as_ref().filter(|it| it.history_lost);
         former.is_some_and(|it| {
-            now < self.acquired_at + it.times.with_drift_margin(it.unknown_ends())
+            now < self.acquired_at + it.times.with_drift_margin(it.unrecorded_max())
         })
     }
 
@@ -106,7 +106,7 @@
 
     /// An agent follows this term, or holds it. Where it is a later life of the one that held the term before,
     /// that one renews nothing any more.
-    pub(crate) fn follows(&mut self, now: Timestamp, agent: &Instance) {
+    pub(crate) fn record_follower(&mut self, now: Timestamp, agent: &Instance) {
         let former = self.predecessor.as_ref().filter(|it| it.settled && !it.history_lost);
         let Some(holder) = former.and_then(|it| it.holder.as_ref()) else { return };
         if is_same_agent(holder, agent) && !is_same_incarnation(holder, agent) {
@@ -116,8 +116,8 @@
 
     /// All leases that earlier terms gave have run out. Before that an earlier coordinator may have seen a
     /// session lapse that was adopted here, and granted to others what it held.
-    pub(crate) fn is_outlasted(&self) -> bool {
-        self.outlasted
+    pub(crate) fn is_past_earlier_leases(&self) -> bool {
+        self.past_earlier_leases
     }
 
     /// No earlier term can renew or grant any more, and its leases have ended or been adopted.
@@ -130,28 +130,33 @@
     pub(crate) fn settle(
         &mut self,
         now: Timestamp,
-        confirm: &Confirm,
+        confirmation: &TermConfirmation,
         planned: Option<&[Instance]>,
     ) -> bool {
-        if self.outlasted {
+        if self.past_earlier_leases {
             return false;
         }
-        let over = self.leases_end(confirm).is_some_and(|it| now >= it);
-        self.outlasted = over || !rules::is_enforced(Rule::WaitForLeases);
+        let over = self.leases_end(confirmation).is_some_and(|it| now >= it);
+        self.past_earlier_leases = over || !rules::is_enforced(Rule::WaitForLeases);
         if self.settled {
             return false;
         }
         let all_clear = planned.filter(|_| !self.history_lost()).is_some_and(|it| {
             let ids: Vec<MemberId> = it.iter().map(MemberId::from).collect();
-            self.is_clear(now, confirm, &ids)
+            self.has_no_holder_among(now, confirmation, &ids)
         });
-        self.settled = self.outlasted || all_clear;
+        self.settled = self.past_earlier_leases || all_clear;
         self.settled
     }
 
     /// The upstream beside a member, or beside the later life of one, has been cleared. Nothing was granted there
     /// from the start of the session that joined at `joined_at` until then, so no earlier hold is left a lease after.
-    pub(crate) fn cleared(&mut self, member: MemberId, joined_at: Timestamp, times: TermTimes) {
+    pub(crate) fn record_cleared(
+        &mut self,
+        member: MemberId,
+        joined_at: Timestamp,
+        times: TermTimes,
+    ) {
         let knows_times = self.predecessor.as_ref().is_none_or(|it| it.settled && !it.history_lost);
         if knows_times {
             let earlier = self.predecessor.as_ref().map(|it| it.times);
@@ -160,7 +165,7 @@
             let end = joined_at + ends.max().unwrap_or_default();
             self.runs_end.insert(member.clone(), end);
         }
-        self.answered.insert(member);
+        self.accounted_for.insert(member);
     }
 
     /// When runs end that an earlier term's grant to this life began. None: when the leases of earlier terms have
@@ -170,26 +175,26 @@
     }
 
     /// A member has said what it holds, and no session of its life has ended of late.
-    pub(crate) fn vouched(&mut self, member: MemberId) {
-        self.vouched.insert(member.clone());
-        self.answered.insert(member);
+    pub(crate) fn record_reported(&mut self, member: MemberId) {
+        self.free_of_runs.insert(member.clone());
+        self.accounted_for.insert(member);
     }
 
     /// Whether no run of a grant that has ended can go on at the upstream beside this life of a member.
-    pub(crate) fn has_vouched(&self, member: &MemberId) -> bool {
-        self.vouched.contains(member)
+    pub(crate) fn is_free_of_runs(&self, member: &MemberId) -> bool {
+        self.free_of_runs.contains(member)
     }
 
-    pub(crate) fn has_answered(&self, member: &MemberId) -> bool {
-        self.answered.contains(member)
+    pub(crate) fn is_accounted_for(&self, member: &MemberId) -> bool {
+        self.accounted_for.contains(member)
     }
 
     /// Whether none of those that an earlier plan names for something can hold it any more.
     /// The plan must be one that this term has written itself.
-    pub(crate) fn is_clear<'a>(
+    pub(crate) fn has_no_holder_among<'a>(
         &self,
         now: Timestamp,
-        confirm: &Confirm,
+        confirmation: &TermConfirmation,
         named: impl IntoIterator<Item = &'a MemberId>,
     ) -> bool {
         if self.settled {
@@ -204,12 +209,13 @@
         named.into_iter().all(|it| {
             let was_holder = knows_holder
                 && former.holder.as_ref().is_some_and(|holder| MemberId::from(holder) == *it);
-            self.answered.contains(it) || (was_holder && self.holder_ended(now, confirm))
+            self.accounted_for.contains(it)
+                || (was_holder && self.is_holder_expired(now, confirmation))
         })
     }
 
     /// The lost coordinator held its own slots only while it was confirmed, or for a lease more.
-    fn holder_ended(&self, now: Timestamp, confirm: &Confirm) -> bool {
+    fn is_holder_expired(&self, now: Timestamp, confirmation: &TermConfirmation) -> bool {
         let Some(former) = &self.predecessor else { return true };
         let times = former.times;
         let lease = match self.coordinator_lease {
@@ -221,16 +227,17 @@
         };
         let by_witnesses = times.confirmation() + lease;
         let by_platform = times.platform_confirmation() + lease;
-        self.silenced(confirm, former, by_witnesses, by_platform).is_some_and(|it| now >= it)
+        self.after_confirmation_end(confirmation, former, by_witnesses, by_platform)
+            .is_some_and(|it| now >= it)
     }
 
     /// When the last lease of any earlier term has ended.
-    fn leases_end(&self, confirm: &Confirm) -> Option<Timestamp> {
+    fn leases_end(&self, confirmation: &TermConfirmation) -> Option<Timestamp> {
         let Some(former) = &self.predecessor else { return Some(self.acquired_at) };
         let times = former.times;
         let lease = times.lease();
         if former.history_lost {
-            return Some(self.acquired_at + times.with_drift_margin(former.unknown_ends() + lease));
+            return Some(self.acquired_at + times.with_drift_margin(former.unrecorded_max() + lease));
         }
         let earlier_ended = former.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
         if former.holder.is_none() && earlier_ended {
@@ -238,21 +245,22 @@
         }
         let by_witnesses = times.confirmation() + lease;
         let by_platform = times.platform_confirmation() + lease;
-        let silenced = self.silenced(confirm, former, by_witnesses, by_platform);
+        let after_confirmation_end =
+            self.after_confirmation_end(confirmation, former, by_witnesses, by_platform);
         let replaced = self.replaced_at.map(|it| it + times.with_drift_margin(lease));
-        silenced.into_iter().chain(replaced).min()
+        after_confirmation_end.into_iter().chain(replaced).min()
     }
 
     /// When `duration` has passed since earlier terms lost their confirmation.
-    fn silenced(
+    fn after_confirmation_end(
         &self,
-        confirm: &Confirm,
+        confirmation: &TermConfirmation,
         former: &Predecessor,
         by_witnesses: Duration,
         by_platform: Duration,
     ) -> Option<Timestamp> {
         let times = former.times;
-        match (former.confirmation, confirm.promised_at()) {
+        match (former.confirmation, confirmation.promised_at()) {
             (Confirmation::Platform, _) => {
                 Some(self.acquired_at + times.with_drift_margin(by_platform))
             }
--- a/crates/ownership/src/coordinator/tests.rs
+++ b/crates/ownership/src/coordinator/tests.rs
@@ -2,7 +2,7 @@
 
 use model::{ConfigVersion, Incarnation, Instance, InstanceName, Term, Timestamp, Zone};
 
-use super::members::{GONE_MAX, MemberRow, MemberTable};
+use super::members::{MemberRow, MemberTable, RELEASED_NUMBERS_MAX};
 use crate::{MemberNumber, Renew, SessionId, UpstreamState, ctx::MemberId};
 
 fn row(number: usize) -> MemberRow {
@@ -40,7 +40,7 @@
         let id = MemberId::from(&comes.instance);
         table.insert(id.clone(), comes, None, version as u64);
         let goes = table.rows.remove(&id).unwrap();
-        table.take_number_back(&goes, version as u64);
+        table.release_number(&goes, version as u64);
     }
     table
 }
@@ -48,18 +48,26 @@
 #[test]
 fn whoever_follows_is_told_which_numbers_are_free() {
     let table = table(10);
-    assert_eq!(table.gone_since(10), Some(Vec::new()));
-    assert_eq!(table.gone_since(7), Some(vec![MemberNumber(1); 3]), "the same number, three times");
-    assert_eq!(table.gone_since(0).unwrap().len(), 10);
+    assert_eq!(table.numbers_released_since(10), Some(Vec::new()));
+    assert_eq!(
+        table.numbers_released_since(7),
+        Some(vec![MemberNumber(1); 3]),
+        "the same number, three times"
+    );
+    assert_eq!(table.numbers_released_since(0).unwrap().len(), 10);
 }
 
 #[test]
 fn whoever_has_missed_more_than_is_remembered_is_told_all_anew() {
     let forgotten = 5;
-    let table = table(GONE_MAX + forgotten);
+    let table = table(RELEASED_NUMBERS_MAX + forgotten);
     for since in 0..forgotten as u64 {
-        assert_eq!(table.gone_since(since), None, "since {since}");
+        assert_eq!(table.numbers_released_since(since), None, "since {since}");
     }
     let since = forgotten as u64;
-    assert_eq!(table.gone_since(since).unwrap().len(), GONE_MAX, "all after it are remembered");
+    assert_eq!(
+        table.numbers_released_since(since).unwrap().len(),
+        RELEASED_NUMBERS_MAX,
+        "all after it are remembered"
+    );
 }
