--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -1,4 +1,7 @@
-//! What a new coordinator must wait for before earlier terms can do no more harm.
+//! Tracks when a new coordinator may regrant what earlier terms have granted.
+//!
+//! Until then an earlier coordinator may still renew leases and grant slots, and leases that it
+//! gave may still be valid.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,41 +18,46 @@
 
 use super::TermConfirmation;
 
-/// The earlier terms, as the object showed them when this term replaced them.
+/// The state of earlier terms: which of their grants may still be in force, and until when.
 #[derive(Debug)]
 pub(crate) struct Succession {
     acquired_at: Timestamp,
-    /// None: there was no object.
+    /// Is `None` if the platform had no coordinator object before this term.
     predecessor: Option<Predecessor>,
-    /// Members that have said, following this term, what they hold.
+    /// Members that have reported their holdings to this term, or whose upstreams have been
+    /// cleared.
     accounted_for: BTreeSet<MemberId>,
-    /// Those of them that have closed, or still hold, all that they were granted within a lease.
+    /// Members that have closed or still hold every grant of the last lease period, so that no
+    /// request of an ended grant can be running at their upstreams.
     free_of_runs: BTreeSet<MemberId>,
-    /// When runs end that were begun for those of them whose upstreams have been cleared.
+    /// For members with cleared upstreams: when the last request admitted under an earlier grant
+    /// ends.
     runs_end: BTreeMap<MemberId, Timestamp>,
     settled: bool,
-    /// The time of all leases that earlier terms gave has passed.
+    /// Whether all leases that earlier terms gave have ended.
     past_earlier_leases: bool,
-    /// How long the earlier coordinator may have held its own.
+    /// How long the previous coordinator may have held the slots that it granted to itself.
     coordinator_lease: CoordinatorLease,
-    /// A later life of the agent that held the earlier term was there at this time.
+    /// When a later incarnation of the agent that held the previous term was first seen.
     replaced_at: Option<Timestamp>,
 }
 
+/// The previous term, as the coordinator object showed it when this term replaced it.
 #[derive(Debug)]
 struct Predecessor {
-    /// None: it has given its term up, after it had stopped renewing.
+    /// Is `None` if the coordinator released its term, which it does only after its last renewal.
     holder: Option<Instance>,
     settled: bool,
     confirmation: Confirmation,
     times: TermTimes,
-    /// Later terms than this one may have been lost with the platform's latest: who held what under them, and who
-    /// confirmed them, is not known.
+    /// Whether later terms may have existed whose records the platform has lost. Their holders,
+    /// grants and witnesses are unknown.
     history_lost: bool,
 }
 
 impl Predecessor {
-    /// How long after this term was taken a coordinator may be at work that is not known.
+    /// Returns how long after the acquisition of this term an unrecorded coordinator may still be
+    /// active.
     fn unrecorded_max(&self) -> Duration {
         let times = self.times;
         let confirmation = times.confirmation().max(times.platform_confirmation());
@@ -60,10 +68,10 @@
 impl Succession {
     pub(crate) fn new(
         now: Timestamp,
-        former: Option<&Coordinator>,
+        previous: Option<&Coordinator>,
         coordinator_lease: CoordinatorLease,
     ) -> Succession {
-        let predecessor = former.map(|it| Predecessor {
+        let predecessor = previous.map(|it| Predecessor {
             holder: it.holder.clone(),
             settled: it.settled,
             confirmation: it.confirmation,
@@ -84,18 +92,18 @@
         }
     }
 
-    /// What the platform shows of earlier terms is not all that there was.
+    /// Records that the platform has lost records of earlier terms.
     pub(crate) fn set_history_lost(&mut self) {
         if let Some(predecessor) = &mut self.predecessor {
             predecessor.history_lost = true;
         }
     }
 
-    /// Whether a coordinator that is not known may still renew and grant: until then this one renews nothing, for what
-    /// a member goes on with the other may have granted anew.
+    /// Returns whether an unrecorded coordinator may still renew and grant. Meanwhile this one must
+    /// not renew any lease, because the other may have granted the same slots to another member.
     pub(crate) fn may_be_contested(&self, now: Timestamp) -> bool {
-        let former = self.predecessor.as_ref().filter(|it| it.history_lost);
-        former.is_some_and(|it| {
+        let previous = self.predecessor.as_ref().filter(|it| it.history_lost);
+        previous.is_some_and(|it| {
             now < self.acquired_at + it.times.with_drift_margin(it.unrecorded_max())
         })
     }
@@ -104,29 +112,32 @@
         self.predecessor.as_ref().is_some_and(|it| it.history_lost)
     }
 
-    /// An agent follows this term, or holds it. Where it is a later life of the one that held the term before,
-    /// that one renews nothing any more.
+    /// Records that an agent follows or holds this term. If it is a later incarnation of the
+    /// previous coordinator, that coordinator has ended and can no longer renew leases.
     pub(crate) fn record_follower(&mut self, now: Timestamp, agent: &Instance) {
-        let former = self.predecessor.as_ref().filter(|it| it.settled && !it.history_lost);
-        let Some(holder) = former.and_then(|it| it.holder.as_ref()) else { return };
+        let previous = self.predecessor.as_ref().filter(|it| it.settled && !it.history_lost);
+        let Some(holder) = previous.and_then(|it| it.holder.as_ref()) else { return };
         if is_same_agent(holder, agent) && !is_same_incarnation(holder, agent) {
             self.replaced_at.get_or_insert(now);
         }
     }
 
-    /// All leases that earlier terms gave have run out. Before that an earlier coordinator may have seen a
-    /// session lapse that was adopted here, and granted to others what it held.
+    /// Returns whether all leases of earlier terms have ended. Before that, an earlier coordinator
+    /// may have seen a session lapse that this term adopted, and may have granted its slots to
+    /// other members.
     pub(crate) fn is_past_earlier_leases(&self) -> bool {
         self.past_earlier_leases
     }
 
-    /// No earlier term can renew or grant any more, and its leases have ended or been adopted.
+    /// Returns whether no earlier term can renew or grant any longer, and each of its leases has
+    /// ended or been adopted.
     pub(crate) fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// Settles when the time has come, or when all that the plan of this term names have said what they
-    /// hold; says whether that was now. `planned`: none before that plan is acknowledged.
+    /// Settles this term once the earlier leases have ended, or once all `planned` members are
+    /// accounted for. Returns whether it settled in this call. `planned` is `None` until the first
+    /// plan of this term is acknowledged.
     pub(crate) fn settle(
         &mut self,
         now: Timestamp,
@@ -136,7 +147,7 @@
         if self.past_earlier_leases {
             return false;
         }
-        let over = self.leases_end(confirmation).is_some_and(|it| now >= it);
+        let over = self.earlier_leases_end(confirmation).is_some_and(|it| now >= it);
         self.past_earlier_leases = over || !rules::is_enforced(Rule::WaitForLeases);
         if self.settled {
             return false;
@@ -149,16 +160,18 @@
         self.settled
     }
 
-    /// The upstream beside a member, or beside the later life of one, has been cleared. Nothing was granted there
-    /// from the start of the session that joined at `joined_at` until then, so no earlier hold is left a lease after.
+    /// Records that the upstream beside a member, or beside a later incarnation of it, has been
+    /// cleared. Nothing was granted there between `joined_at`, when the current session began, and
+    /// the clearing, so all earlier grants end at most one lease after `joined_at`.
     pub(crate) fn record_cleared(
         &mut self,
         member: MemberId,
         joined_at: Timestamp,
         times: TermTimes,
     ) {
-        let knows_times = self.predecessor.as_ref().is_none_or(|it| it.settled && !it.history_lost);
-        if knows_times {
+        let is_history_known =
+            self.predecessor.as_ref().is_none_or(|it| it.settled && !it.history_lost);
+        if is_history_known {
             let earlier = self.predecessor.as_ref().map(|it| it.times);
             let ends =
                 earlier.into_iter().chain([times]).map(|it| it.with_drift_margin(it.lease()));
@@ -168,56 +181,61 @@
         self.accounted_for.insert(member);
     }
 
-    /// When runs end that an earlier term's grant to this life began. None: when the leases of earlier terms have
-    /// run out.
-    pub(crate) fn runs_end(&self, life: &Instance) -> Option<Timestamp> {
-        self.runs_end.get(&MemberId::from(life)).copied()
+    /// Returns when the last request ends that was admitted under an earlier term's grant to this
+    /// incarnation. `None` means: not before all leases of earlier terms have ended.
+    pub(crate) fn runs_end(&self, instance: &Instance) -> Option<Timestamp> {
+        self.runs_end.get(&MemberId::from(instance)).copied()
     }
 
-    /// A member has said what it holds, and no session of its life has ended of late.
+    /// Records that a member has reported its holdings, and that none of its sessions ended within
+    /// the last lease.
     pub(crate) fn record_reported(&mut self, member: MemberId) {
         self.free_of_runs.insert(member.clone());
         self.accounted_for.insert(member);
     }
 
-    /// Whether no run of a grant that has ended can go on at the upstream beside this life of a member.
+    /// Returns whether no request of an ended grant can be running at the upstream beside this
+    /// incarnation.
     pub(crate) fn is_free_of_runs(&self, member: &MemberId) -> bool {
         self.free_of_runs.contains(member)
     }
 
+    /// Returns whether the member has reported its holdings to this term, or its upstream has been
+    /// cleared.
     pub(crate) fn is_accounted_for(&self, member: &MemberId) -> bool {
         self.accounted_for.contains(member)
     }
 
-    /// Whether none of those that an earlier plan names for something can hold it any more.
-    /// The plan must be one that this term has written itself.
+    /// Returns whether none of the candidates for a slot or key can still hold it without this term
+    /// knowing. They must be the candidates of a plan that this term has written itself.
     pub(crate) fn has_no_holder_among<'a>(
         &self,
         now: Timestamp,
         confirmation: &TermConfirmation,
-        named: impl IntoIterator<Item = &'a MemberId>,
+        candidates: impl IntoIterator<Item = &'a MemberId>,
     ) -> bool {
         if self.settled {
             return true;
         }
-        let Some(former) = self.predecessor.as_ref().filter(|it| !it.history_lost) else {
+        let Some(previous) = self.predecessor.as_ref().filter(|it| !it.history_lost) else {
             return self.predecessor.is_none();
         };
-        // A term that had not settled may have left even earlier ones at work: what its holder has may be
-        // from those, and lasts longer than its own confirmation tells.
-        let knows_holder = former.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
-        named.into_iter().all(|it| {
-            let was_holder = knows_holder
-                && former.holder.as_ref().is_some_and(|holder| MemberId::from(holder) == *it);
+        // If the previous term had not settled, even earlier ones may still be active. Its holder
+        // may hold slots of those terms, which can stay valid for longer than its own confirmation.
+        let is_holder_bounded = previous.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
+        candidates.into_iter().all(|it| {
+            let was_holder = is_holder_bounded
+                && previous.holder.as_ref().is_some_and(|holder| MemberId::from(holder) == *it);
             self.accounted_for.contains(it)
                 || (was_holder && self.is_holder_expired(now, confirmation))
         })
     }
 
-    /// The lost coordinator held its own slots only while it was confirmed, or for a lease more.
+    /// Returns whether the slots that the previous coordinator granted to itself have ended: with
+    /// its confirmation, or one lease later, as `own_lease` says.
     fn is_holder_expired(&self, now: Timestamp, confirmation: &TermConfirmation) -> bool {
-        let Some(former) = &self.predecessor else { return true };
-        let times = former.times;
+        let Some(previous) = &self.predecessor else { return true };
+        let times = previous.times;
         let lease = match self.coordinator_lease {
             CoordinatorLease::Confirmation => Duration::ZERO,
             CoordinatorLease::Full if rules::is_enforced(Rule::WaitForCoordinatorLease) => {
@@ -227,46 +245,48 @@
         };
         let by_witnesses = times.confirmation() + lease;
         let by_platform = times.platform_confirmation() + lease;
-        self.after_confirmation_end(confirmation, former, by_witnesses, by_platform)
+        self.after_confirmation_end(confirmation, previous, by_witnesses, by_platform)
             .is_some_and(|it| now >= it)
     }
 
-    /// When the last lease of any earlier term has ended.
-    fn leases_end(&self, confirmation: &TermConfirmation) -> Option<Timestamp> {
-        let Some(former) = &self.predecessor else { return Some(self.acquired_at) };
-        let times = former.times;
+    /// Returns when the last lease of any earlier term ends.
+    fn earlier_leases_end(&self, confirmation: &TermConfirmation) -> Option<Timestamp> {
+        let Some(previous) = &self.predecessor else { return Some(self.acquired_at) };
+        let times = previous.times;
         let lease = times.lease();
-        if former.history_lost {
-            return Some(self.acquired_at + times.with_drift_margin(former.unrecorded_max() + lease));
+        if previous.history_lost {
+            return Some(self.acquired_at + times.with_drift_margin(previous.unrecorded_max() + lease));
         }
-        let earlier_ended = former.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
-        if former.holder.is_none() && earlier_ended {
+        let earlier_ended = previous.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
+        if previous.holder.is_none() && earlier_ended {
             return Some(self.acquired_at + times.with_drift_margin(lease));
         }
         let by_witnesses = times.confirmation() + lease;
         let by_platform = times.platform_confirmation() + lease;
-        let after_confirmation_end =
-            self.after_confirmation_end(confirmation, former, by_witnesses, by_platform);
-        let replaced = self.replaced_at.map(|it| it + times.with_drift_margin(lease));
-        after_confirmation_end.into_iter().chain(replaced).min()
+        let by_confirmation =
+            self.after_confirmation_end(confirmation, previous, by_witnesses, by_platform);
+        let by_replacement = self.replaced_at.map(|it| it + times.with_drift_margin(lease));
+        by_confirmation.into_iter().chain(by_replacement).min()
     }
 
-    /// When `duration` has passed since earlier terms lost their confirmation.
+    /// Returns when earlier terms have certainly been without confirmation for the given time:
+    /// `by_witnesses` counts from the promise of a majority of witnesses, `by_platform` from the
+    /// acquisition of this term.
     fn after_confirmation_end(
         &self,
         confirmation: &TermConfirmation,
-        former: &Predecessor,
+        previous: &Predecessor,
         by_witnesses: Duration,
         by_platform: Duration,
     ) -> Option<Timestamp> {
-        let times = former.times;
-        match (former.confirmation, confirmation.promised_at()) {
+        let times = previous.times;
+        match (previous.confirmation, confirmation.promised_at()) {
             (Confirmation::Platform, _) => {
                 Some(self.acquired_at + times.with_drift_margin(by_platform))
             }
             (Confirmation::Witnesses, Some(at)) => Some(at + times.with_drift_margin(by_witnesses)),
-            // No majority: the earlier coordinator ends when it has not reached the platform for
-            // the longest time allowed.
+            // Without a majority, the earlier coordinator stops renewing only when it has not
+            // reached the platform for the longest absence allowed.
             (Confirmation::Witnesses, None) => {
                 let absence = times.platform_absence_max() + by_witnesses;
                 Some(self.acquired_at + times.with_drift_margin(absence))
