--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -108,8 +108,8 @@
     pub(super) fn apply_confirmation_change(&mut self, ctx: &mut Ctx<'_>) {
         let object = self.object.acked();
         let now = (object.confirmation, object.witnesses.iter().map(MemberId::from).collect());
-        let (path, _) = &now;
-        if *path != self.acked_confirmation.0 {
+        let (method, _) = &now;
+        if *method != self.acked_confirmation.0 {
             self.confirmation.reset(ctx.now);
             self.own_lease_capped_since = None;
         }
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
 //! A node's part as coordinator of its group, while it holds the term.
 
 mod answer;
-mod confirmation;
+mod confirm;
 mod grants;
 mod handover;
 mod keys;
@@ -36,7 +36,7 @@
 
 use self::{
     answer::Recipients,
-    confirmation::{ConfirmationPolicy, TermConfirmation},
+    confirm::{ConfirmationPolicy, TermConfirmation},
     loads::HotKeys,
     members::MemberTable,
     object::{CoordinatorWriter, UpdateOutcome},
@@ -297,7 +297,7 @@
                     .object
                     .confirmation_policy(self.object.acked().times.min(ctx.limits().into()));
                 let proved_at = self.confirmation.proved_at();
-                self.confirmation.handle_answer(ctx.now, from, *number, *has_read, &policy);
+                self.confirmation.handle_reply(ctx.now, from, *number, *has_read, &policy);
                 if self.confirmation.proved_at() > proved_at {
                     self.advance(ctx);
                 }
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -61,20 +61,20 @@
 
     /// By what the coordinator is confirmed while the update is on its way.
     pub(crate) fn confirmation_policy(&self, times: crate::TermTimes) -> ConfirmationPolicy<'_> {
-        let mut path = Some(self.acked.confirmation);
+        let mut method = Some(self.acked.confirmation);
         let mut witness_sets = vec![self.acked.witnesses.as_slice()];
         if let Some(pending) = &self.pending {
             if pending.object.confirmation != self.acked.confirmation {
-                path = None;
+                method = None;
             }
             if pending.object.witnesses != self.acked.witnesses {
                 witness_sets.push(pending.object.witnesses.as_slice());
             }
         }
-        if path == Some(Confirmation::Platform) {
+        if method == Some(Confirmation::Platform) {
             witness_sets.clear();
         }
-        ConfirmationPolicy { path, witness_sets, times }
+        ConfirmationPolicy { method, witness_sets, times }
     }
 
     /// Starts an update; only one may be on its way.
