--- a/crates/ownership/src/coordinator/loads.rs
+++ b/crates/ownership/src/coordinator/loads.rs
@@ -107,7 +107,7 @@
         for it in &report.slots {
             rest_us = rest_us.saturating_sub(it.load_us);
             reported.push(it.slot);
-            if let Some(row) = self.slot_table.row(it.slot) {
+            if let Some(row) = self.slot_table.row_mut(it.slot) {
                 smooth(&mut row.load_us_per_s, per_s(it.load_us));
             }
         }
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -109,7 +109,7 @@
 
     fn adopt_slot(&mut self, id: &MemberId, session: SessionId, held: &HeldSlot) {
         let version = self.bump_slot_route_version();
-        let Some(row) = self.slot_table.row(held.slot) else { return };
+        let Some(row) = self.slot_table.row_mut(held.slot) else { return };
         let (member, token, closing) = (id.clone(), held.token, held.closing);
         row.holder = Holder::Member(Grant { member, session, token, closing });
         row.last_token = row.last_token.max(held.token);
@@ -158,7 +158,7 @@
     ) {
         match report {
             Report::Prepared { slot, token } => {
-                let Some(row) = self.slot_table.row(slot) else { return };
+                let Some(row) = self.slot_table.row_mut(slot) else { return };
                 let Some(handover) = &row.handover else { return };
                 let waits = matches!(handover.step, HandoverStep::Preparing { .. });
                 if waits && handover.to == *id && handover.token == token {
@@ -167,7 +167,7 @@
             }
             Report::Closed { slot, token } => {
                 let then = self.holder_when_closed(token);
-                let Some(row) = self.slot_table.row(slot) else { return };
+                let Some(row) = self.slot_table.row_mut(slot) else { return };
                 if row.holder.is_held_by(id, session)
                     && row.holder.grant().is_some_and(|it| it.token == token && it.closing)
                 {
--- a/crates/ownership/src/coordinator/runs.rs
+++ b/crates/ownership/src/coordinator/runs.rs
@@ -1,8 +1,8 @@
-//! Runs that may go on at an upstream although the grant under which they began has ended.
+//! Runs (executions of requests) that may continue at an upstream after their grant has ended.
 //!
-//! An upstream that has released its keys may still work for callers that nobody waits for: those of an
-//! earlier life of its agent, or of an earlier session. It ends them when the lease under which they began
-//! runs out.
+//! After a release of its keys an upstream may still run requests of an earlier incarnation of its
+//! agent, or of an earlier session, whose callers no longer wait for a reply. It ends them when the
+//! lease ends under which they began.
 
 use model::{Instance, Timestamp};
 
@@ -11,24 +11,28 @@
     rules::{self, Rule},
 };
 
-/// Runs of one slot or hot key at the upstream beside one life of an agent.
+/// Runs of one slot or hot key at the upstream beside one incarnation of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct InstanceRuns {
     instance: Instance,
-    /// None: not before the leases of earlier terms have run out.
+    /// When the last of them has ended; `None` if that is known only once the leases of earlier
+    /// terms have ended.
     until: Option<Timestamp>,
-    /// An earlier term has granted what they began under, so they end with its leases at the latest.
+    /// Whether they began under a grant of an earlier term, so that they end with its leases at the
+    /// latest.
     of_earlier_term: bool,
 }
 
-/// Where runs of one slot or hot key may go on.
+/// Instances at whose upstreams runs of one slot or hot key may continue after their grants have
+/// ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct EarlierRuns(Vec<InstanceRuns>);
 
 impl EarlierRuns {
-    /// Runs that may go on until `end` says, or else until the leases of earlier terms have run out.
+    /// Creates the runs of earlier terms at the given instances. Each continues until `end` at most
+    /// or, where that is `None`, until the leases of earlier terms have ended.
     pub(crate) fn of_earlier_terms<'a>(
-        lives: impl IntoIterator<Item = &'a Instance>,
+        instances: impl IntoIterator<Item = &'a Instance>,
         end: impl Fn(&Instance) -> Option<Timestamp>,
     ) -> EarlierRuns {
         let run = |instance: &Instance| InstanceRuns {
@@ -36,13 +40,14 @@
             until: end(instance),
             of_earlier_term: true,
         };
-        EarlierRuns(lives.into_iter().map(run).collect())
+        EarlierRuns(instances.into_iter().map(run).collect())
     }
 
+    /// Adds runs that may continue until `until`, and removes those that have ended.
     pub(crate) fn add(&mut self, now: Timestamp, instance: &Instance, until: Timestamp) {
-        let is_over = |it: Timestamp| it <= now;
-        self.0.retain(|it| !it.until.is_some_and(is_over));
-        if !is_over(until) {
+        let has_ended = |it: Timestamp| it <= now;
+        self.0.retain(|it| !it.until.is_some_and(has_ended));
+        if !has_ended(until) {
             self.0.push(InstanceRuns {
                 instance: instance.clone(),
                 until: Some(until),
@@ -57,27 +62,29 @@
         self.0.extend(new);
     }
 
-    /// The leases of earlier terms have run out.
+    /// Removes the runs of earlier terms, whose leases have ended.
     pub(crate) fn end_runs_of_earlier_terms(&mut self) {
         self.0.retain(|it| !it.of_earlier_term);
     }
 
-    /// The lives at whose upstreams runs may go on.
+    /// Returns the instances at whose upstreams runs may still continue.
     pub(crate) fn instances(&self, now: Timestamp) -> impl Iterator<Item = &Instance> {
-        let goes_on = move |it: &&InstanceRuns| it.until.is_none_or(|until| now < until);
-        self.0.iter().filter(goes_on).map(|it| &it.instance)
+        let may_continue = move |it: &&InstanceRuns| it.until.is_none_or(|until| now < until);
+        self.0.iter().filter(may_continue).map(|it| &it.instance)
     }
 
+    /// Returns whether runs may still continue at any upstream.
     pub(crate) fn any(&self, now: Timestamp) -> bool {
         self.instances(now).next().is_some() && is_wait_required()
     }
 
-    /// Whether some may go on at another upstream than the one beside this instance.
-    pub(crate) fn any_elsewhere(&self, now: Timestamp, than: &Instance) -> bool {
-        self.instances(now).any(|it| !is_same_agent(it, than)) && is_wait_required()
+    /// Returns whether runs may still continue at another upstream than the one beside `instance`.
+    pub(crate) fn any_elsewhere(&self, now: Timestamp, instance: &Instance) -> bool {
+        self.instances(now).any(|it| !is_same_agent(it, instance)) && is_wait_required()
     }
 }
 
+/// Returns whether grants have to wait for earlier runs, which only tests can disable.
 fn is_wait_required() -> bool {
     rules::is_enforced(Rule::WaitForEarlierRequests)
         && rules::is_enforced(Rule::ClearEarlierIncarnations)
--- a/crates/ownership/src/coordinator/slots.rs
+++ b/crates/ownership/src/coordinator/slots.rs
@@ -1,4 +1,4 @@
-//! The coordinator's table of slots and of hot keys: who holds them, as far as it is known.
+//! The coordinator's table of slots and hot keys, with the grant of each.
 
 use std::collections::BTreeMap;
 
@@ -13,25 +13,26 @@
 
 use super::runs::EarlierRuns;
 
-/// A grant that may live.
+/// A grant of a slot or hot key to a session of a member, which may still be in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Grant {
     pub(crate) member: MemberId,
     pub(crate) session: SessionId,
     pub(crate) token: Token,
-    /// The member has been told to give it up, or said that it does.
+    /// Whether the member has been commanded to close it, or has reported that it is closing it.
     pub(crate) closing: bool,
 }
 
-/// Who holds a slot or the entry of a hot key.
+/// The holder of a slot, or of a hot key with an entry of its own in the plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Holder {
-    /// Some member of an earlier term may hold it.
+    /// A member may hold it by a grant of an earlier term.
     Unknown,
-    /// No grant of it lives. Where that follows from time alone, `lapsed_at` says since when: a
-    /// later term may have adopted and renewed the session before, so it may be granted anew only
-    /// on proof, asked for after that time, that there is no later term.
+    /// No grant of it is in force.
     Vacant {
+        /// When the last lease over it ended; `None` if its holder has closed it. A later term may
+        /// have adopted and renewed that session before this time, so a new grant needs proof
+        /// requested after it that no later term exists.
         lapsed_at: Option<Timestamp>,
     },
     Member(Grant),
@@ -45,11 +46,13 @@
         }
     }
 
+    /// Creates the holder of a slot or key whose last lease has ended.
     pub(crate) fn lapsed(now: Timestamp) -> Holder {
         Holder::Vacant { lapsed_at: Some(now) }
     }
 
-    /// Whether it may be granted, on proof asked for at `proved_at`.
+    /// Returns whether it may be granted, given proof requested at `proved_at` that no later term
+    /// exists.
     pub(crate) fn is_free(&self, proved_at: Timestamp) -> bool {
         let proved =
             |it: Timestamp| it <= proved_at || !rules::is_enforced(Rule::ProveTermAfterLapse);
@@ -61,49 +64,52 @@
     }
 }
 
-/// How far a planned handover has come.
+/// The step that a planned handover has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HandoverStep {
-    /// The new owner warms up; the old one still serves.
+    /// The new owner prepares its upstream; the old owner still serves the slot.
     Preparing { since: Timestamp },
-    /// The old owner finishes what is in flight.
+    /// The old owner admits no more requests and completes those in flight.
     Closing,
 }
 
-/// A planned handover of a slot.
+/// A planned handover of a slot to a new owner.
 #[derive(Debug, Clone)]
 pub(crate) struct Handover {
     pub(crate) to: MemberId,
-    /// The token for the new owner.
+    /// The token of the new owner's grant.
     pub(crate) token: Token,
     pub(crate) step: HandoverStep,
     pub(crate) reason: MoveReason,
 }
 
+/// The state of one slot.
 #[derive(Debug)]
 pub(crate) struct SlotRow {
     pub(crate) holder: Holder,
     pub(crate) handover: Option<Handover>,
-    /// What keeps it from being granted to others, whoever holds it now.
+    /// Runs under ended grants, during which the slot may not be granted to other instances.
     pub(crate) runs: EarlierRuns,
-    /// The highest token ever granted for it, as far as it is known.
+    /// The highest known token under which it was ever granted.
     pub(crate) last_token: Token,
-    /// None until it is first reported.
+    /// The smoothed load; `None` until a member first reports it.
     pub(crate) load_us_per_s: Option<f64>,
+    /// When the slot was last moved to even out the load.
     pub(crate) moved_at: Option<Timestamp>,
-    /// Who is named for it by the plan in force, in order.
+    /// The owner and the successors that the plan in force names for the slot, in this order.
     pub(crate) candidates: Vec<MemberId>,
-    /// The route version in which the owner changed last.
+    /// The route version of the last change of its owner or its announced successors.
     pub(crate) changed_version: u64,
 }
 
-/// Whether a hot key is served by the owner of its slot.
+/// The holder of a hot key: the holder of its slot, or one of its own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum KeyHolder {
-    /// Whoever holds the slot serves the key.
+    /// The holder of the slot serves the key.
     Slot,
-    /// The slot's owner is giving the key up; the grant is that of the slot.
+    /// The holder of the slot is closing the key, under this grant of the slot.
     LeavingSlot(Grant),
+    /// The key is granted apart from its slot.
     Entry(Holder),
 }
 
@@ -117,11 +123,15 @@
     }
 }
 
+/// The state of one hot key.
 #[derive(Debug)]
 pub(crate) struct KeyRow {
     pub(crate) holder: KeyHolder,
+    /// Runs under ended grants, during which the key may not be granted to other instances.
     pub(crate) runs: EarlierRuns,
+    /// The highest known token under which it was granted apart from its slot.
     pub(crate) last_token: Token,
+    /// The route version of the last change of its owner.
     pub(crate) changed_version: u64,
 }
 
@@ -134,8 +144,9 @@
 }
 
 impl SlotTable {
-    /// Each row's change has a route version of its own, from the one above `base`.
-    pub(crate) fn new(slot_count: SlotCount, holder: &Holder, base: u64) -> SlotTable {
+    /// Creates the table with one row for each slot. Each row gets a route version of its own,
+    /// starting above `base_version`.
+    pub(crate) fn new(slot_count: SlotCount, holder: &Holder, base_version: u64) -> SlotTable {
         let row = |slot: Slot| SlotRow {
             holder: holder.clone(),
             handover: None,
@@ -144,13 +155,13 @@
             load_us_per_s: None,
             moved_at: None,
             candidates: Vec::new(),
-            changed_version: base + 1 + u64::from(slot.0),
+            changed_version: base_version + 1 + u64::from(slot.0),
         };
         let slots = slot_count.iter().map(row).collect();
         SlotTable { slot_count, slots, keys: BTreeMap::new() }
     }
 
-    pub(crate) fn row(&mut self, slot: Slot) -> Option<&mut SlotRow> {
+    pub(crate) fn row_mut(&mut self, slot: Slot) -> Option<&mut SlotRow> {
         self.slots.get_mut(usize::from(slot.0))
     }
 
@@ -168,31 +179,32 @@
         keys.filter(move |it| slot_count.slot_of(it.0) == slot)
     }
 
-    /// A session's lease has ended, and with it all its grants; each comes to stand as `then` says.
-    /// Gives the number of them.
+    /// Replaces the holder of all that a session holds, whose lease has ended, by `new_holder`.
+    /// Returns the number of ended grants.
     pub(crate) fn end_session(
         &mut self,
         member: &MemberId,
         session: SessionId,
-        then: impl Fn(&Grant) -> Holder,
+        new_holder: impl Fn(&Grant) -> Holder,
     ) -> usize {
         let of = |it: &Grant| it.member == *member && it.session == session;
         work::add_entries(self.slots.len());
         let mut ended = 0;
         for row in &mut self.slots {
             let Some(grant) = row.holder.grant().filter(|it| of(it)) else { continue };
-            row.holder = then(grant);
+            row.holder = new_holder(grant);
             ended += 1;
         }
         for row in self.keys.values_mut() {
             let Some(grant) = row.holder.grant().filter(|it| of(it)) else { continue };
-            row.holder = KeyHolder::Entry(then(grant));
+            row.holder = KeyHolder::Entry(new_holder(grant));
             ended += 1;
         }
         ended
     }
 
-    /// A session's grants end before its lease does, which is at `until`.
+    /// Records that runs under a session's grants may continue until its lease ends at `until`,
+    /// because the grants end before.
     pub(crate) fn retain_runs(
         &mut self,
         now: Timestamp,
@@ -211,26 +223,27 @@
         }
     }
 
+    /// Removes the runs of earlier terms, whose leases have ended.
     pub(crate) fn end_runs_of_earlier_terms(&mut self) {
         work::add_entries(self.slots.len() / 4);
         self.slots.iter_mut().for_each(|it| it.runs.end_runs_of_earlier_terms());
         self.keys.values_mut().for_each(|it| it.runs.end_runs_of_earlier_terms());
     }
 
-    /// Whether everything is granted, and nothing is on its way.
+    /// Returns whether everything is granted, and no handover or close is in progress.
     pub(crate) fn is_stable(&self) -> bool {
-        let held = |it: &Holder| it.grant().is_some_and(|it| !it.closing);
+        let is_held = |it: &Holder| it.grant().is_some_and(|it| !it.closing);
         work::add_entries(self.slots.len() / 4);
-        let slots = self.slots.iter().all(|row| row.handover.is_none() && held(&row.holder));
-        let at_rest = |it: &KeyHolder| match it {
+        let slots = self.slots.iter().all(|row| row.handover.is_none() && is_held(&row.holder));
+        let is_key_stable = |it: &KeyHolder| match it {
             KeyHolder::Slot => true,
             KeyHolder::LeavingSlot(_) => false,
-            KeyHolder::Entry(it) => held(it),
+            KeyHolder::Entry(it) => is_held(it),
         };
-        slots && self.keys.values().all(|row| at_rest(&row.holder))
+        slots && self.keys.values().all(|row| is_key_stable(&row.holder))
     }
 
-    /// Whether a session holds anything or is about to.
+    /// Returns whether a member holds anything, or is the new owner of a handover.
     pub(crate) fn involves(&self, member: &MemberId) -> bool {
         let of = |it: Option<&Grant>| it.is_some_and(|it| it.member == *member);
         work::add_entries(self.slots.len());
