--- a/crates/ownership/src/coordinator/grants.rs
+++ b/crates/ownership/src/coordinator/grants.rs
@@ -153,7 +153,7 @@
     }
 
     pub(super) fn may_grant(&self, slot: Slot, to: &MemberId) -> bool {
-        self.members.eligible(to) && self.plan.is_slot_candidate(slot, to)
+        self.members.is_eligible(to) && self.plan.lists_for_slot(slot, to)
     }
 
     /// The same, and no run of an earlier grant may go on at another upstream.
--- a/crates/ownership/src/coordinator/keys.rs
+++ b/crates/ownership/src/coordinator/keys.rs
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Where runs of a key may go on that some earlier term has granted, with its slot or by an entry.
+    /// Where runs of a key may go on that some earlier term has granted, with its slot or by an
+    /// entry.
     fn runs_of_earlier_terms(&self, ctx: &Ctx<'_>, key_hash: KeyHash) -> EarlierRuns {
         if ctx.limits().coordinator_lease != CoordinatorLease::Full
             || self.succession.is_past_earlier_leases()
@@ -131,7 +132,7 @@
         let slot = &self.slot_table.slots[usize::from(self.slot_table.slot_of(key_hash).0)];
         let planned = self.plan.planned_key_owner(key_hash).cloned();
         let able =
-            |it: &MemberId| self.members.eligible(it) && self.plan.is_key_candidate(key_hash, it);
+            |it: &MemberId| self.members.is_eligible(it) && self.plan.lists_for_key(key_hash, it);
         let runs = &self.slot_table.keys.get(&key_hash)?.runs;
         // Whether no run of the key may go on beside others than this member.
         let may_take = |it: &MemberId| {
--- a/crates/ownership/src/coordinator/members.rs
+++ b/crates/ownership/src/coordinator/members.rs
@@ -1,4 +1,4 @@
-//! The coordinator's table of members and their sessions.
+//! The coordinator's table of members, their sessions and their numbers.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -16,40 +16,42 @@
 
 /// The most members of one group.
 pub const GROUP_MEMBERS_MAX: usize = 256;
-/// Routes that a member does not say it has are sent again after this: two renewals, and a slow link.
+/// Routes that a member has not acknowledged are sent again after this time, which allows for two
+/// renewals and a slow link.
 const ROUTES_RESEND_AFTER: Duration = Duration::from_secs(1);
-/// How many numbers of members that are gone are remembered; who has heard nothing for so long is told all.
+/// The most released member numbers that are kept. A member whose routes are older than the oldest
+/// one gets all routes.
 pub(crate) const RELEASED_NUMBERS_MAX: usize = 2 * GROUP_MEMBERS_MAX;
 /// The weight of the newest report in a member's smoothed load.
 const LOAD_WEIGHT: f64 = 0.3;
 
-/// Whether the upstream beside a member may still hold what it was granted in earlier sessions, of this life of
-/// the member or of one before.
+/// Whether the upstream beside a member may still hold grants of earlier sessions, of this
+/// incarnation of the member or an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EarlierSessions {
-    /// It may; the member can be asked to clear its upstream.
+    /// It may hold such grants, and the member has not yet been commanded to clear them.
     Unknown,
-    /// It has been asked to, up to this token.
+    /// The member has been commanded to clear grants with tokens up to this one.
     Clearing { token: Token },
-    /// It holds nothing of them.
+    /// The upstream holds no grant of an earlier session.
     Cleared,
-    /// The member goes on with what it holds.
-    NotAsked,
+    /// The member keeps what it holds, so its upstream is not cleared.
+    Retained,
 }
 
-/// One live session of a member.
+/// The current session of a member.
 #[derive(Debug)]
 pub(crate) struct MemberRow {
     pub(crate) instance: Instance,
     pub(crate) number: MemberNumber,
-    /// The route version in which the number was given, and that in which what others are told of it changed
-    /// last.
+    /// The route version in which the session joined.
     pub(crate) joined_version: u64,
+    /// The route version of the last change of the member's status.
     pub(crate) changed_version: u64,
     pub(crate) session: SessionId,
-    /// The newest renewal taken in.
+    /// The sequence number of the newest renewal applied.
     pub(crate) sequence: u64,
-    /// No lease of this session lives longer than this.
+    /// The end of the longest lease that this session may have.
     pub(crate) lease_until: Timestamp,
     pub(crate) joined_at: Timestamp,
     pub(crate) upstream: UpstreamState,
@@ -57,22 +59,23 @@
     pub(crate) config: ConfigVersion,
     pub(crate) load_us_per_s: f64,
     pub(crate) load_reports: u32,
-    /// Commands not yet heard to be applied; the first has the number `first_command`.
+    /// Commands that the member has not yet acknowledged, in order.
     pub(crate) commands: VecDeque<Command>,
+    /// The number of the first of `commands`.
     pub(crate) first_command: u64,
-    /// The last report taken in.
+    /// The number of the last report applied.
     pub(crate) last_report: u64,
-    /// The version of routes up to which the member is known to be.
+    /// The route version that the member has acknowledged.
     pub(crate) route_version: u64,
-    /// The version of routes up to which it has been sent some.
+    /// The route version last sent to the member.
     pub(crate) routes_sent_version: u64,
     pub(crate) routes_sent_at: Timestamp,
-    /// Hot keys that the session keeps out of its slots, or has been told to.
+    /// Hot keys that the session excludes from its slots, or has been commanded to exclude.
     pub(crate) excluded: BTreeSet<KeyHash>,
     pub(crate) earlier_sessions: EarlierSessions,
-    /// A renewal waits for its answer.
+    /// Whether a renewal has not been answered yet.
     pub(crate) answer_due: bool,
-    /// There is something new to tell.
+    /// Whether there are new commands to send.
     pub(crate) push_due: bool,
 }
 
@@ -101,15 +104,15 @@
             excluded: BTreeSet::new(),
             earlier_sessions: match &renew.holding {
                 Some(it) if it.slots.is_empty() => EarlierSessions::Unknown,
-                _ => EarlierSessions::NotAsked,
+                _ => EarlierSessions::Retained,
             },
             answer_due: true,
             push_due: false,
         }
     }
 
-    /// The version of routes that it need not be told again: what was sent may have been lost, but not if the
-    /// answer to it can't be here yet.
+    /// Returns the version up to which routes need not be sent again. Routes sent a short time ago
+    /// count as received, because their acknowledgement can't have arrived yet.
     pub(crate) fn known_route_version(&self, now: Timestamp) -> u64 {
         match now.since(self.routes_sent_at) < ROUTES_RESEND_AFTER {
             true => self.route_version.max(self.routes_sent_version),
@@ -117,7 +120,7 @@
         }
     }
 
-    /// What others are told of it.
+    /// Returns the status of the member that routes announce to others.
     pub(crate) fn status(&self) -> MemberStatus {
         MemberStatus {
             state: match self.leaving {
@@ -129,28 +132,29 @@
         }
     }
 
-    /// Whether slots may be granted to it.
+    /// Returns whether slots may be granted to the member.
     pub(crate) fn is_eligible(&self) -> bool {
         self.upstream == UpstreamState::Ready && !self.leaving
     }
 
-    /// Whether slots of its earlier lives may be granted to it.
+    /// Returns whether the member may take over the slots of earlier incarnations of its agent.
     pub(crate) fn is_successor(&self) -> bool {
         self.earlier_sessions == EarlierSessions::Cleared && self.is_eligible()
     }
 
-    /// Whether it is to give up all it holds.
+    /// Returns whether the member has to release all that it holds.
     pub(crate) fn must_release(&self) -> bool {
         self.leaving || matches!(self.upstream, UpstreamState::Draining | UpstreamState::Lost)
     }
 
+    /// Appends a command, which is sent with the next answer.
     pub(crate) fn enqueue(&mut self, command: Command) {
         self.commands.push_back(command);
         self.push_due = true;
     }
 
-    /// Takes a renewal's state in and gives back the reports not heard before. Says also whether
-    /// something changed that others are told.
+    /// Applies a renewal. Returns its new reports, and whether the member's status or configuration
+    /// version changed.
     pub(crate) fn apply_renewal(&mut self, renew: &Renew) -> (Vec<Report>, bool) {
         let changed = self.upstream != renew.upstream
             || self.leaving != renew.leaving
@@ -165,7 +169,7 @@
             self.first_command += 1;
         }
         if let Some(load) = &renew.load {
-            self.take_load(load);
+            self.apply_load(load);
         }
         let mut reports = Vec::new();
         for (number, report) in (renew.first_report..).zip(&renew.reports) {
@@ -177,7 +181,8 @@
         (reports, changed)
     }
 
-    fn take_load(&mut self, load: &LoadReport) {
+    /// Updates the smoothed load. A report over no time is ignored.
+    fn apply_load(&mut self, load: &LoadReport) {
         if load.period_ms == 0 {
             return;
         }
@@ -187,11 +192,12 @@
     }
 }
 
-/// A session that was replaced by a newer one of the same member before its lease had ended.
+/// A session that a newer one of the same member replaced before its lease had ended.
 #[derive(Debug)]
 pub(crate) struct LapsingSession {
     pub(crate) member: MemberId,
     pub(crate) session: SessionId,
+    /// When its lease ends.
     pub(crate) until: Timestamp,
 }
 
@@ -199,20 +205,22 @@
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     pub(crate) rows: BTreeMap<MemberId, MemberRow>,
+    /// Replaced sessions whose leases have not ended yet.
     pub(crate) lapsing: Vec<LapsingSession>,
-    /// For each member, the newest session that has ended in this term.
+    /// The newest session of each member that has ended in this term.
     ended: BTreeMap<MemberId, SessionId>,
     numbers: MemberNumbers,
 }
 
-/// Which numbers name members, and which named some that are gone.
+/// Allocates the numbers that name members in routes.
 #[derive(Debug, Default)]
 struct MemberNumbers {
+    /// How many different numbers have been allocated so far.
     allocated: u16,
     free: BTreeSet<MemberNumber>,
-    /// The last that became free, and the route version in which they did.
+    /// The numbers released last, each with the route version of its release.
     released: VecDeque<(u64, MemberNumber)>,
-    /// What became free up to this version is not remembered any more.
+    /// The route version up to which releases are no longer kept in `released`.
     unknown_until_version: u64,
 }
 
@@ -235,22 +243,23 @@
     }
 }
 
-/// What a renewal is to the table.
+/// The relation of a renewal to the sessions in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RenewalKind {
-    /// The next renewal of a live session.
+    /// A newer renewal of the current session.
     Current,
-    /// A session that the table does not have.
+    /// A renewal of a session that is not in the table.
     NewSession,
-    /// Late, doubled, or of a session that a newer one has replaced.
+    /// A late or duplicate renewal, or one of a session that a newer one has replaced.
     Stale,
-    /// Of a session that has ended.
+    /// A renewal of a session that has ended.
     Ended,
-    /// There is no room.
+    /// A renewal of a new member while the group has its largest number of members.
     Full,
 }
 
 impl MemberTable {
+    /// Classifies a renewal of a member.
     pub(crate) fn classify(&self, id: &MemberId, renew: &Renew) -> RenewalKind {
         if self.ended.get(id).is_some_and(|it| renew.session <= *it) {
             return RenewalKind::Ended;
@@ -265,8 +274,8 @@
         }
     }
 
-    /// Puts a new session in the place of an older one, which ends when its lease does: at
-    /// `ends_at` where that is known.
+    /// Inserts a new session. The session that it replaces, if any, ends with its lease, or at
+    /// `ends_at` if that is earlier.
     pub(crate) fn insert(
         &mut self,
         id: MemberId,
@@ -279,7 +288,7 @@
         row.joined_version = version;
         row.changed_version = version;
         let Some(former) = self.rows.insert(id.clone(), row) else { return };
-        self.end(id.clone(), former.session);
+        self.record_ended(id.clone(), former.session);
         self.lapsing.push(LapsingSession {
             member: id,
             session: former.session,
@@ -287,51 +296,56 @@
         });
     }
 
-    pub(crate) fn end(&mut self, id: MemberId, session: SessionId) {
+    /// Records that a session has ended: its later renewals are refused.
+    pub(crate) fn record_ended(&mut self, id: MemberId, session: SessionId) {
         let newest = self.ended.entry(id).or_insert(session);
         *newest = session.max(*newest);
     }
 
-    /// Removes all sessions whose leases have ended.
+    /// Removes all sessions whose leases have ended, and returns them; a replaced session has no
+    /// row.
     pub(crate) fn expire(
         &mut self,
         now: Timestamp,
     ) -> Vec<(MemberId, SessionId, Option<MemberRow>)> {
-        let mut gone = Vec::new();
+        let mut ended = Vec::new();
         for it in self.lapsing.extract_if(.., |it| it.until <= now) {
-            gone.push((it.member, it.session, None));
+            ended.push((it.member, it.session, None));
         }
         let lapsed = self.rows.extract_if(.., |_, row| row.lease_until <= now);
         for (id, row) in lapsed {
-            gone.push((id, row.session, Some(row)));
+            ended.push((id, row.session, Some(row)));
         }
-        for (id, session, _) in &gone {
-            self.end(id.clone(), *session);
+        for (id, session, _) in &ended {
+            self.record_ended(id.clone(), *session);
         }
-        gone
+        ended
     }
 
-    /// The number of a member that is gone names nobody, from this route version on.
+    /// Releases the number of a removed member, in the given route version.
     pub(crate) fn release_number(&mut self, row: &MemberRow, version: u64) {
         self.numbers.release(row.number, version);
     }
 
-    /// Numbers that have become free since a route version; none: that is not known any more.
+    /// Returns the numbers released after the route version `since`, or `None` if the table no
+    /// longer has all of them.
     pub(crate) fn numbers_released_since(&self, since: u64) -> Option<Vec<MemberNumber>> {
-        let gone = self.numbers.released.iter().filter(|it| it.0 > since);
-        (since >= self.numbers.unknown_until_version).then(|| gone.map(|it| it.1).collect())
+        let released = self.numbers.released.iter().filter(|it| it.0 > since);
+        (since >= self.numbers.unknown_until_version).then(|| released.map(|it| it.1).collect())
     }
 
-    /// Whether a grant is one of its member's current session. One of an earlier session only runs
-    /// out: commands would reach the newer one.
+    /// Returns whether a grant belongs to the current session of its member. A grant of an earlier
+    /// session can only lapse, because commands would reach the newer session.
     pub(crate) fn is_current(&self, grant: &Grant) -> bool {
         self.rows.get(&grant.member).is_some_and(|it| it.session == grant.session)
     }
 
-    pub(crate) fn eligible(&self, id: &MemberId) -> bool {
+    /// Returns whether slots may be granted to the member.
+    pub(crate) fn is_eligible(&self, id: &MemberId) -> bool {
         self.rows.get(id).is_some_and(MemberRow::is_eligible)
     }
 
+    /// Returns whether slots may be granted to any member.
     pub(crate) fn any_eligible(&self) -> bool {
         self.rows.values().any(MemberRow::is_eligible)
     }
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -156,12 +156,12 @@
     }
 
     /// Whether each plan that may be in force names the member for the slot.
-    pub(crate) fn is_slot_candidate(&self, slot: Slot, member: &MemberId) -> bool {
+    pub(crate) fn lists_for_slot(&self, slot: Slot, member: &MemberId) -> bool {
         let names = |it: &IndexedPlan| it.slot(slot).any(|it| it == member);
         self.acked.as_ref().is_some_and(names) && self.in_doubt.as_ref().is_none_or(names)
     }
 
-    pub(crate) fn is_key_candidate(&self, key_hash: KeyHash, member: &MemberId) -> bool {
+    pub(crate) fn lists_for_key(&self, key_hash: KeyHash, member: &MemberId) -> bool {
         let names = |it: &IndexedPlan| it.key(key_hash).any(|it| it == member);
         self.acked.as_ref().is_some_and(names) && self.in_doubt.as_ref().is_none_or(names)
     }
--- a/crates/ownership/src/coordinator/propose.rs
+++ b/crates/ownership/src/coordinator/propose.rs
@@ -307,7 +307,7 @@
         former: &[MemberId],
         members: &Members,
     ) {
-        let able = |it: &MemberId| members.index(it).filter(|_| self.members.eligible(it));
+        let able = |it: &MemberId| members.index(it).filter(|_| self.members.is_eligible(it));
         let mut former = former.iter().filter_map(able).filter(|it| Some(*it) != owner);
         let kept = former.clone().any(|it| successors.contains(&it));
         if let (false, Some(it)) = (kept, former.next()) {
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -43,7 +43,7 @@
         };
         let holds = !holding.slots.is_empty() || !holding.keys.is_empty();
         if holds && (self.is_settled() || self.is_outdated(holding)) {
-            self.members.end(id, renew.session);
+            self.members.record_ended(id, renew.session);
             return self.refuse_session(ctx, from, renew.session);
         }
         let mut row = MemberRow::new(from, renew, ctx.now);
