--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -371,7 +371,7 @@
             self.rolled_back_at.get_or_insert(ctx.now);
             return TermState::RolledBack;
         }
-        match self.object.reply(ctx, call, reply) {
+        match self.object.handle_reply(ctx, call, reply) {
             UpdateOutcome::Undecided => {}
             UpdateOutcome::Deposed => return TermState::Lost,
             UpdateOutcome::Applied { sent_at } => return self.handle_object_update(ctx, sent_at),
@@ -383,7 +383,7 @@
         let first = |ctx: &mut Ctx<'_>, found: Option<&crate::Plan>| {
             propose::first_plan(ctx.nonce(), term, slots, me, found)
         };
-        match self.plan.reply(ctx, call, reply, first) {
+        match self.plan.handle_reply(ctx, call, reply, first) {
             PlanOutcome::Deposed => return TermState::Lost,
             PlanOutcome::HigherTermFound(term) => return TermState::HigherTermFound(term),
             PlanOutcome::Acknowledged(version) => {
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -1,4 +1,4 @@
-//! The coordinator's own object in the platform, and the one update of it that may be on its way.
+//! The coordinator's object in the platform, and the update of it in flight.
 
 use std::time::Duration;
 
@@ -12,35 +12,39 @@
 
 use super::ConfirmationPolicy;
 
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+/// The longest delay before a failed call is repeated; jitter shortens it by up to a half.
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(100);
 
-/// An update that has not been acknowledged. Until it is, both the object as acknowledged and
-/// this one may be in force. It is sent again, unchanged, until that is decided: an
-/// acknowledgement or a conflict settles all sendings, however late one of them lands.
+/// An update that has not been acknowledged. Until it is, either the acknowledged object or this
+/// one may be in force. It is sent again, unchanged, until the outcome is known: an acknowledgement
+/// or a conflict decides for all sendings, however late one of them arrives.
 #[derive(Debug)]
 struct PendingUpdate {
     object: Coordinator,
     call: Option<CallId>,
-    /// The platform has refused it: reading will show whether an earlier sending took effect.
+    /// Whether a sending met a conflict, so that only a read can show whether an earlier one took
+    /// effect.
     refused: bool,
+    /// When it was last sent.
     sent_at: Timestamp,
     retry_at: Timestamp,
 }
 
-/// What has become of the update.
+/// The outcome of an update, after a reply of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpdateOutcome {
-    /// The reply was not about this object, or decides nothing.
+    /// The reply was not about this object, or the outcome is still unknown.
     Undecided,
-    /// It took effect; it had been sent at this time.
+    /// The update took effect; it was last sent at `sent_at`.
     Applied { sent_at: Timestamp },
-    /// Somebody else has written the object: the term has ended.
+    /// Another node has written the object, so the term has ended.
     Deposed,
 }
 
-/// `coordinators/S/G` as its holder sees it.
+/// Writes the object `coordinators/S/G` for the node that holds the term.
 #[derive(Debug)]
 pub(crate) struct CoordinatorWriter {
+    /// The last state that the platform has acknowledged.
     acked: Coordinator,
     version: ObjectVersion,
     pending: Option<PendingUpdate>,
@@ -51,15 +55,18 @@
         CoordinatorWriter { acked, version, pending: None }
     }
 
+    /// Returns the last state that the platform has acknowledged.
     pub(crate) fn acked(&self) -> &Coordinator {
         &self.acked
     }
 
+    /// Returns whether an update is in flight or in doubt.
     pub(crate) fn is_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// By what the coordinator is confirmed while the update is on its way.
+    /// Returns the conditions that confirm the term whether or not a pending update has taken
+    /// effect.
     pub(crate) fn confirmation_policy(&self, times: crate::TermTimes) -> ConfirmationPolicy<'_> {
         let mut method = Some(self.acked.confirmation);
         let mut witness_sets = vec![self.acked.witnesses.as_slice()];
@@ -77,9 +84,12 @@
         ConfirmationPolicy { method, witness_sets, times }
     }
 
-    /// Starts an update; only one may be on its way.
+    /// Starts an update. Only one may be pending at a time.
     pub(crate) fn update(&mut self, ctx: &mut Ctx<'_>, object: Coordinator) {
-        assert!(self.pending.is_none(), "a second update of the coordinator's object");
+        assert!(
+            self.pending.is_none(),
+            "the coordinator's object is updated while an update is pending"
+        );
         let object = Coordinator { nonce: ctx.nonce(), era: self.version.era(), ..object };
         self.pending = Some(PendingUpdate {
             object,
@@ -91,7 +101,7 @@
         self.tick(ctx);
     }
 
-    /// Sends the update again while it is not decided.
+    /// Sends the pending update, or the read that decides it, when it is due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         let expected = self.version;
         let Some(pending) = &mut self.pending else { return };
@@ -108,7 +118,8 @@
         pending.call = Some(ctx.call_platform(request));
     }
 
-    pub(crate) fn reply(
+    /// Handles a reply of the platform to the pending update or read.
+    pub(crate) fn handle_reply(
         &mut self,
         ctx: &mut Ctx<'_>,
         call: CallId,
@@ -139,7 +150,7 @@
                 UpdateOutcome::Undecided
             }
             PlatformReply::Failed | PlatformReply::Plan(..) => {
-                pending.retry_at = ctx.now + ctx.jittered(RETRY_AFTER);
+                pending.retry_at = ctx.now + ctx.jittered(RETRY_DELAY_MAX);
                 UpdateOutcome::Undecided
             }
         }
@@ -152,12 +163,13 @@
         UpdateOutcome::Applied { sent_at: pending.sent_at }
     }
 
-    /// The era of the platform in which the term was taken.
+    /// Returns the era of the platform in which the object was last written.
     pub(crate) fn era(&self) -> u64 {
         self.version.era()
     }
 
-    /// Whether an object read from the platform is of this term, which nobody else writes.
+    /// Returns whether an object read from the platform is of this term, which no other node
+    /// writes.
     pub(crate) fn has_own_term(&self, object: &Coordinator) -> bool {
         object.term == self.acked.term
     }
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -1,4 +1,4 @@
-//! The plan in the platform: what it names, and the one update of it that may be on its way.
+//! The plan in the platform, the candidates that it lists, and the update of it in flight.
 
 use std::time::Duration;
 
@@ -9,22 +9,26 @@
     ctx::{Ctx, MemberId},
 };
 
-const RETRY_AFTER: Duration = Duration::from_millis(100);
-/// A group whose plan has another number of slots is left alone; this is how often it is looked at.
-const OTHER_SLOTS_RETRY: Duration = Duration::from_secs(1);
+/// The longest delay before a failed call is repeated; jitter shortens it by up to a half.
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(100);
+/// The interval of reads while the stored plan has another number of slots. Such a plan is not
+/// replaced.
+const SLOT_COUNT_MISMATCH_RETRY: Duration = Duration::from_secs(1);
 
+/// The read or write that is in progress.
 #[derive(Debug)]
 enum Step {
-    /// Read what the plan is.
+    /// Reads the stored plan.
     Read,
-    /// Write this one on top of the one that is known.
+    /// Replaces the known version of the plan by this plan.
     Write(Box<Plan>),
 }
 
-/// Names of one plan, by slot and key.
+/// A plan with the member ids of its candidates, by slot and key.
 #[derive(Debug)]
 struct IndexedPlan {
     plan: Plan,
+    /// The ids of `plan.members`, in the same order.
     ids: Vec<MemberId>,
 }
 
@@ -34,7 +38,7 @@
         IndexedPlan { plan, ids }
     }
 
-    fn slot(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
+    fn slot_ids(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
         self.slot_indexes(slot).filter_map(|it| self.ids.get(it))
     }
 
@@ -42,7 +46,7 @@
         self.slot_indexes(slot).filter_map(|it| self.plan.members.get(it))
     }
 
-    fn key(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
+    fn key_ids(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
         self.key_indexes(key_hash).filter_map(|it| self.ids.get(it))
     }
 
@@ -61,40 +65,45 @@
     }
 }
 
+/// Returns the indexes of the candidates of an entry: the owner first, then its successors.
 fn indexes(owner: Option<u16>, successors: &[u16]) -> impl Iterator<Item = usize> {
     owner.into_iter().chain(successors.iter().copied()).map(usize::from)
 }
 
-/// What has become of a call.
+/// The outcome of a read or write of the plan, after a reply of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PlanOutcome {
+    /// The reply belongs to another call.
     NotOwnCall,
+    /// The outcome is still unknown.
     Pending,
-    /// A plan has been acknowledged, with this version.
+    /// The plan of this version has been acknowledged.
     Acknowledged(u64),
-    /// Another term has written a plan.
+    /// Another term has replaced a plan of this term.
     Deposed,
-    /// The plan is of this term, which is above the own one.
+    /// The stored plan is of this term, which is higher than the coordinator's.
     HigherTermFound(Term),
 }
 
-/// `plans/S/G` as the coordinator sees it. Grants rest on plans that this term has written itself:
-/// its first write also keeps any write of an earlier term from taking effect.
+/// Reads and writes the plan `plans/S/G` for the coordinator. Only plans that this term has written
+/// allow grants: its first write also makes pending writes of earlier terms fail.
 #[derive(Debug)]
 pub(crate) struct PlanWriter {
     term: Term,
     slot_count: SlotCount,
     version: ObjectVersion,
-    /// The newest plan that this term has seen acknowledged.
+    /// The newest plan of this term that the platform has acknowledged.
     acked: Option<IndexedPlan>,
-    /// A plan written whose fate is not known.
+    /// The plan of a write whose outcome is unknown.
     in_doubt: Option<IndexedPlan>,
     step: Option<Step>,
     call: Option<CallId>,
     retry_at: Timestamp,
-    /// The last plan of this node's own earlier term, in place of one that the platform has come back with.
+    /// The last plan of this node's previous term. It takes precedence over a stored plan that was
+    /// rolled back.
     carried: Option<Plan>,
-    /// The first plan rests on one that may have been followed by others.
+    /// Whether the first plan of this term continues a rolled back one, so that newer plans may
+    /// have been lost.
     history_lost: bool,
 }
 
@@ -119,31 +128,35 @@
         }
     }
 
-    /// A plan of this term is in force, and grants may rest on it.
+    /// Returns the newest acknowledged plan of this term, or `None` while nothing may be granted.
     pub(crate) fn acked(&self) -> Option<&Plan> {
         self.acked.as_ref().map(|it| &it.plan)
     }
 
-    /// Whether later plans than the one that this term went on from may have been lost.
+    /// Returns whether plans newer than the one that this term continues may have been lost.
     pub(crate) fn history_lost(&self) -> bool {
         self.history_lost
     }
 
-    /// Whether no read or write is under way.
+    /// Returns whether no read or write is in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.step.is_none()
     }
 
-    /// All that may hold a slot by the plan in force.
+    /// Returns the candidates for a slot in the acknowledged plan: the owner first, then its
+    /// successors.
     pub(crate) fn slot_candidates(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
-        self.acked.iter().flat_map(move |it| it.slot(slot))
+        self.acked.iter().flat_map(move |it| it.slot_ids(slot))
     }
 
-    /// The same, with their addresses.
+    /// Returns the candidates for a slot in the acknowledged plan as instances, with their
+    /// addresses.
     pub(crate) fn slot_candidate_instances(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
         self.acked.iter().flat_map(move |it| it.slot_candidate_instances(slot))
     }
 
+    /// Returns the candidates for a hot key in the acknowledged plan as instances, with their
+    /// addresses.
     pub(crate) fn key_candidate_instances(
         &self,
         key_hash: KeyHash,
@@ -151,54 +164,62 @@
         self.acked.iter().flat_map(move |it| it.key_candidate_instances(key_hash))
     }
 
+    /// Returns the candidates for a hot key in the acknowledged plan.
     pub(crate) fn key_candidates(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
-        self.acked.iter().flat_map(move |it| it.key(key_hash))
+        self.acked.iter().flat_map(move |it| it.key_ids(key_hash))
     }
 
-    /// Whether each plan that may be in force names the member for the slot.
+    /// Returns whether each plan that may be in force lists the member as a candidate for the slot.
     pub(crate) fn lists_for_slot(&self, slot: Slot, member: &MemberId) -> bool {
-        let names = |it: &IndexedPlan| it.slot(slot).any(|it| it == member);
-        self.acked.as_ref().is_some_and(names) && self.in_doubt.as_ref().is_none_or(names)
+        let lists = |it: &IndexedPlan| it.slot_ids(slot).any(|it| it == member);
+        self.acked.as_ref().is_some_and(lists) && self.in_doubt.as_ref().is_none_or(lists)
     }
 
+    /// Returns whether each plan that may be in force lists the member as a candidate for the hot
+    /// key.
     pub(crate) fn lists_for_key(&self, key_hash: KeyHash, member: &MemberId) -> bool {
-        let names = |it: &IndexedPlan| it.key(key_hash).any(|it| it == member);
-        self.acked.as_ref().is_some_and(names) && self.in_doubt.as_ref().is_none_or(names)
+        let lists = |it: &IndexedPlan| it.key_ids(key_hash).any(|it| it == member);
+        self.acked.as_ref().is_some_and(lists) && self.in_doubt.as_ref().is_none_or(lists)
     }
 
-    /// The planned owners of all slots, as often as each has one.
+    /// Returns the planned owner of each slot that has one, with repetitions.
     pub(crate) fn owners(&self) -> impl Iterator<Item = &Instance> {
         let plan = self.acked();
         let owners = plan.into_iter().flat_map(|it| it.slots.iter().filter_map(|it| it.owner));
         owners.filter_map(move |it| plan?.members.get(usize::from(it)))
     }
 
-    /// The planned owner of a slot.
+    /// Returns the planned owner of a slot.
     pub(crate) fn planned_owner(&self, slot: Slot) -> Option<&MemberId> {
         let acked = self.acked.as_ref()?;
         let owner = acked.plan.slots.get(usize::from(slot.0))?.owner?;
         acked.ids.get(usize::from(owner))
     }
 
-    /// The planned owner of a hot key's entry; none: the key is to follow its slot.
+    /// Returns the planned owner of a hot key, or `None` if the key is to be served with its slot.
     pub(crate) fn planned_key_owner(&self, key_hash: KeyHash) -> Option<&MemberId> {
         let acked = self.acked.as_ref()?;
         let owner = acked.plan.hot_keys.iter().find(|it| it.key_hash == key_hash)?.owner?;
         acked.ids.get(usize::from(owner))
     }
 
-    /// Starts to write a plan; its version and nonce are set here.
+    /// Starts to write a plan, in the current era of the platform. Only one read or write may be in
+    /// progress.
     pub(crate) fn write(&mut self, ctx: &mut Ctx<'_>, plan: Plan) {
-        assert!(self.step.is_none(), "a second write of the plan");
-        let former = self.acked.as_ref().map_or(0, |it| it.plan.version);
-        assert!(plan.version > former, "plan version {} after {former}", plan.version);
+        assert!(self.step.is_none(), "a plan is written while a read or write is in progress");
+        let acked_version = self.acked.as_ref().map_or(0, |it| it.plan.version);
+        assert!(
+            plan.version > acked_version,
+            "plan version {} written after {acked_version}",
+            plan.version
+        );
         let plan = Plan { era: self.version.era(), ..plan };
         self.step = Some(Step::Write(Box::new(plan)));
         self.retry_at = ctx.now;
         self.tick(ctx);
     }
 
-    /// Sends what is to be sent, again where it failed.
+    /// Sends the read or write when it is due, and repeats it after a failure.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         if self.call.is_some() || self.retry_at > ctx.now {
             return;
@@ -214,12 +235,14 @@
         self.call = Some(ctx.call_platform(request));
     }
 
-    pub(crate) fn reply(
+    /// Handles a reply of the platform. `first_plan` makes the first plan of this term from the
+    /// plan that it continues, if there is one.
+    pub(crate) fn handle_reply(
         &mut self,
         ctx: &mut Ctx<'_>,
         call: CallId,
         reply: &PlatformReply,
-        first: impl FnOnce(&mut Ctx<'_>, Option<&Plan>) -> Plan,
+        first_plan: impl FnOnce(&mut Ctx<'_>, Option<&Plan>) -> Plan,
     ) -> PlanOutcome {
         if self.call != Some(call) {
             return PlanOutcome::NotOwnCall;
@@ -227,57 +250,62 @@
         self.call = None;
         match reply {
             PlatformReply::Updated(version) => return self.apply_update(*version),
-            // An earlier sending may have taken effect: reading will show.
+            // An earlier sending may have taken effect, which a read will show.
             PlatformReply::Conflict => self.step = Some(Step::Read),
-            PlatformReply::Plan(version, found) => {
-                return self.read(ctx, *version, found.as_deref(), first);
+            PlatformReply::Plan(version, stored) => {
+                return self.handle_plan(ctx, *version, stored.as_deref(), first_plan);
             }
             PlatformReply::Failed | PlatformReply::Coordinator(..) => {
-                self.retry_at = ctx.now + ctx.jittered(RETRY_AFTER);
+                self.retry_at = ctx.now + ctx.jittered(RETRY_DELAY_MAX);
             }
         }
         self.tick(ctx);
         PlanOutcome::Pending
     }
 
-    fn read(
+    /// Handles the plan read from the platform, and writes the first plan of this term on top of
+    /// it.
+    fn handle_plan(
         &mut self,
         ctx: &mut Ctx<'_>,
         version: ObjectVersion,
-        found: Option<&Plan>,
-        first: impl FnOnce(&mut Ctx<'_>, Option<&Plan>) -> Plan,
+        stored: Option<&Plan>,
+        first_plan: impl FnOnce(&mut Ctx<'_>, Option<&Plan>) -> Plan,
     ) -> PlanOutcome {
-        let nonce = found.map(|it| it.nonce);
-        let rolled_back = found.is_some_and(|it| it.is_rolled_back(version));
-        let own =
-            !rolled_back && self.in_doubt.as_ref().is_some_and(|it| Some(it.plan.nonce) == nonce);
-        match found {
-            Some(_) if own => return self.apply_update(version),
+        let nonce = stored.map(|it| it.nonce);
+        let is_rolled_back = stored.is_some_and(|it| it.is_rolled_back(version));
+        let is_own_write = !is_rolled_back
+            && self.in_doubt.as_ref().is_some_and(|it| Some(it.plan.nonce) == nonce);
+        match stored {
+            Some(_) if is_own_write => return self.apply_update(version),
             Some(plan) if plan.term > self.term => return PlanOutcome::HigherTermFound(plan.term),
-            // What this term has seen acknowledged was replaced.
+            // An acknowledged plan of this term was replaced.
             _ if self.acked.is_some() => return PlanOutcome::Deposed,
-            // Slots of another size: what they name says nothing about the slots of this document.
+            // With another number of slots, the plan's slots don't correspond to those of this
+            // group's document.
             Some(plan) if plan.slot_count != self.slot_count => {
                 self.step = Some(Step::Read);
-                self.retry_at = ctx.now + OTHER_SLOTS_RETRY;
+                self.retry_at = ctx.now + SLOT_COUNT_MISMATCH_RETRY;
                 return PlanOutcome::Pending;
             }
             _ => {}
         }
-        // An earlier term wrote meanwhile: the first write of this term goes on top of that.
+        // The stored plan, if any, is of an earlier term. The first write of this term replaces it.
         self.version = version;
         self.in_doubt = None;
         self.step = None;
-        let carried = self.carried.take().filter(|_| rolled_back || found.is_none());
-        // One that this node never saw acknowledged may be there.
-        let newest = found.map_or(0, |it| it.version);
+        let carried = self.carried.take().filter(|_| is_rolled_back || stored.is_none());
+        // The stored plan may be newer than the carried one, if its acknowledgement never arrived
+        // here.
+        let newest = stored.map_or(0, |it| it.version);
         let carried = carried.map(|it| Plan { version: it.version.max(newest), ..it });
-        self.history_lost |= rolled_back && carried.is_none();
-        let plan = first(ctx, carried.as_ref().or(found));
+        self.history_lost |= is_rolled_back && carried.is_none();
+        let plan = first_plan(ctx, carried.as_ref().or(stored));
         self.write(ctx, plan);
         PlanOutcome::Pending
     }
 
+    /// Takes the plan in doubt as acknowledged.
     fn apply_update(&mut self, version: ObjectVersion) -> PlanOutcome {
         self.version = version;
         self.step = None;
