--- a/crates/ownership/src/coordinator/confirm.rs
+++ b/crates/ownership/src/coordinator/confirm.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     CallId, Confirmation, Message, PlatformRequest, TermTimes,
-    ctx::{Ctx, MemberId, is_same_incarnation, is_same_agent},
+    ctx::{Ctx, MemberId, is_same_agent, is_same_incarnation},
     rules::{self, Rule},
 };
 
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -273,7 +273,8 @@
             return false;
         }
         let policy = self.object.confirmation_policy(self.times(ctx));
-        self.confirmation.is_valid(ctx.now, &policy) || !rules::is_enforced(Rule::RenewOnlyWhileConfirmed)
+        self.confirmation.is_valid(ctx.now, &policy)
+            || !rules::is_enforced(Rule::RenewOnlyWhileConfirmed)
     }
 
     /// After a pause nothing that was proved before holds.
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -51,7 +51,8 @@
         row.lease_until = ctx.now + times.with_drift_margin(times.lease());
         // Of its own former session a coordinator knows that it is over: it ends with its lease. An
         // earlier term may have given that too, but not any more once its leases have run out.
-        let own = is_same_incarnation(from, ctx.own_instance()) && self.succession.is_past_earlier_leases();
+        let own = is_same_incarnation(from, ctx.own_instance())
+            && self.succession.is_past_earlier_leases();
         let ends_at = own.then(|| self.own_lease_until.max(ctx.now));
         let version = self.bump_route_version();
         self.members.insert(id.clone(), row, ends_at, version);
@@ -132,8 +133,10 @@
         self.config = self.config.max(renew.config);
         if let Some(load) = &renew.load {
             match ctx.config.ordered {
-                true => self
-                    .apply_load_report(&id, &load.clone().attribute_keys_to_slots(ctx.config.slot_count)),
+                true => self.apply_load_report(
+                    &id,
+                    &load.clone().attribute_keys_to_slots(ctx.config.slot_count),
+                ),
                 false => self.apply_load_report(&id, load),
             }
         }
--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -222,7 +222,8 @@
         };
         // If the previous term had not settled, even earlier ones may still be active. Its holder
         // may hold slots of those terms, which can stay valid for longer than its own confirmation.
-        let is_holder_bounded = previous.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
+        let is_holder_bounded =
+            previous.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
         candidates.into_iter().all(|it| {
             let was_holder = is_holder_bounded
                 && previous.holder.as_ref().is_some_and(|holder| MemberId::from(holder) == *it);
@@ -255,7 +256,9 @@
         let times = previous.times;
         let lease = times.lease();
         if previous.history_lost {
-            return Some(self.acquired_at + times.with_drift_margin(previous.unrecorded_max() + lease));
+            return Some(
+                self.acquired_at + times.with_drift_margin(previous.unrecorded_max() + lease),
+            );
         }
         let earlier_ended = previous.settled || !rules::is_enforced(Rule::AccountForUnsettledTerms);
         if previous.holder.is_none() && earlier_ended {
