--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -70,7 +70,7 @@
             }
             Confirmation::Platform if confirmed && candidates.len() >= WITNESSES_MIN => {
                 let witnesses = choose_witnesses(ctx.own_instance(), &candidates, &[]);
-                let since = *self.own_lease_capped_since.get_or_insert(ctx.now);
+                let since = *self.coordinator_lease_capped_since.get_or_insert(ctx.now);
                 // By now this node's own lease ends as early as a successor of the new path
                 // expects it to.
                 if ctx.now.since(since) > wanted.times.platform_confirmation() {
@@ -78,7 +78,7 @@
                     wanted.witnesses = witnesses;
                 }
             }
-            Confirmation::Platform => self.own_lease_capped_since = None,
+            Confirmation::Platform => self.coordinator_lease_capped_since = None,
         }
     }
 
@@ -111,7 +111,7 @@
         let (method, _) = &now;
         if *method != self.acked_confirmation.0 {
             self.confirmation.reset(ctx.now);
-            self.own_lease_capped_since = None;
+            self.coordinator_lease_capped_since = None;
         }
         if now != self.acked_confirmation {
             ctx.event(Event::ConfirmationChanged {
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -138,13 +138,13 @@
     /// The path of confirmation and the witnesses, as last acknowledged.
     acked_confirmation: (Confirmation, Vec<MemberId>),
     /// The latest time until which this node's own lease was ever extended by this term.
-    own_lease_until: Timestamp,
+    coordinator_lease_until: Timestamp,
     /// All is granted and at rest: until then slots are not looked through, unless woken.
     idle_until: Timestamp,
     /// Slots that have been given up and may be granted at once.
     released_slots: Vec<Slot>,
     /// Since when this node's own lease is kept as short as witnesses would keep it.
-    own_lease_capped_since: Option<Timestamp>,
+    coordinator_lease_capped_since: Option<Timestamp>,
     /// When any member was last heard.
     last_renewal_at: Timestamp,
     releasing: bool,
@@ -203,10 +203,10 @@
             recent_moves: VecDeque::new(),
             times_differ_since: None,
             acked_confirmation,
-            own_lease_until: ctx.now,
+            coordinator_lease_until: ctx.now,
             idle_until: ctx.now,
             released_slots: Vec::new(),
-            own_lease_capped_since: None,
+            coordinator_lease_capped_since: None,
             last_renewal_at: ctx.now,
             releasing: false,
             rolled_back_at: None,
@@ -226,7 +226,7 @@
     }
 
     /// Until when this node may hold what it has granted itself.
-    pub(crate) fn renew_own_lease(&mut self, ctx: &Ctx<'_>) -> Option<Timestamp> {
+    pub(crate) fn renew_coordinator_lease(&mut self, ctx: &Ctx<'_>) -> Option<Timestamp> {
         if !self.may_renew(ctx) {
             return None;
         }
@@ -237,10 +237,10 @@
                 ctx.now + self.times(ctx).lease()
             }
         };
-        self.own_lease_until = self.own_lease_until.max(until);
+        self.coordinator_lease_until = self.coordinator_lease_until.max(until);
         // It is extended between renewals too: its own session lapses no earlier than it.
         if let Some(row) = self.members.rows.get_mut(&MemberId::from(ctx.own_instance())) {
-            row.lease_until = row.lease_until.max(self.own_lease_until);
+            row.lease_until = row.lease_until.max(self.coordinator_lease_until);
         }
         Some(until)
     }
@@ -250,7 +250,7 @@
     fn confirmed_until(&self, ctx: &Ctx<'_>) -> Timestamp {
         let until = self.confirmation.valid_until();
         let by_witnesses = self.confirmation.proved_at() + self.times(ctx).confirmation();
-        match self.own_lease_capped_since {
+        match self.coordinator_lease_capped_since {
             Some(_) if rules::is_enforced(Rule::CapCoordinatorLease) => until.min(by_witnesses),
             _ => until,
         }
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -53,7 +53,7 @@
         // earlier term may have given that too, but not any more once its leases have run out.
         let own = is_same_incarnation(from, ctx.own_instance())
             && self.succession.is_past_earlier_leases();
-        let ends_at = own.then(|| self.own_lease_until.max(ctx.now));
+        let ends_at = own.then(|| self.coordinator_lease_until.max(ctx.now));
         let version = self.bump_route_version();
         self.members.insert(id.clone(), row, ends_at, version);
         self.adopt(&id, renew.session, holding);
--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -233,7 +233,7 @@
     }
 
     /// Returns whether the slots that the previous coordinator granted to itself have ended: with
-    /// its confirmation, or one lease later, as `own_lease` says.
+    /// its confirmation, or one lease later, as `coordinator_lease` says.
     fn is_holder_expired(&self, now: Timestamp, confirmation: &TermConfirmation) -> bool {
         let Some(previous) = &self.predecessor else { return true };
         let times = previous.times;
--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -59,7 +59,7 @@
             Message::Released { .. } => self.vacate(),
             Message::Renewed(answer) => {
                 self.known.heard_at = ctx.now;
-                let own = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
+                let own = self.coordination.as_mut().and_then(|it| it.renew_coordinator_lease(ctx));
                 self.member.renewed(ctx, &answer, own);
             }
             Message::SessionEnded { session, .. } => self.member.session_ended(ctx, session),
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -277,7 +277,7 @@
     }
 
     fn extend_own_lease(&mut self, ctx: &mut Ctx<'_>) {
-        let until = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
+        let until = self.coordination.as_mut().and_then(|it| it.renew_coordinator_lease(ctx));
         if let Some(until) = until {
             self.member.extend_own(ctx, until);
         }
