--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -1,9 +1,10 @@
-//! A node's part as coordinator of its group, while it holds the term.
+//! The coordinator of a group: the role of the node that holds the group's term.
 
 mod answer;
 mod confirm;
 mod grants;
 mod handover;
+mod incarnations;
 mod keys;
 mod loads;
 mod maintain;
@@ -13,7 +14,6 @@
 mod propose;
 mod renewals;
 mod runs;
-mod incarnations;
 mod slots;
 mod succession;
 
@@ -45,63 +45,66 @@
     succession::Succession,
 };
 
-/// How often members that have not answered are told of the term.
+/// The interval of announcements to members that have not yet reported their holdings to this term.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long slots at rest are not looked through.
+/// The longest time without a scan of all slots and keys while none of them is changing.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// A new coordinator that no member answers for this long stops announcing itself.
+/// A coordinator that receives no renewal for this long stops announcing its term.
 const RENEWAL_SILENCE_MAX: Duration = Duration::from_secs(1);
 /// How long witnesses may take to confirm a term whose record the platform has lost.
 const RECONFIRMATION_MAX: Duration = Duration::from_millis(300);
-/// A first plan waits this long, so that all who start together are in it.
+/// The delay of a group's first plan, so that it includes all members that start together.
 const FIRST_PLAN_DELAY: Duration = Duration::from_millis(1000);
 
-/// A term that an update is known to have won.
+/// A term that this node has acquired by an update of the coordinator object.
 #[derive(Debug)]
 pub(crate) struct AcquiredTerm {
     pub(crate) object: Coordinator,
     pub(crate) version: ObjectVersion,
-    /// What the object was before; none: it did not exist.
+    /// The coordinator object before the update; `None` if there was none.
     pub(crate) previous: Option<Coordinator>,
-    /// When the update that won was sent, at the earliest.
+    /// A lower bound of when the update was sent.
     pub(crate) sent_at: Timestamp,
-    /// The last plan of the term that this node held before, if it is sure that no other came between.
+    /// The last plan of the term that this node held before, if no other term can have come
+    /// between.
     pub(crate) carried_plan: Option<Plan>,
 }
 
-/// What a coordinator takes along into its next term when the platform has lost its latest.
+/// The state that a coordinator carries over into its next term when the platform has lost the
+/// record of its term.
 #[derive(Debug, Clone)]
 pub(crate) struct CarriedState {
     pub(crate) object: Coordinator,
     pub(crate) plan: Option<Plan>,
 }
 
-/// The way into the next term.
+/// Whether and how a coordinator has to acquire a new term because the platform was rolled back.
 #[derive(Debug, Clone)]
 pub(crate) enum Reacquisition {
-    /// There is no reason, or it is not known yet.
+    /// The platform was not rolled back, or witnesses may still confirm the current term.
     NotDue,
-    /// No other term has been settled: with this.
+    /// No other term can have been settled, so the next term continues with this state.
     WithState(Box<CarriedState>),
-    /// Another may have been.
+    /// Another term may have been settled, so the next term continues with the stored state.
     WithoutState,
 }
 
-/// Whether the term goes on.
+/// The state of a coordinator's term, after a reply of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TermState {
     Held,
-    /// Another node holds a later one.
+    /// Another node holds a later term.
     Lost,
-    /// There has been this one, of which the platform's object tells nothing.
+    /// The stored plan is of this higher term, which the coordinator object does not show.
     HigherTermFound(Term),
-    /// Given up by this node's own update.
+    /// This node has released the term.
     Released,
-    /// The platform has come back from an older copy: the term has to be taken anew.
+    /// The platform was rolled back (restored from an older snapshot), so the term has to be
+    /// acquired anew.
     RolledBack,
 }
 
-/// All that a coordinator knows and does.
+/// The state of a node as coordinator of its group.
 pub(crate) struct Coordination {
     term: Term,
     object: CoordinatorWriter,
@@ -111,44 +114,48 @@
     slot_table: SlotTable,
     hot_keys: HotKeys,
     plan: PlanWriter,
-    /// The sequence of the newest token.
+    /// The sequence number of the newest token.
     sequence: u64,
+    /// The version of the newest change of routes.
     route_version: u64,
-    /// The version in which a slot changed last.
+    /// The route version of the last change of a slot.
     slots_changed_version: u64,
-    /// The routes that were told last: many are told the same.
+    /// The routes that were made last, because many members get the same changes.
     cached_routes: Option<Arc<Routes>>,
-    /// The version in which these were made.
+    /// The route version at which `cached_routes` were made.
     cached_routes_version: u64,
+    /// When the members' loads are next included in routes, in a group without keys.
     next_loads_refresh_at: Timestamp,
+    /// The highest version of the document that any member has reported.
     config: ConfigVersion,
-    /// Others to tell of the term, besides those that the plan names.
+    /// Instances to which the term is announced, besides those that the plan lists.
     known_instances: Vec<Instance>,
     next_announcement_at: Timestamp,
     next_proposal_at: Timestamp,
     proposed_at: Timestamp,
-    /// A first plan waits for joins, as long as they come, up to this time.
+    /// The latest time of a group's first plan, which each further join postpones up to this time.
     first_plan_deadline: Timestamp,
-    /// Since when some member could be granted something, while nothing has ever been.
+    /// Since when some member has been ready for grants, while this term has granted nothing.
     first_ready_at: Option<Timestamp>,
-    /// When slots were moved to even out the load, within the last minute.
+    /// The moves of slots within the last minute that served to even out the load.
     recent_moves: VecDeque<Timestamp>,
-    /// Since when the document has asked for other times than the object holds.
+    /// Since when the times in the document have differed from those in the coordinator object.
     times_differ_since: Option<Timestamp>,
-    /// The path of confirmation and the witnesses, as last acknowledged.
+    /// The confirmation method and the witnesses that the platform has last acknowledged.
     acked_confirmation: (Confirmation, Vec<MemberId>),
-    /// The latest time until which this node's own lease was ever extended by this term.
+    /// The latest end that this term has ever given the lease over this node's grants to itself.
     coordinator_lease_until: Timestamp,
-    /// All is granted and at rest: until then slots are not looked through, unless woken.
+    /// Until when slots and keys are not scanned, because all are granted and none is changing.
     idle_until: Timestamp,
-    /// Slots that have been given up and may be granted at once.
+    /// Slots that their holders have closed, and that may be granted at once.
     released_slots: Vec<Slot>,
-    /// Since when this node's own lease is kept as short as witnesses would keep it.
+    /// Since when the coordinator lease has been capped to what witnesses would confirm.
     coordinator_lease_capped_since: Option<Timestamp>,
-    /// When any member was last heard.
+    /// When a renewal of any member was last received.
     last_renewal_at: Timestamp,
+    /// Whether the release of the term has begun.
     releasing: bool,
-    /// When the platform was found to have come back from an older copy.
+    /// When the rollback of the platform to an older snapshot was detected.
     rolled_back_at: Option<Timestamp>,
 }
 
@@ -158,25 +165,25 @@
         acquired: AcquiredTerm,
         known_instances: Vec<Instance>,
     ) -> Coordination {
-        let AcquiredTerm { object, version, previous: former, sent_at, carried_plan: carried } =
-            acquired;
+        let AcquiredTerm { object, version, previous, sent_at, carried_plan } = acquired;
         let term = object.term;
-        let first_term = former.is_none();
+        let is_first_term = previous.is_none();
         let object = CoordinatorWriter::new(object, version);
         let times = object.acked().times.min(ctx.limits().into());
         let confirmation =
             TermConfirmation::new(ctx.now, sent_at, &object.confirmation_policy(times));
         let coordinator_lease = ctx.limits().coordinator_lease;
-        let nothing_to_wait_for = !ctx.config.keyed;
-        let former = former.filter(|_| !nothing_to_wait_for);
-        let mut succession = Succession::new(ctx.now, former.as_ref(), coordinator_lease);
+        let has_no_grants = !ctx.config.keyed;
+        let previous = previous.filter(|_| !has_no_grants);
+        let mut succession = Succession::new(ctx.now, previous.as_ref(), coordinator_lease);
         succession.record_follower(ctx.now, ctx.own_instance());
-        let holder = if first_term { Holder::Vacant { lapsed_at: None } } else { Holder::Unknown };
+        let holder =
+            if is_first_term { Holder::Vacant { lapsed_at: None } } else { Holder::Unknown };
         let witnesses = object.acked().witnesses.iter().map(MemberId::from).collect();
         let acked_confirmation = (object.acked().confirmation, witnesses);
         let slots = ctx.config.slot_count;
-        let base = first_route_version(term);
-        let delay = if first_term { FIRST_PLAN_DELAY } else { Duration::ZERO };
+        let base_version = first_route_version(term);
+        let delay = if is_first_term { FIRST_PLAN_DELAY } else { Duration::ZERO };
         ctx.event(Event::BecameCoordinator { term: term.0 });
         Coordination {
             term,
@@ -184,12 +191,12 @@
             confirmation,
             succession,
             members: MemberTable::default(),
-            slot_table: SlotTable::new(slots, &holder, base),
+            slot_table: SlotTable::new(slots, &holder, base_version),
             hot_keys: HotKeys::default(),
-            plan: PlanWriter::new(ctx.now, term, slots, carried),
+            plan: PlanWriter::new(ctx.now, term, slots, carried_plan),
             sequence: 0,
-            route_version: base + u64::from(slots.count()),
-            slots_changed_version: base + u64::from(slots.count()),
+            route_version: base_version + u64::from(slots.count()),
+            slots_changed_version: base_version + u64::from(slots.count()),
             cached_routes: None,
             cached_routes_version: 0,
             next_loads_refresh_at: ctx.now,
@@ -225,28 +232,30 @@
         self.plan.acked().map_or(0, |it| it.version)
     }
 
-    /// Until when this node may hold what it has granted itself.
+    /// Extends the lease over this node's grants to itself and returns its end, or `None` while the
+    /// term is not confirmed.
     pub(crate) fn renew_coordinator_lease(&mut self, ctx: &Ctx<'_>) -> Option<Timestamp> {
         if !self.may_renew(ctx) {
             return None;
         }
         let until = match ctx.limits().coordinator_lease {
             CoordinatorLease::Confirmation if ctx.config.keyed => self.confirmed_until(ctx),
-            // Without keys nothing confirms it, and nothing is held by it.
+            // Without keys, the term is not confirmed, and the lease covers no grants.
             CoordinatorLease::Confirmation | CoordinatorLease::Full => {
                 ctx.now + self.times(ctx).lease()
             }
         };
         self.coordinator_lease_until = self.coordinator_lease_until.max(until);
-        // It is extended between renewals too: its own session lapses no earlier than it.
+        // This lease is also extended between renewals, and this node's session must not lapse
+        // before it.
         if let Some(row) = self.members.rows.get_mut(&MemberId::from(ctx.own_instance())) {
             row.lease_until = row.lease_until.max(self.coordinator_lease_until);
         }
         Some(until)
     }
 
-    /// The end of the confirmation, as early as witnesses would have it while these are about to
-    /// take over.
+    /// Returns when the confirmation ends. While a change of method to witnesses is being prepared,
+    /// this is no later than witnesses would confirm.
     fn confirmed_until(&self, ctx: &Ctx<'_>) -> Timestamp {
         let until = self.confirmation.valid_until();
         let by_witnesses = self.confirmation.proved_at() + self.times(ctx).confirmation();
@@ -256,16 +265,18 @@
         }
     }
 
-    /// The times in force: those that a successor will wait by, or shorter ones.
+    /// Returns the times in force: those in the coordinator object, by which a successor waits, or
+    /// shorter ones.
     fn times(&self, ctx: &Ctx<'_>) -> TermTimes {
         self.object.acked().times.min(ctx.limits().into())
     }
 
+    /// Returns whether leases may be renewed and grants given now.
     fn may_renew(&self, ctx: &Ctx<'_>) -> bool {
         if self.releasing {
             return false;
         }
-        // Where nothing is granted, two coordinators at a time do no harm.
+        // Without keys nothing is granted, so two coordinators at a time do no harm.
         if !ctx.config.keyed {
             return true;
         }
@@ -277,11 +288,13 @@
             || !rules::is_enforced(Rule::RenewOnlyWhileConfirmed)
     }
 
-    /// After a pause nothing that was proved before holds.
+    /// Discards the confirmation, which a pause of this process makes unreliable.
     pub(crate) fn reset_confirmation(&mut self, now: Timestamp) {
         self.confirmation.reset(now);
     }
 
+    /// Handles a renewal of a member or a reply of a witness, and answers renewals as far as
+    /// possible at once.
     pub(crate) fn handle_message(&mut self, ctx: &mut Ctx<'_>, from: &Instance, message: &Message) {
         match message {
             Message::Renew(renew) => {
@@ -308,6 +321,7 @@
         self.send_answers(ctx, Recipients::WithRoutes);
     }
 
+    /// Ends sessions and settles the term if it is time, and takes all other steps that are due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         self.expire(ctx);
         let planned = self.plan.acked().map(|it| it.members.as_slice());
@@ -345,9 +359,10 @@
         self.send_answers(ctx, Recipients::All);
     }
 
-    /// Looks through all slots and keys for what can go on: with each tick, with a plan and with new proof,
-    /// and not with each message. 112 members renew 280 times a second; with a look at 2,048 slots for each, a
-    /// coordinator on a tenth of a core was simulated to lose its term before its first grants.
+    /// Scans all slots and keys and takes each step that is possible: on ticks, acknowledged plans
+    /// and new proof, but not on renewals. 112 members renew 280 times a second; with a scan of
+    /// 2,048 slots for each renewal, a simulated coordinator on a tenth of a core lost its term
+    /// before its first grants.
     fn advance(&mut self, ctx: &mut Ctx<'_>) {
         if !ctx.config.keyed || self.idle_until > ctx.now {
             return;
@@ -361,7 +376,8 @@
         }
     }
 
-    /// The end of a platform call that this part may have made.
+    /// Handles the reply to a platform call, which may be one of another part of the node, and
+    /// returns the state of the term.
     pub(crate) fn handle_platform_reply(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -380,11 +396,11 @@
         if self.confirmation.is_own_read(call) {
             return self.handle_confirmation_read(ctx, call, reply);
         }
-        let (term, slots, me) = (self.term, ctx.config.slot_count, ctx.config);
-        let first = |ctx: &mut Ctx<'_>, found: Option<&crate::Plan>| {
-            propose::first_plan(ctx.nonce(), term, slots, me, found)
+        let (term, slots, config) = (self.term, ctx.config.slot_count, ctx.config);
+        let first_plan = |ctx: &mut Ctx<'_>, stored: Option<&crate::Plan>| {
+            propose::first_plan(ctx.nonce(), term, slots, config, stored)
         };
-        match self.plan.handle_reply(ctx, call, reply, first) {
+        match self.plan.handle_reply(ctx, call, reply, first_plan) {
             PlanOutcome::Deposed => return TermState::Lost,
             PlanOutcome::HigherTermFound(term) => return TermState::HigherTermFound(term),
             PlanOutcome::Acknowledged(version) => {
@@ -405,6 +421,8 @@
         TermState::Held
     }
 
+    /// Handles a read of the coordinator object: it confirms the term, or shows that another node
+    /// holds a later one.
     fn handle_confirmation_read(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -413,19 +431,20 @@
     ) -> TermState {
         let policy =
             self.object.confirmation_policy(self.object.acked().times.min(ctx.limits().into()));
-        let shown = match reply {
+        let shows_term = match reply {
             PlatformReply::Coordinator(_, Some(it)) if self.object.has_own_term(it) => true,
             PlatformReply::Coordinator(..) => return TermState::Lost,
             _ => false,
         };
-        self.confirmation.handle_read(ctx.now, call, shown, &policy);
-        if shown {
+        self.confirmation.handle_read(ctx.now, call, shows_term, &policy);
+        if shows_term {
             self.advance(ctx);
             self.send_answers(ctx, Recipients::WithRoutes);
         }
         TermState::Held
     }
 
+    /// Handles an acknowledged update of the coordinator object, sent at `sent_at`.
     fn handle_object_update(&mut self, ctx: &mut Ctx<'_>, sent_at: Timestamp) -> TermState {
         self.confirmation.record_update(sent_at);
         let object = self.object.acked();
@@ -436,53 +455,56 @@
         TermState::Held
     }
 
-    /// Tells all who may hold something and have not answered yet, until the term is settled.
+    /// Announces the term to all members that may hold something and have not reported it yet,
+    /// until the term is settled.
     fn announce(&mut self, ctx: &mut Ctx<'_>) {
-        let is_done = self.is_settled() && !self.members.rows.is_empty();
-        // One that hears nobody leaves the term to others.
+        let has_finished = self.is_settled() && !self.members.rows.is_empty();
+        // A coordinator that receives no renewals leaves the term to nodes that are reachable.
         let is_unreached = ctx.now.since(self.last_renewal_at) > RENEWAL_SILENCE_MAX;
-        if is_done || is_unreached || self.next_announcement_at > ctx.now {
+        if has_finished || is_unreached || self.next_announcement_at > ctx.now {
             return;
         }
         self.next_announcement_at = ctx.now + ANNOUNCE_INTERVAL;
         let planned = self.plan.acked().map_or(&[][..], |it| it.members.as_slice());
         let witnesses = self.object.acked().witnesses.as_slice();
-        let mut told: Vec<&Instance> = Vec::new();
+        let mut recipients: Vec<&Instance> = Vec::new();
         for it in
             planned.iter().chain(witnesses).chain(&self.known_instances).chain(&ctx.config.peers)
         {
-            let skip = self.succession.is_accounted_for(&MemberId::from(it));
-            if !skip && !told.iter().any(|known| is_same_incarnation(known, it)) {
-                told.push(it);
+            let is_accounted_for = self.succession.is_accounted_for(&MemberId::from(it));
+            if !is_accounted_for && !recipients.iter().any(|known| is_same_incarnation(known, it)) {
+                recipients.push(it);
             }
         }
-        for it in told {
+        for it in recipients {
             ctx.send(it, Message::Announce { term: self.term });
         }
     }
 
+    /// Returns a token above all tokens that this term has used.
     fn next_token(&mut self) -> Token {
         self.sequence += 1;
         Token { term: self.term, sequence: self.sequence }
     }
 
-    /// Something has happened that may let slots or keys move on.
+    /// Ends the idle interval, because slots or keys may have steps to take.
     fn wake(&mut self) {
         self.idle_until = Timestamp::ZERO;
     }
 
+    /// Starts a new route version and returns it.
     fn bump_route_version(&mut self) -> u64 {
         self.route_version += 1;
         self.route_version
     }
 
-    /// The version of a change of a slot.
+    /// Starts a new route version for a change of a slot and returns it.
     fn bump_slot_route_version(&mut self) -> u64 {
         self.slots_changed_version = self.bump_route_version();
         self.slots_changed_version
     }
 
-    /// Others are told of a change of a member.
+    /// Marks a member's status as changed, so that the next routes include it.
     fn mark_member_changed(&mut self, id: &MemberId) {
         let version = self.bump_route_version();
         if let Some(row) = self.members.rows.get_mut(id) {
@@ -490,7 +512,8 @@
         }
     }
 
-    /// A new plan is due soon; joins that come together are taken together.
+    /// Schedules a new proposal after a short delay, so that members joining at the same time are
+    /// planned for together.
     fn schedule_proposal(&mut self, now: Timestamp) {
         let soon = now + propose::GATHER_DELAY;
         self.next_proposal_at = match now < self.first_plan_deadline {
@@ -499,14 +522,15 @@
         };
     }
 
-    /// Whether others than this node are about to leave.
-    pub(crate) fn has_other_leaving_member(&self, me: &Instance) -> bool {
-        let me = MemberId::from(me);
-        self.members.rows.iter().any(|(id, row)| *id != me && row.leaving)
+    /// Returns whether any member other than `own_instance` is leaving.
+    pub(crate) fn has_other_leaving_member(&self, own_instance: &Instance) -> bool {
+        let own_id = MemberId::from(own_instance);
+        self.members.rows.iter().any(|(id, row)| *id != own_id && row.leaving)
     }
 
-    /// How this node is to take the term anew, once the platform has come back from an older copy. While it is confirmed
-    /// no other term can have been settled; the platform does not confirm it any more, witnesses go on to.
+    /// Returns whether and how this node has to acquire a new term after a rollback of the
+    /// platform. While the term is confirmed, no other one can have been settled. After a rollback
+    /// only witnesses can confirm it, not the platform.
     pub(crate) fn reacquisition(&self, ctx: &Ctx<'_>) -> Reacquisition {
         let Some(rolled_back_at) = self.rolled_back_at else { return Reacquisition::NotDue };
         if ctx.config.keyed && self.may_renew(ctx) {
@@ -515,14 +539,15 @@
                 plan: self.plan.acked().cloned(),
             }));
         }
-        let witnessed = self.object.acked().confirmation == Confirmation::Witnesses;
-        match witnessed && ctx.now.since(rolled_back_at) <= RECONFIRMATION_MAX {
+        let uses_witnesses = self.object.acked().confirmation == Confirmation::Witnesses;
+        match uses_witnesses && ctx.now.since(rolled_back_at) <= RECONFIRMATION_MAX {
             true => Reacquisition::NotDue,
             false => Reacquisition::WithoutState,
         }
     }
 
-    /// Gives the term up, by an update after which this node renews nothing.
+    /// Releases the term by an update of the coordinator object. From now on this node renews no
+    /// lease.
     pub(crate) fn release_term(&mut self, ctx: &mut Ctx<'_>) {
         if self.releasing || self.object.is_pending() {
             return;
@@ -532,7 +557,7 @@
         self.object.update(ctx, object);
     }
 
-    /// All members, to tell them that the term is given up.
+    /// Returns the instances of all members.
     pub(crate) fn member_instances(&self) -> impl Iterator<Item = &Instance> {
         self.members.rows.values().map(|it| &it.instance)
     }
