--- a/crates/ownership/src/coordinator/grants.rs
+++ b/crates/ownership/src/coordinator/grants.rs
@@ -1,4 +1,4 @@
-//! Grants of slots that nobody holds.
+//! Grants of vacant slots.
 
 use std::time::Duration;
 
@@ -18,23 +18,25 @@
     slots::{Grant, Holder, KeyHolder},
 };
 
-/// How long a slot waits at most for a plan that gives it back to the instance of its former owner:
-/// joins are gathered for 0.1 s and a plan is written within 0.1 s, which leaves room for one more try.
+/// The longest time for which a lapsed slot is reserved for the successor incarnation of its former
+/// owner. Joins are gathered for 0.1 s and a plan is written within 0.1 s, which leaves time for
+/// one more attempt.
 const SUCCESSOR_RESERVATION_MAX: Duration = Duration::from_millis(500);
 
-/// The tokens of grants that are given in one go.
+/// The tokens of the grants made in one step, by member.
 #[derive(Debug, Default)]
 pub(super) struct GrantBatch {
     tokens: Vec<(MemberId, Token)>,
 }
 
 impl Coordination {
-    /// Finds out which slots of earlier terms nobody can hold any more.
+    /// Marks slots and keys of earlier terms as vacant once none of their candidates can still hold
+    /// them.
     pub(super) fn resolve_unknown(&mut self, ctx: &Ctx<'_>) {
         if self.plan.acked().is_none() {
             return;
         }
-        let waits = ctx.limits().coordinator_lease == CoordinatorLease::Full
+        let may_have_runs = ctx.limits().coordinator_lease == CoordinatorLease::Full
             && !self.succession.is_past_earlier_leases()
             && rules::is_enforced(Rule::WaitForCoordinatorLease);
         work::add_entries(self.slot_table.slots.len());
@@ -47,12 +49,12 @@
                 )
             {
                 row.holder = Holder::lapsed(ctx.now);
-                if waits {
-                    let lives = self.plan.slot_candidate_instances(slot);
-                    let lost =
-                        lives.filter(|it| !self.succession.is_free_of_runs(&MemberId::from(*it)));
+                if may_have_runs {
+                    let candidates = self.plan.slot_candidate_instances(slot);
+                    let with_runs = candidates
+                        .filter(|it| !self.succession.is_free_of_runs(&MemberId::from(*it)));
                     let end = |it: &Instance| self.succession.runs_end(it);
-                    row.runs.add_all(&EarlierRuns::of_earlier_terms(lost, end));
+                    row.runs.add_all(&EarlierRuns::of_earlier_terms(with_runs, end));
                 }
                 self.confirmation.request_confirmation(ctx.now);
             }
@@ -60,7 +62,7 @@
         self.resolve_unknown_keys(ctx);
     }
 
-    /// Grants what is free to the first member that the plan names and that can take it.
+    /// Grants each free slot to its first candidate that may take it.
     pub(super) fn grant_free(&mut self, ctx: &mut Ctx<'_>) {
         let proved_at = self.confirmation.proved_at();
         work::add_entries(self.slot_table.slots.len() / 4);
@@ -69,18 +71,20 @@
         self.grant_all(ctx, &free);
     }
 
-    /// The same for slots that their holders have just given up: a planned move waits for no tick.
+    /// Grants the slots that their holders have just closed, so that a planned move is not delayed
+    /// until the next tick.
     pub(super) fn grant_released(&mut self, ctx: &mut Ctx<'_>) {
         let slots = std::mem::take(&mut self.released_slots);
         self.grant_all(ctx, &slots);
     }
 
+    /// Grants those of the given slots that are free.
     fn grant_all(&mut self, ctx: &mut Ctx<'_>, slots: &[Slot]) {
         if slots.is_empty() || !self.may_renew(ctx) || self.plan.acked().is_none() {
             return;
         }
         let mut batch = GrantBatch::default();
-        // Heirs are looked for among all members; most of the time nothing is free.
+        // This searches all members, so it is done only if there are slots to grant.
         let incarnations = self.successor_incarnations();
         work::add_entries(4 * slots.len());
         for slot in slots {
@@ -88,6 +92,8 @@
         }
     }
 
+    /// Grants a slot if it is free: to the prepared owner of its handover, or else to its first
+    /// candidate that may take it.
     fn grant_if_free(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -99,15 +105,15 @@
         if !row.holder.is_free(self.confirmation.proved_at()) {
             return;
         }
-        let prepared = row.handover.as_ref().map(|it| (it.to.clone(), it.token));
-        match prepared {
+        let next_owner = row.handover.as_ref().map(|it| (it.to.clone(), it.token));
+        match next_owner {
             Some((to, token)) if self.may_take(ctx.now, slot, &to) => {
                 self.grant(ctx, slot, to, Some(token))
             }
             _ if self.is_reserved_for_successor(ctx.now, slot, incarnations) => {}
             _ => {
-                let able = |it: &&MemberId| self.may_take(ctx.now, slot, it);
-                let to = self.plan.slot_candidates(slot).find(able).cloned();
+                let may_take = |it: &&MemberId| self.may_take(ctx.now, slot, it);
+                let to = self.plan.slot_candidates(slot).find(may_take).cloned();
                 if let Some(to) = to {
                     let token = self.batch_token(ctx, batch, &to);
                     self.grant(ctx, slot, to, Some(token));
@@ -116,8 +122,8 @@
         }
     }
 
-    /// Whether the next plan gives the slot back to the instance that had it: its upstream has the keys
-    /// warm, and other owners would start cold.
+    /// Returns whether a lapsed slot is still reserved for the successor incarnation of its planned
+    /// owner, whose upstream has the slot's keys in memory; other owners would have to load them.
     pub(super) fn is_reserved_for_successor(
         &self,
         now: Timestamp,
@@ -134,8 +140,8 @@
             && now.since(lapsed_at) < SUCCESSOR_RESERVATION_MAX
     }
 
-    /// A new token; where the order of slots means something, one for all that a member is granted
-    /// at a time, so that a run of slots is one grant at its upstream.
+    /// Returns a new token. In a group with ordered slots, all grants of a step to one member share
+    /// a token, so that a range of slots is one grant at its upstream.
     pub(super) fn batch_token(
         &mut self,
         ctx: &Ctx<'_>,
@@ -152,28 +158,39 @@
         }
     }
 
+    /// Returns whether a member is eligible for grants and a candidate for the slot.
     pub(super) fn may_grant(&self, slot: Slot, to: &MemberId) -> bool {
         self.members.is_eligible(to) && self.plan.lists_for_slot(slot, to)
     }
 
-    /// The same, and no run of an earlier grant may go on at another upstream.
+    /// Returns whether the slot may be granted to a member now: it is a candidate, and no run of an
+    /// earlier grant may continue at another upstream.
     pub(super) fn may_take(&self, now: Timestamp, slot: Slot, to: &MemberId) -> bool {
         let runs = &self.slot_table.slots[usize::from(slot.0)].runs;
         let row = self.members.rows.get(to);
         self.may_grant(slot, to) && row.is_some_and(|it| !runs.any_elsewhere(now, &it.instance))
     }
 
+    /// Grants a free slot to a member, under the given token or a higher one.
     fn grant(&mut self, ctx: &mut Ctx<'_>, slot: Slot, to: MemberId, token: Option<Token>) {
-        let last = self.slot_table.slots[usize::from(slot.0)].last_token;
-        // A key that came back to the slot meanwhile may have a later token than was prepared.
-        let token = token.filter(|it| *it > last).unwrap_or_else(|| self.next_token());
+        let last_token = self.slot_table.slots[usize::from(slot.0)].last_token;
+        // A key returned to the slot since the token was allocated may have raised the slot's last
+        // token.
+        let token = token.filter(|it| *it > last_token).unwrap_or_else(|| self.next_token());
         let version = self.bump_slot_route_version();
-        assert!(self.may_take(ctx.now, slot, &to), "slot {slot} is granted while runs may go on");
+        assert!(
+            self.may_take(ctx.now, slot, &to),
+            "slot {slot} is granted while runs may continue on another upstream"
+        );
         self.exclude_keys(slot, &to);
         let row = &mut self.slot_table.slots[usize::from(slot.0)];
         let is_free = row.holder.is_free(self.confirmation.proved_at());
-        assert!(is_free, "slot {slot} is granted while {:?}", row.holder);
-        assert!(token > row.last_token, "token {token} of slot {slot} after {}", row.last_token);
+        assert!(is_free, "slot {slot} is granted while its holder is {:?}", row.holder);
+        assert!(
+            token > row.last_token,
+            "slot {slot} is granted with token {token} after token {}",
+            row.last_token
+        );
         let handover = row.handover.take();
         let reason = match (&row.holder, handover) {
             _ if row.last_token == Token::default() => MoveReason::First,
@@ -186,7 +203,8 @@
         let instance = member.instance.clone();
         row.holder = Holder::Member(Grant { member: to, session, token, closing: false });
         row.last_token = token;
-        // Only what was placed by its load rests: a loss, a leaving or a first grant looks at none.
+        // Only a move that considers the load starts the cooldown. First grants and grants after a
+        // loss or a leave don't.
         if reason == MoveReason::Rebalance {
             row.moved_at = Some(ctx.now);
         }
@@ -194,8 +212,9 @@
         ctx.event(Event::Granted { slot, token, to: instance, reason });
     }
 
-    /// Hot keys that others serve, or may serve next, are kept out of a slot before it is admitted. So are
-    /// those that the new owner held in a session that has ended: they go to somebody else.
+    /// Commands the new owner of a slot to exclude the hot keys that other members serve or will
+    /// serve, before it admits the slot. This includes keys that it held in a session that has
+    /// ended, because they go to other members.
     fn exclude_keys(&mut self, slot: Slot, to: &MemberId) {
         let mut commands = Vec::new();
         let serves = |it: &Grant| it.member == *to && !it.closing && self.members.is_current(it);
