--- a/crates/ownership/src/coordinator/handover.rs
+++ b/crates/ownership/src/coordinator/handover.rs
@@ -1,4 +1,5 @@
-//! Planned handover, slot by slot: the new owner prepares, the old one closes, the new one admits.
+//! Planned handover of slots: the new owner prepares, the old owner closes, then the new owner
+//! admits requests.
 
 use std::time::Duration;
 
@@ -17,117 +18,130 @@
     slots::{Handover, HandoverStep, Holder, KeyHolder},
 };
 
-/// Handovers of a group that may be under way at once to even out the load. What a leaving member
-/// holds is handed over all at once: its time is short, and its slots wait at the same time.
+/// The most handovers of a group in progress at once that serve to even out the load. A leaving
+/// member's slots are handed over all at once, because the time for that is short.
 const HANDOVERS_MAX: usize = 8;
-/// A new owner that has not said that it is prepared is taken to be after this long.
+/// The longest preparation of a new owner. After this time the handover continues without its
+/// report.
 const PREPARE_MAX: Duration = Duration::from_secs(2);
 
-enum Next {
+/// The next step of a slot's handover.
+enum HandoverAction {
+    /// Starts a handover to this member.
     Start(MemberId),
+    /// Commands the old owner to close the slot.
     Close,
+    /// Cancels the handover, because its new owner may no longer be granted the slot.
     Cancel,
 }
 
 impl Coordination {
-    /// Starts handovers and takes those under way further.
+    /// Starts the handovers that are due, and takes the next step of those in progress.
     pub(super) fn advance_handovers(&mut self, ctx: &mut Ctx<'_>) {
         if !self.may_renew(ctx) || self.plan.acked().is_none() {
             return;
         }
-        let mut running = self.slot_table.slots.iter().filter(|it| it.handover.is_some()).count();
+        let mut in_progress =
+            self.slot_table.slots.iter().filter(|it| it.handover.is_some()).count();
         let mut batch = GrantBatch::default();
         work::add_entries(4 * self.slot_table.slots.len());
         for slot in self.slot_table.slot_count.iter() {
             match self.next_action(ctx, slot) {
-                // Ordered slots go by runs, and their planner bounds how many of these move.
-                Some(Next::Start(to))
-                    if running < HANDOVERS_MAX || ctx.config.ordered || self.is_urgent(slot) =>
+                // Ordered slots move in ranges, and their planner limits how many ranges move.
+                Some(HandoverAction::Start(to))
+                    if in_progress < HANDOVERS_MAX
+                        || ctx.config.ordered
+                        || self.is_urgent(slot) =>
                 {
-                    running += 1;
+                    in_progress += 1;
                     let token = self.batch_token(ctx, &mut batch, &to);
                     self.start_handover(ctx, slot, to, token);
                 }
-                Some(Next::Close) => self.close_for_handover(ctx, slot),
-                Some(Next::Cancel) => {
-                    running -= 1;
+                Some(HandoverAction::Close) => self.close_for_handover(ctx, slot),
+                Some(HandoverAction::Cancel) => {
+                    in_progress -= 1;
                     self.slot_table.slots[usize::from(slot.0)].handover = None;
                 }
-                Some(Next::Start(_)) | None => {}
+                Some(HandoverAction::Start(_)) | None => {}
             }
         }
     }
 
+    /// Returns whether the holder of a slot has to release it.
     fn is_urgent(&self, slot: Slot) -> bool {
         let grant = self.slot_table.slots[usize::from(slot.0)].holder.grant();
         let holder = grant.and_then(|it| self.members.rows.get(&it.member));
         holder.is_some_and(|it| it.must_release())
     }
 
-    fn next_action(&self, ctx: &Ctx<'_>, slot: Slot) -> Option<Next> {
+    /// Returns the step of a slot's handover that is due, if there is one.
+    fn next_action(&self, ctx: &Ctx<'_>, slot: Slot) -> Option<HandoverAction> {
         let row = &self.slot_table.slots[usize::from(slot.0)];
         let grant = row.holder.grant().filter(|it| !it.closing && self.members.is_current(it))?;
         let holder = self.members.rows.get(&grant.member);
         let must_release = holder.is_some_and(|it| it.must_release());
         match &row.handover {
-            Some(it) if !self.may_grant(slot, &it.to) => Some(Next::Cancel),
+            Some(it) if !self.may_grant(slot, &it.to) => Some(HandoverAction::Cancel),
             Some(Handover { step: HandoverStep::Preparing { since }, .. }) => {
-                let hung = holder.is_none_or(|it| it.upstream == UpstreamState::Lost);
-                let late = ctx.now.since(*since) > PREPARE_MAX;
-                (hung || late).then_some(Next::Close)
+                let is_lost = holder.is_none_or(|it| it.upstream == UpstreamState::Lost);
+                let is_overdue = ctx.now.since(*since) > PREPARE_MAX;
+                (is_lost || is_overdue).then_some(HandoverAction::Close)
             }
             Some(Handover { step: HandoverStep::Closing, .. }) => None,
             None if self.has_leaving_key(slot) => None,
             None if must_release => match self.successor_for(ctx.now, slot, &grant.member) {
-                Some(heir) => Some(Next::Start(heir)),
+                Some(successor) => Some(HandoverAction::Start(successor)),
                 None if self.members.any_eligible() => None,
-                None => Some(Next::Close),
+                None => Some(HandoverAction::Close),
             },
             None if self.is_settled() && self.plan.is_idle() => {
                 let planned = self.plan.planned_owner(slot)?;
-                let moves = *planned != grant.member && self.may_take(ctx.now, slot, planned);
-                moves.then(|| Next::Start(planned.clone()))
+                let is_due = *planned != grant.member && self.may_take(ctx.now, slot, planned);
+                is_due.then(|| HandoverAction::Start(planned.clone()))
             }
             None => None,
         }
     }
 
-    /// Who takes over a slot whose owner is leaving: the planned owner, or the first successor. While none of
-    /// them could be granted it, an owner that can still serve keeps it.
+    /// Returns the member that takes over a slot whose holder has to release it: the first
+    /// candidate that may take it. While there is none, a holder whose upstream can still serve
+    /// keeps the slot.
     fn successor_for(&self, now: Timestamp, slot: Slot, holder: &MemberId) -> Option<MemberId> {
         let row = self.members.rows.get(holder);
         let serves = row.is_some_and(|it| it.upstream != UpstreamState::Lost);
-        let able = |it: &MemberId| match serves {
+        let may_own = |it: &MemberId| match serves {
             true => self.may_take(now, slot, it),
             false => self.may_grant(slot, it),
         };
-        let mut names = self.plan.slot_candidates(slot);
-        names.find(|it| *it != holder && able(it)).cloned()
+        let mut candidates = self.plan.slot_candidates(slot);
+        candidates.find(|it| *it != holder && may_own(it)).cloned()
     }
 
+    /// Returns whether the holder of a slot is closing one of the slot's hot keys.
     fn has_leaving_key(&self, slot: Slot) -> bool {
         self.slot_table
             .keys_of(slot)
             .any(|(_, row)| matches!(row.holder, KeyHolder::LeavingSlot(_)))
     }
 
+    /// Starts a handover: commands the new owner to prepare for the slot.
     fn start_handover(&mut self, ctx: &mut Ctx<'_>, slot: Slot, to: MemberId, token: Token) {
         let row = &mut self.slot_table.slots[usize::from(slot.0)];
         let holder = row.holder.grant().map(|it| it.member.clone());
-        let planned = holder
+        let is_rebalance = holder
             .is_some_and(|it| self.members.rows.get(&it).is_some_and(|it| !it.must_release()));
-        if planned {
+        if is_rebalance {
             self.recent_moves.push_back(ctx.now);
         }
         if let Some(member) = self.members.rows.get_mut(&to) {
             member.enqueue(Command::Prepare { slot, token });
         }
         let step = HandoverStep::Preparing { since: ctx.now };
-        let reason = if planned { MoveReason::Rebalance } else { MoveReason::Leave };
+        let reason = if is_rebalance { MoveReason::Rebalance } else { MoveReason::Leave };
         row.handover = Some(Handover { to, token, step, reason });
     }
 
-    /// Tells the old owner to give the slot up.
+    /// Commands the holder of a slot to close it, for its handover if one is in progress.
     pub(super) fn close_for_handover(&mut self, _ctx: &mut Ctx<'_>, slot: Slot) {
         let row = &mut self.slot_table.slots[usize::from(slot.0)];
         let Holder::Member(grant) = &mut row.holder else { return };
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -1,4 +1,5 @@
-//! Renewals of members: joining, adopting live sessions, reports; and sessions that lapse.
+//! Renewals of members: new sessions, adoption of what they hold, reports, and the end of lapsed
+//! sessions.
 
 use model::{Instance, Slot, Token};
 
@@ -14,6 +15,8 @@
 };
 
 impl Coordination {
+    /// Handles a renewal, which may open a session, belong to the current one, or have to be
+    /// refused.
     pub(super) fn handle_renewal(&mut self, ctx: &mut Ctx<'_>, from: &Instance, renew: &Renew) {
         if renew.term != self.term {
             return ctx.send(from, Message::Announce { term: self.term });
@@ -36,24 +39,26 @@
         ctx.send(from, Message::SessionEnded { term: self.term, session });
     }
 
-    /// A session that holds something is adopted only while earlier terms' leases may live.
+    /// Opens a new session and adopts what it holds. A session that holds something is refused once
+    /// this term has settled.
     fn open_session(&mut self, ctx: &mut Ctx<'_>, id: MemberId, from: &Instance, renew: &Renew) {
         let Some(holding) = &renew.holding else {
             return self.refuse_session(ctx, from, renew.session);
         };
-        let holds = !holding.slots.is_empty() || !holding.keys.is_empty();
-        if holds && (self.is_settled() || self.is_outdated(holding)) {
+        let holds_any = !holding.slots.is_empty() || !holding.keys.is_empty();
+        if holds_any && (self.is_settled() || self.is_outdated(holding)) {
             self.members.record_ended(id, renew.session);
             return self.refuse_session(ctx, from, renew.session);
         }
         let mut row = MemberRow::new(from, renew, ctx.now);
         let times = self.object.acked().times;
         row.lease_until = ctx.now + times.with_drift_margin(times.lease());
-        // Of its own former session a coordinator knows that it is over: it ends with its lease. An
-        // earlier term may have given that too, but not any more once its leases have run out.
-        let own = is_same_incarnation(from, ctx.own_instance())
+        // A former session of this node itself is known to be over, and its grants end with the
+        // coordinator lease. An earlier term may have given it a longer lease, until all earlier
+        // leases have ended.
+        let is_own = is_same_incarnation(from, ctx.own_instance())
             && self.succession.is_past_earlier_leases();
-        let ends_at = own.then(|| self.coordinator_lease_until.max(ctx.now));
+        let ends_at = is_own.then(|| self.coordinator_lease_until.max(ctx.now));
         let version = self.bump_route_version();
         self.members.insert(id.clone(), row, ends_at, version);
         self.adopt(&id, renew.session, holding);
@@ -69,6 +74,7 @@
         self.apply_renewal(ctx, id, renew);
     }
 
+    /// Adopts the slots, keys and exclusions that a new session holds.
     fn adopt(&mut self, id: &MemberId, session: SessionId, holding: &Holding) {
         for held in &holding.slots {
             self.adopt_slot(id, session, held);
@@ -76,7 +82,7 @@
         for held in &holding.keys {
             self.adopt_key(id, session, held);
         }
-        // A key kept out although no plan has an entry for it was about to follow its slot again.
+        // An excluded key without an entry in the plan was about to be returned to its slot.
         for key_hash in &holding.excluded {
             self.slot_table.keys.entry(*key_hash).or_insert_with(KeyRow::unknown);
         }
@@ -85,24 +91,24 @@
         }
     }
 
-    /// Whether a session claims what is known to be granted anew, or to be free. Its renewal has
-    /// been long on the way then, and the session has ended meanwhile.
+    /// Returns whether a session claims a slot or key that is vacant or has a newer grant. Its
+    /// renewal was delayed then, and the session has ended meanwhile.
     fn is_outdated(&self, holding: &Holding) -> bool {
-        let newer = |holder: &Holder, token: Token| match holder {
+        let is_superseded = |holder: &Holder, token: Token| match holder {
             Holder::Unknown => false,
             Holder::Vacant { .. } => true,
             Holder::Member(it) => it.token >= token,
         };
         let slots = holding.slots.iter().any(|it| {
             let row = self.slot_table.slots.get(usize::from(it.slot.0));
-            row.is_none_or(|row| newer(&row.holder, it.token))
+            row.is_none_or(|row| is_superseded(&row.holder, it.token))
         });
         let keys = holding.keys.iter().any(|it| match self.slot_table.keys.get(&it.key_hash) {
             None => false,
             Some(row) => match &row.holder {
                 KeyHolder::Slot => true,
                 KeyHolder::LeavingSlot(grant) => grant.token >= it.token,
-                KeyHolder::Entry(holder) => newer(holder, it.token),
+                KeyHolder::Entry(holder) => is_superseded(holder, it.token),
             },
         });
         slots || keys
@@ -127,6 +133,7 @@
         row.changed_version = version;
     }
 
+    /// Applies a renewal of a member's current session: its state, load and reports.
     fn apply_renewal(&mut self, ctx: &mut Ctx<'_>, id: MemberId, renew: &Renew) {
         let Some(row) = self.members.rows.get_mut(&id) else { return };
         let (reports, changed) = row.apply_renewal(renew);
@@ -152,6 +159,7 @@
         }
     }
 
+    /// Handles a report of a member about a command that it has carried out.
     fn handle_report(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -163,33 +171,33 @@
             Report::Prepared { slot, token } => {
                 let Some(row) = self.slot_table.row_mut(slot) else { return };
                 let Some(handover) = &row.handover else { return };
-                let waits = matches!(handover.step, HandoverStep::Preparing { .. });
-                if waits && handover.to == *id && handover.token == token {
+                let is_preparing = matches!(handover.step, HandoverStep::Preparing { .. });
+                if is_preparing && handover.to == *id && handover.token == token {
                     self.close_for_handover(ctx, slot);
                 }
             }
             Report::Closed { slot, token } => {
-                let then = self.holder_when_closed(token);
+                let new_holder = self.holder_when_closed(token);
                 let Some(row) = self.slot_table.row_mut(slot) else { return };
                 if row.holder.is_held_by(id, session)
                     && row.holder.grant().is_some_and(|it| it.token == token && it.closing)
                 {
-                    row.holder = then;
+                    row.holder = new_holder;
                     self.remove_exclusions(id, slot);
                     self.released_slots.push(slot);
                 }
             }
             Report::Cleared { token } => self.handle_cleared(ctx.now, id, token),
             Report::KeyClosed { key_hash, token } => {
-                let then = self.holder_when_closed(token);
+                let new_holder = self.holder_when_closed(token);
                 let Some(row) = self.slot_table.keys.get_mut(&key_hash) else { return };
                 let grant = match &row.holder {
                     KeyHolder::LeavingSlot(it) | KeyHolder::Entry(Holder::Member(it)) => it,
                     KeyHolder::Slot | KeyHolder::Entry(_) => return,
                 };
-                let closing = grant.closing && grant.token == token;
-                if closing && grant.member == *id && grant.session == session {
-                    row.holder = KeyHolder::Entry(then);
+                let is_closing = grant.closing && grant.token == token;
+                if is_closing && grant.member == *id && grant.session == session {
+                    row.holder = KeyHolder::Entry(new_holder);
                     if let Some(member) = self.members.rows.get_mut(id) {
                         member.excluded.insert(key_hash);
                     }
@@ -198,8 +206,10 @@
         }
     }
 
-    /// Whose a slot or key is that is given up to this term. While leases of earlier terms may live, one of
-    /// these may have seen an adopted session lapse and granted to others what it held.
+    /// Returns the holder of a slot or key whose grant with this token has been closed. While
+    /// leases of earlier terms may be in force, a grant of such a term leaves it unknown: an
+    /// earlier coordinator may have seen the adopted session lapse, and may have granted its slots
+    /// to other members.
     fn holder_when_closed(&self, token: Token) -> Holder {
         match token.term == self.term || self.succession.is_past_earlier_leases() {
             true => Holder::Vacant { lapsed_at: None },
@@ -207,7 +217,7 @@
         }
     }
 
-    /// A slot that is given up keeps no keys out any more.
+    /// Removes a member's exclusions of keys from a slot that it has closed.
     fn remove_exclusions(&mut self, id: &MemberId, slot: Slot) {
         let slot_count = self.slot_table.slot_count;
         if let Some(member) = self.members.rows.get_mut(id) {
@@ -215,11 +225,11 @@
         }
     }
 
-    /// Ends the sessions whose leases have run out. Their grants end with them.
+    /// Ends the sessions whose leases have ended, and their grants with them.
     pub(super) fn expire(&mut self, ctx: &mut Ctx<'_>) {
         for (id, session, row) in self.members.expire(ctx.now) {
-            // Until its leases have run out an earlier term may have seen an adopted session lapse and
-            // granted its slots to others.
+            // While leases of earlier terms may be in force, an earlier coordinator may have seen
+            // an adopted session lapse, and may have granted its slots to other members.
             let (past_earlier_leases, term) = (self.succession.is_past_earlier_leases(), self.term);
             let ended =
                 self.slot_table.end_session(&id, session, |grant| {
