--- a/crates/ownership/src/coordinator/propose.rs
+++ b/crates/ownership/src/coordinator/propose.rs
@@ -1,4 +1,4 @@
-//! The next plan: what the planner proposes from members, loads and grants as they stand.
+//! Makes the next plan from the planner's proposal for the current members, loads and grants.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -18,33 +18,35 @@
     slots::{Holder, KeyHolder, SlotRow},
 };
 
-/// Joins and losses that come within this time are planned for together.
+/// The delay of a proposal after a join or loss, so that those that follow within this time are
+/// planned for together.
 pub(super) const GATHER_DELAY: Duration = Duration::from_millis(100);
-/// The first grants of a term wait this long for members whose upstreams are still starting, once the first
-/// is ready: upstreams that start together announce themselves within 1.5 s of each other, and what the
-/// first is granted alone has to be moved again.
+/// The longest delay of a term's first grants, after the first upstream is ready, while others are
+/// starting. Upstreams that start together become ready within 1.5 s of each other, and slots
+/// granted to the first alone would have to be moved again.
 const FIRST_GRANTS_DELAY_MAX: Duration = Duration::from_millis(1_600);
-/// How often a new plan is thought of.
+/// The interval of proposals without a change of members.
 const PROPOSE_INTERVAL: Duration = Duration::from_secs(1);
-/// A proposal for 112 members and its plan were simulated to keep a tenth of a core busy for 70 to 190 ms: with this
-/// pause between them, proposals take a third of such a machine at most.
+/// The least time between two proposals, for each member. In simulation, a proposal for 112 members
+/// and its plan took 70 to 190 ms of a tenth of a core; with this pause, proposals take at most a
+/// third of such a machine.
 const PROPOSAL_PAUSE_PER_MEMBER: Duration = Duration::from_millis(5);
-/// A slot that was moved stays for this long.
+/// The time for which a slot moved to even out the load is not moved again.
 const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
 const MINUTE: Duration = Duration::from_secs(60);
-/// The most hot keys with entries of their own.
+/// The most hot keys in a plan.
 const PLANNED_KEYS_MAX: usize = 256;
 
-/// A term's first plan: what an earlier term planned, or nothing.
+/// Makes the first plan of a term: the stored plan of an earlier term, or one without owners.
 pub(super) fn first_plan(
     nonce: u64,
     term: Term,
     slot_count: SlotCount,
     config: &NodeConfig,
-    found: Option<&Plan>,
+    stored: Option<&Plan>,
 ) -> Plan {
-    if let Some(found) = found {
-        return Plan { version: found.version + 1, term, nonce, ..found.clone() };
+    if let Some(stored) = stored {
+        return Plan { version: stored.version + 1, term, nonce, ..stored.clone() };
     }
     let slot = |slot| PlanSlot { slot, owner: None, successors: Vec::new() };
     Plan {
@@ -62,30 +64,33 @@
     }
 }
 
-/// The members that a proposal is about, by index, in the order of their ids.
+/// The members that a proposal considers, indexed in the order of their ids.
 struct Members {
     instances: Vec<Instance>,
     ids: Vec<MemberId>,
+    /// Is 1 for members to which slots may be granted, and 0 for others.
     weights: Vec<f64>,
 }
 
 impl Members {
+    /// Returns the index of a member, if it is considered.
     fn index(&self, id: &MemberId) -> Option<u16> {
         self.ids.binary_search(id).ok().map(|it| it as u16)
     }
 }
 
 impl Coordination {
+    /// Updates the candidates of slots and the rows of hot keys after a plan has been acknowledged.
     pub(super) fn apply_acknowledged_plan(&mut self) {
         self.sync_planned_keys();
-        let told = self.includes_successors();
+        let includes_successors = self.includes_successors();
         work::add_entries(8 * self.slot_table.slots.len());
         for (slot, row) in self.slot_table.slot_count.iter().zip(&mut self.slot_table.slots) {
             if self.plan.slot_candidates(slot).eq(&row.candidates) {
                 continue;
             }
             row.candidates = self.plan.slot_candidates(slot).cloned().collect();
-            if told {
+            if includes_successors {
                 self.route_version += 1;
                 row.changed_version = self.route_version;
                 self.slots_changed_version = self.route_version;
@@ -93,13 +98,13 @@
         }
     }
 
-    /// Writes a new plan where the planner has a better one.
+    /// Makes a proposal if one is due, and writes it if it differs from the plan in force.
     pub(super) fn propose(&mut self, ctx: &mut Ctx<'_>) {
-        let ready = self.is_settled() && self.plan.is_idle() && self.may_renew(ctx);
-        // What the plan in force can still repair is repaired first.
-        let rested_at = self.proposed_at + self.proposal_pause();
-        let due_at = self.next_proposal_at.max(rested_at);
-        if !ready || due_at > ctx.now || self.has_pending_grant(ctx.now) {
+        let is_ready = self.is_settled() && self.plan.is_idle() && self.may_renew(ctx);
+        // Grants that the plan in force allows come first.
+        let paused_until = self.proposed_at + self.proposal_pause();
+        let due_at = self.next_proposal_at.max(paused_until);
+        if !is_ready || due_at > ctx.now || self.has_pending_grant(ctx.now) {
             return;
         }
         if self.is_delayed_for_upstreams(ctx.now) {
@@ -115,7 +120,8 @@
         if is_same_plan(acked, &plan) {
             self.next_proposal_at = ctx.now + PROPOSE_INTERVAL;
         } else if !self.confirmation.is_platform_reachable(ctx.now) {
-            // A plan in doubt would only narrow whom a loss can be repaired with.
+            // While a plan is in doubt, only members that both plans list can be granted a lost
+            // member's slots, so none is written while the platform is unreachable.
             self.confirmation.schedule_read(ctx.now);
         } else {
             self.next_proposal_at = ctx.now + PROPOSE_INTERVAL;
@@ -124,16 +130,17 @@
         }
     }
 
-    /// The least time from one proposal to the next.
+    /// Returns the least time from one proposal to the next.
     fn proposal_pause(&self) -> Duration {
         PROPOSAL_PAUSE_PER_MEMBER * self.members.rows.len() as u32
     }
 
-    /// Whether nothing was granted in this term and some member may soon be ready for its share. Where an
-    /// earlier term planned owners, only new lives of these are waited for.
+    /// Returns whether the first grants of this term are still delayed for members that may soon be
+    /// ready. If the plan of an earlier term names owners, only new incarnations of these delay
+    /// them.
     fn is_delayed_for_upstreams(&mut self, now: Timestamp) -> bool {
-        let granted = |row: &SlotRow| row.last_token != Token::default();
-        if !self.members.any_eligible() || self.slot_table.slots.iter().any(granted) {
+        let was_granted = |row: &SlotRow| row.last_token != Token::default();
+        if !self.members.any_eligible() || self.slot_table.slots.iter().any(was_granted) {
             self.first_ready_at = None;
             return false;
         }
@@ -145,6 +152,8 @@
         self.members.rows.values().any(is_expected) && now.since(since) < FIRST_GRANTS_DELAY_MAX
     }
 
+    /// Returns whether a vacant slot can be granted to one of its candidates under the plan in
+    /// force.
     fn has_pending_grant(&self, now: Timestamp) -> bool {
         let incarnations = self.successor_incarnations();
         work::add_entries(self.slot_table.slots.len());
@@ -155,6 +164,7 @@
         })
     }
 
+    /// Returns all members in the order of their ids.
     fn planned_members(&self) -> Members {
         let rows = self.members.rows.iter();
         let weight = |row: &MemberRow| if row.is_eligible() { 1.0 } else { 0.0 };
@@ -165,6 +175,7 @@
         }
     }
 
+    /// Returns the input of the planner: the current members, slots, hot keys and loads.
     fn planner_input(&mut self, ctx: &Ctx<'_>, members: &Members) -> PlannerInput {
         self.recent_moves.retain(|it| ctx.now.since(*it) < MINUTE);
         let moved = self.recent_moves.len() as f64 / f64::from(self.slot_table.slot_count.count());
@@ -193,8 +204,9 @@
         }
     }
 
-    /// A slot on its way counts as that of its next owner, one that nobody holds as that of the member that
-    /// alone can take it at once, or else of the new life of its planned owner.
+    /// Returns a slot as the planner sees it. A slot in a handover counts as owned by its new
+    /// owner. A slot without a holder counts as owned by the only member that may take it at once,
+    /// or else by the new incarnation of its planned owner.
     fn planner_slot(
         &self,
         now: Timestamp,
@@ -212,42 +224,44 @@
                 next.or_else(|| planned.and_then(|it| incarnations.of(it)))
             }
         };
-        let names = self.plan.slot_candidates(slot);
+        let candidates = self.plan.slot_candidates(slot);
         PlannerSlot {
             slot,
             owner: owner.and_then(|it| members.index(it)),
-            successors: names.skip(1).filter_map(|it| members.index(it)).collect(),
+            successors: candidates.skip(1).filter_map(|it| members.index(it)).collect(),
             load_us_per_s: row.load_us_per_s.unwrap_or(0.0),
             movable_from: row.moved_at.map(|it| it + MOVE_COOLDOWN).unwrap_or_default(),
         }
     }
 
+    /// Returns the hot keys as the planner sees them: those in the table, and those reported by
+    /// members.
     fn planner_keys(&self, members: &Members) -> Vec<PlannerKey> {
         let rows = self.slot_table.keys.iter().map(|(key_hash, row)| {
             let owner = match &row.holder {
                 KeyHolder::Entry(Holder::Member(it)) => members.index(&it.member),
                 _ => self.plan.planned_key_owner(*key_hash).and_then(|it| members.index(it)),
             };
-            let names = self.plan.key_candidates(*key_hash);
+            let candidates = self.plan.key_candidates(*key_hash);
             PlannerKey {
                 key_hash: *key_hash,
                 owner,
-                successors: names.skip(1).filter_map(|it| members.index(it)).collect(),
+                successors: candidates.skip(1).filter_map(|it| members.index(it)).collect(),
                 load_us_per_s: self.hot_keys.load(*key_hash),
             }
         });
-        let new = self.hot_keys.keys().filter(|it| !self.slot_table.keys.contains_key(it));
-        let new = new.map(|key_hash| PlannerKey {
+        let untracked = self.hot_keys.keys().filter(|it| !self.slot_table.keys.contains_key(it));
+        let untracked = untracked.map(|key_hash| PlannerKey {
             key_hash,
             owner: None,
             successors: Vec::new(),
             load_us_per_s: self.hot_keys.load(key_hash),
         });
-        rows.chain(new).collect()
+        rows.chain(untracked).collect()
     }
 
-    /// The proposal as a plan. Whoever holds something now, or is about to, stays named for it, and so does
-    /// each life beside whose upstream runs of it may go on.
+    /// Returns the proposal as a plan. Current holders and new owners of handovers stay candidates,
+    /// and so does each incarnation at whose upstream earlier runs may continue.
     fn next_plan(
         &self,
         acked: &Plan,
@@ -272,8 +286,8 @@
             let mut successors = proposal.successors.get(at).cloned().unwrap_or_default();
             let row = &self.slot_table.slots[at];
             let holder = row.holder.grant().and_then(|it| members.index(&it.member));
-            let next = row.handover.as_ref().and_then(|it| members.index(&it.to));
-            append_successors(&mut successors, owner, [holder, next]);
+            let new_owner = row.handover.as_ref().and_then(|it| members.index(&it.to));
+            append_successors(&mut successors, owner, [holder, new_owner]);
             self.retain_candidate(&mut successors, owner, &row.candidates, members);
             append_incarnations(
                 &mut plan.members,
@@ -289,8 +303,8 @@
                 continue;
             };
             if let Some(row) = self.slot_table.keys.get(&key.key_hash) {
-                let lives = row.runs.instances(input.now);
-                append_incarnations(&mut plan.members, &mut entry.successors, owner, lives);
+                let instances = row.runs.instances(input.now);
+                append_incarnations(&mut plan.members, &mut entry.successors, owner, instances);
             }
             plan.hot_keys.push(entry);
         }
@@ -298,24 +312,26 @@
         plan
     }
 
-    /// Until a plan is acknowledged, a loss is repaired with those that it and the one before both
-    /// name: somebody besides the owner must be.
+    /// Keeps one candidate of the previous plan besides the owner. Until a plan is acknowledged, a
+    /// lost owner's slot can be granted only to members that both this plan and the one before it
+    /// list.
     fn retain_candidate(
         &self,
         successors: &mut Vec<u16>,
         owner: Option<u16>,
-        former: &[MemberId],
+        previous: &[MemberId],
         members: &Members,
     ) {
-        let able = |it: &MemberId| members.index(it).filter(|_| self.members.is_eligible(it));
-        let mut former = former.iter().filter_map(able).filter(|it| Some(*it) != owner);
-        let kept = former.clone().any(|it| successors.contains(&it));
-        if let (false, Some(it)) = (kept, former.next()) {
+        let eligible = |it: &MemberId| members.index(it).filter(|_| self.members.is_eligible(it));
+        let mut others = previous.iter().filter_map(eligible).filter(|it| Some(*it) != owner);
+        let has_other = others.clone().any(|it| successors.contains(&it));
+        if let (false, Some(it)) = (has_other, others.next()) {
             successors.push(it);
         }
     }
 
-    /// A key keeps its entry until it follows its slot again.
+    /// Returns the entry of a hot key in the next plan. A key keeps its entry until it has been
+    /// returned to its slot.
     fn next_key(
         &self,
         key_hash: KeyHash,
@@ -324,8 +340,8 @@
         proposal: &Proposal,
     ) -> Option<HotKey> {
         let row = self.slot_table.keys.get(&key_hash);
-        let apart = row.is_some_and(|it| it.holder != KeyHolder::Slot);
-        if owner.is_none() && !apart {
+        let has_entry = row.is_some_and(|it| it.holder != KeyHolder::Slot);
+        if owner.is_none() && !has_entry {
             return None;
         }
         let proposed = proposal.key_successors.iter().find(|it| it.0 == key_hash);
@@ -339,6 +355,7 @@
     }
 }
 
+/// Appends members to the successors of an entry, without its owner and without duplicates.
 fn append_successors(successors: &mut Vec<u16>, owner: Option<u16>, others: [Option<u16>; 2]) {
     successors.retain(|it| Some(*it) != owner);
     for it in others.into_iter().flatten() {
@@ -348,24 +365,25 @@
     }
 }
 
-/// Names lives that have ended too, behind the members: a later term has to know at whose upstreams runs may go
-/// on.
+/// Appends incarnations with earlier runs to the successors of an entry, and those that have ended
+/// to the plan's members, so that a later term knows at which upstreams runs may continue.
 fn append_incarnations<'a>(
     members: &mut Vec<Instance>,
     successors: &mut Vec<u16>,
     owner: Option<u16>,
-    lives: impl Iterator<Item = &'a Instance>,
+    instances: impl Iterator<Item = &'a Instance>,
 ) {
-    for life in lives {
-        let known = members.iter().position(|it| is_same_incarnation(it, life));
-        let at = known.unwrap_or_else(|| {
-            members.push(life.clone());
+    for instance in instances {
+        let known_index = members.iter().position(|it| is_same_incarnation(it, instance));
+        let index = known_index.unwrap_or_else(|| {
+            members.push(instance.clone());
             members.len() - 1
         });
-        append_successors(successors, owner, [Some(at as u16), None]);
+        append_successors(successors, owner, [Some(index as u16), None]);
     }
 }
 
+/// Returns whether two plans have the same members, slots and hot keys.
 fn is_same_plan(a: &Plan, b: &Plan) -> bool {
     a.members == b.members && a.slots == b.slots && a.hot_keys == b.hot_keys
 }
