--- a/crates/ownership/src/coordinator/answer.rs
+++ b/crates/ownership/src/coordinator/answer.rs
@@ -17,54 +17,56 @@
     slots::{Holder, KeyHolder, SlotRow},
 };
 
-/// The most runs of slots in one message, of about 20 bytes each; what is left over comes with the next one,
-/// a renewal later.
+/// The most ranges of slots in one message, of about 20 bytes each. Further ranges follow in the
+/// answer to the next renewal.
 const ROUTE_RANGES_MAX: usize = 1024;
-/// The most members with which routes name successors. A request whose owner can't be reached tries them; without,
-/// its caller waits for the next owner. With more members routes would be 900 runs and 20 KB long, told to each
-/// of them with each plan.
+/// The most members of a group whose routes include successors. A request whose owner is
+/// unreachable tries the successors; without them, its caller waits for the next owner. With more
+/// members, each plan would send routes of 900 ranges and 20 KB to each member.
 const ROUTE_SUCCESSORS_MEMBERS_MAX: usize = 32;
 /// The most commands in one message.
 const COMMANDS_MAX: usize = 256;
-/// How often, for each member, the loads of members are told where routing goes by them.
+/// The interval of load updates in routes, for each member of the group.
 const LOADS_REFRESH_PER_MEMBER: Duration = Duration::from_millis(300);
 
-/// Who is answered.
+/// The members to which answers are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Recipients {
-    /// Members that know routes of this term.
+    /// Members that have routes of this term.
     WithRoutes,
-    /// Also those that have to be told all of them. This waits for a tick: all that join between two of them are
-    /// told the same, which is made once, and not for each of a hundred that join together.
+    /// All members, including those that need all routes. These are answered on ticks only, so that
+    /// the routes are made once for all members that join between two ticks.
     All,
 }
 
 impl Coordination {
-    /// Answers those that wait, if this term is confirmed.
-    pub(super) fn send_answers(&mut self, ctx: &mut Ctx<'_>, whom: Recipients) {
+    /// Answers pending renewals and sends new commands, if this term is confirmed.
+    pub(super) fn send_answers(&mut self, ctx: &mut Ctx<'_>, recipients: Recipients) {
         if !self.may_renew(ctx) {
             return;
         }
-        let first = first_route_version(self.term);
-        let due = |row: &MemberRow| {
-            let has_routes = row.route_version.max(row.routes_sent_version) >= first;
-            (row.answer_due || row.push_due) && (has_routes || whom == Recipients::All)
+        let first_version = first_route_version(self.term);
+        let is_due = |row: &MemberRow| {
+            let has_routes = row.route_version.max(row.routes_sent_version) >= first_version;
+            (row.answer_due || row.push_due) && (has_routes || recipients == Recipients::All)
         };
         work::add_entries(self.members.rows.len() / 8);
         let due: Vec<MemberId> =
-            self.members.rows.iter().filter(|it| due(it.1)).map(|it| it.0.clone()).collect();
+            self.members.rows.iter().filter(|it| is_due(it.1)).map(|it| it.0.clone()).collect();
         for id in due {
             self.send_answer(ctx, &id);
         }
     }
 
+    /// Sends an answer to a member: extends its lease, and includes its commands and changes of
+    /// routes.
     fn send_answer(&mut self, ctx: &mut Ctx<'_>, id: &MemberId) {
-        assert!(self.may_renew(ctx), "renewal without confirmation");
+        assert!(self.may_renew(ctx), "lease renewal without confirmation of the term");
         let times = self.times(ctx);
         let Some(row) = self.members.rows.get(id) else { return };
         let since = row.known_route_version(ctx.now);
-        let is_news = since < self.route_version;
-        let routes = is_news.then(|| self.routes_since(since));
+        let has_changes = since < self.route_version;
+        let routes = has_changes.then(|| self.routes_since(since));
         let Some(row) = self.members.rows.get(id) else { return };
         let can_stop = row.leaving && !self.slot_table.involves(id) && row.commands.is_empty();
         let Some(row) = self.members.rows.get_mut(id) else { return };
@@ -90,13 +92,14 @@
         ctx.send(&row.instance, Message::Renewed(Box::new(renewed)));
     }
 
-    /// What has changed since a version, which many members are told at a time.
+    /// Returns the changes of routes since a version. They are cached, because many members need
+    /// the same ones.
     fn routes_since(&mut self, since: u64) -> Arc<Routes> {
-        // What is known of earlier terms makes no difference.
+        // Routes of earlier terms are not a basis for changes, whatever their version is.
         let since = if since < first_route_version(self.term) { 0 } else { since };
-        let told = self.cached_routes.as_ref().filter(|it| it.since == since);
-        if let Some(told) = told.filter(|_| self.cached_routes_version == self.route_version) {
-            return Arc::clone(told);
+        let cached = self.cached_routes.as_ref().filter(|it| it.since == since);
+        if let Some(cached) = cached.filter(|_| self.cached_routes_version == self.route_version) {
+            return Arc::clone(cached);
         }
         let routes = Arc::new(self.routes(since));
         self.cached_routes_version = self.route_version;
@@ -104,35 +107,37 @@
         routes
     }
 
+    /// Returns the changes of routes since a version, or all routes if the changes are no longer
+    /// known.
     fn routes(&self, since: u64) -> Routes {
         let is_whole = since < first_route_version(self.term);
-        let gone =
+        let removed =
             if is_whole { Some(Vec::new()) } else { self.members.numbers_released_since(since) };
-        let Some(gone) = gone else { return self.routes(0) };
+        let Some(removed) = removed else { return self.routes(0) };
         let number = |id: &MemberId| self.members.rows.get(id).map(|it| it.number);
-        let names_told = self.includes_successors();
+        let includes_successors = self.includes_successors();
         work::add_entries(self.members.rows.len() / 8);
         let mut changed = self.slots_changed_since(since);
-        let run = |(slot, row): &(Slot, &SlotRow)| RouteRange {
+        let range = |(slot, row): &(Slot, &SlotRow)| RouteRange {
             first: *slot,
             last: *slot,
             owner: row.holder.grant().and_then(|it| number(&it.member)),
             token: row.last_token,
-            successors: match names_told {
+            successors: match includes_successors {
                 true => row.candidates.iter().filter_map(number).collect(),
                 false => Vec::new(),
             },
         };
         work::add_entries(4 * changed.len());
-        let mut slots = joined(changed.iter().map(run));
+        let mut slots = merge_ranges(changed.iter().map(range));
         let mut version = self.route_version;
         if slots.len() > ROUTE_RANGES_MAX {
-            // The oldest changes first, so that the receiver has all up to one version.
+            // Keeps the oldest changes, so that the receiver has all changes up to one version.
             changed.sort_by_key(|(_, row)| row.changed_version);
             changed.truncate(ROUTE_RANGES_MAX);
             version = changed.last().map_or(version, |(_, row)| row.changed_version);
             changed.sort_by_key(|(slot, _)| *slot);
-            slots = joined(changed.iter().map(run));
+            slots = merge_ranges(changed.iter().map(range));
         }
         let keys = self.slot_table.keys.iter().filter(|(_, row)| row.changed_version > since);
         let keys = keys.map(|(key_hash, row)| self.route_key(*key_hash, &row.holder, number));
@@ -142,7 +147,7 @@
         Routes {
             since,
             version,
-            removed: gone,
+            removed,
             joined: joined.map(route_member).collect(),
             changed: changed.map(route_member_change).collect(),
             slots,
@@ -150,8 +155,9 @@
         }
     }
 
+    /// Returns the slots whose routes have changed since a version.
     fn slots_changed_since(&self, since: u64) -> Vec<(Slot, &SlotRow)> {
-        // Most of what members are told is about other members.
+        // Most changes of routes concern members and not slots.
         if since >= self.slots_changed_version {
             return Vec::new();
         }
@@ -159,12 +165,13 @@
         self.slot_table.iter().filter(|(_, row)| row.changed_version > since).collect()
     }
 
-    /// Successors are told while that keeps the routes short: they cut the slots of each owner into up to
-    /// eight runs.
+    /// Returns whether routes include successors. These split the slots of each owner into up to
+    /// eight ranges, so large groups leave them out.
     pub(super) fn includes_successors(&self) -> bool {
         self.members.rows.len() <= ROUTE_SUCCESSORS_MEMBERS_MAX
     }
 
+    /// Returns the route of a hot key, without an owner if the key is served with its slot.
     fn route_key(
         &self,
         key_hash: KeyHash,
@@ -182,7 +189,8 @@
         }
     }
 
-    /// Where routing goes by load, loads are told now and then; the more members, the less often.
+    /// Includes the loads of all members in the next routes, at an interval that grows with the
+    /// number of members. This concerns groups without keys, which route by load.
     pub(super) fn refresh_loads(&mut self, ctx: &Ctx<'_>) {
         if ctx.config.keyed || self.next_loads_refresh_at > ctx.now {
             return;
@@ -202,13 +210,13 @@
     RouteMemberChange { number: row.number, status: row.status() }
 }
 
-/// Neighbours that are alike, as one run each.
-fn joined(slots: impl Iterator<Item = RouteRange>) -> Vec<RouteRange> {
-    let mut runs: Vec<RouteRange> = Vec::new();
+/// Merges adjacent ranges with the same owner, token and successors.
+fn merge_ranges(slots: impl Iterator<Item = RouteRange>) -> Vec<RouteRange> {
+    let mut ranges: Vec<RouteRange> = Vec::new();
     for next in slots {
-        if !runs.last_mut().is_some_and(|it| it.try_extend(&next)) {
-            runs.push(next);
+        if !ranges.last_mut().is_some_and(|it| it.try_extend(&next)) {
+            ranges.push(next);
         }
     }
-    runs
+    ranges
 }
