--- a/crates/ownership/src/coordinator/loads.rs
+++ b/crates/ownership/src/coordinator/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of slots and of the hottest keys, as the members report them.
+//! Smoothed loads of slots and of the hottest keys, from the reports of members.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,29 +10,34 @@
 
 /// The weight of the newest report in a smoothed load.
 const LOAD_WEIGHT: f64 = 0.3;
-/// So many reports of each member make loads comparable, or so much time.
+/// The number of reports from which a member's load can be compared with that of others.
 const REPORTS_MIN: u32 = 3;
+/// The time after its join from which a member's load is compared even with fewer reports.
 const REPORTS_WAIT: Duration = Duration::from_secs(5);
-/// Keys whose load is kept, over all members.
+/// The most keys whose load is kept, over all members.
 const HOT_KEYS_MAX: usize = 256;
-/// A key's load loses this share with each proposal in which nobody has reported it.
+/// The share of its load that a key loses with each proposal before which no member has reported
+/// it.
 const UNREPORTED_DECAY: f64 = 0.3;
-/// A key with less load than this is forgotten.
+/// The least load of a key that is kept.
 const LOAD_MIN_US_PER_S: f64 = 100.0;
 
-/// The hottest keys of the group, in bounded memory.
+/// The loads of the hottest keys of the group, at most [`HOT_KEYS_MAX`].
 #[derive(Debug, Default)]
 pub(crate) struct HotKeys {
     loads: BTreeMap<KeyHash, HotKeyLoad>,
 }
 
+/// The smoothed load of one key.
 #[derive(Debug)]
 struct HotKeyLoad {
     us_per_s: f64,
+    /// Whether any member has reported it since the last proposal.
     reported: bool,
 }
 
 impl HotKeys {
+    /// Adds a reported load of a key.
     fn report(&mut self, key_hash: KeyHash, us_per_s: f64) {
         if let Some(it) = self.loads.get_mut(&key_hash) {
             it.us_per_s += LOAD_WEIGHT * (us_per_s - it.us_per_s);
@@ -44,18 +49,20 @@
         }
     }
 
-    /// Forgets the coolest key if it is cooler than this.
+    /// Removes the key with the least load if that is less than `us_per_s`. Returns whether there
+    /// is room for another key.
     fn evict_lighter(&mut self, us_per_s: f64) -> bool {
-        let coolest = self.loads.iter().min_by(|a, b| a.1.us_per_s.total_cmp(&b.1.us_per_s));
-        let Some((key_hash, load)) = coolest else { return true };
-        let (key_hash, cooler) = (*key_hash, load.us_per_s < us_per_s);
-        if cooler {
+        let lightest = self.loads.iter().min_by(|a, b| a.1.us_per_s.total_cmp(&b.1.us_per_s));
+        let Some((key_hash, load)) = lightest else { return true };
+        let (key_hash, is_lighter) = (*key_hash, load.us_per_s < us_per_s);
+        if is_lighter {
             self.loads.remove(&key_hash);
         }
-        cooler
+        is_lighter
     }
 
-    /// Lets keys that nobody reports any more cool down.
+    /// Reduces the load of keys that no member has reported since the last call, and removes those
+    /// with too little load.
     pub(crate) fn decay_unreported(&mut self) {
         for it in self.loads.values_mut() {
             if !it.reported {
@@ -66,6 +73,7 @@
         self.loads.retain(|_, it| it.us_per_s >= LOAD_MIN_US_PER_S);
     }
 
+    /// Returns the load of a key in microseconds per second, or 0 if it is not kept.
     pub(crate) fn load(&self, key_hash: KeyHash) -> f64 {
         self.loads.get(&key_hash).map_or(0.0, |it| it.us_per_s)
     }
@@ -75,23 +83,25 @@
     }
 }
 
-/// The first report counts in full.
+/// Applies a reported load to a smoothed one. The first report is taken unsmoothed.
 fn smooth(load: &mut Option<f64>, us_per_s: f64) {
     let load = load.get_or_insert(us_per_s);
     *load += LOAD_WEIGHT * (us_per_s - *load);
 }
 
 impl Coordination {
-    /// Whether the members' loads can be compared: a new coordinator hears of them one by one.
+    /// Returns whether the loads of all members can be compared. A new coordinator receives their
+    /// reports one by one.
     pub(super) fn has_comparable_loads(&self, now: Timestamp) -> bool {
-        let known = |row: &MemberRow| {
+        let is_comparable = |row: &MemberRow| {
             !row.is_eligible()
                 || row.load_reports >= REPORTS_MIN
                 || now.since(row.joined_at) > REPORTS_WAIT
         };
-        self.members.rows.values().all(known)
+        self.members.rows.values().all(is_comparable)
     }
 
+    /// Applies a member's load report to the loads of its slots and hot keys.
     pub(super) fn apply_load_report(&mut self, id: &MemberId, report: &LoadReport) {
         if report.period_ms == 0 {
             return;
@@ -114,7 +124,8 @@
         self.distribute_rest(id, &reported, per_s(rest_us.saturating_sub(keys_us)));
     }
 
-    /// Slots too light to be reported share what is left of their owner's load.
+    /// Distributes the rest of a member's load evenly over those of its slots that are too lightly
+    /// loaded to be reported.
     fn distribute_rest(&mut self, id: &MemberId, reported: &[Slot], rest_us_per_s: f64) {
         work::add_entries(self.slot_table.slots.len() / 2);
         let slots = self.slot_table.slot_count.iter().zip(&mut self.slot_table.slots);
--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -1,4 +1,5 @@
-//! Keeps the coordinator's object true: settled, the path of confirmation, witnesses, times.
+//! Keeps the coordinator object up to date: whether the term has settled, its confirmation method,
+//! witnesses and times.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,16 +12,19 @@
 
 use super::{Coordination, members::MemberRow};
 
-/// The most witnesses, and the least that are worth having.
+/// The most witnesses of a term.
 const WITNESSES_MAX: usize = 5;
+/// The fewest witnesses of a term; with fewer candidates the platform confirms it.
 const WITNESSES_MIN: usize = 3;
-/// A member becomes a witness when it has been there for this long.
+/// The time after its join from which a member can become a witness.
 const WITNESS_AGE_MIN: Duration = Duration::from_secs(1);
-/// How long a majority may be missing before the other path is declared.
+/// How long a term may be without confirmation by witnesses before the method is changed to the
+/// platform.
 const MAJORITY_MISSING_MAX: Duration = Duration::from_millis(100);
 
 impl Coordination {
-    /// Only a settled coordinator changes its object.
+    /// Updates the coordinator object where its content is outdated. Only a settled coordinator
+    /// does so.
     pub(super) fn maintain(&mut self, ctx: &mut Ctx<'_>) {
         let is_rolled_back = self.rolled_back_at.is_some();
         if !self.is_settled() || self.object.is_pending() || self.releasing || is_rolled_back {
@@ -37,42 +41,45 @@
         }
     }
 
+    /// Sets the confirmation method and the witnesses in `wanted` as they should be now.
     fn choose_confirmation(&mut self, ctx: &Ctx<'_>, wanted: &mut Coordinator) {
         let candidates = self.witness_candidates(ctx);
-        let confirmed = self.may_renew(ctx);
-        let missing = ctx.now.since(self.confirmation.unconfirmed_since()) > MAJORITY_MISSING_MAX;
-        let reachable = self.confirmation.is_platform_reachable(ctx.now);
+        let is_confirmed = self.may_renew(ctx);
+        let is_overdue =
+            ctx.now.since(self.confirmation.unconfirmed_since()) > MAJORITY_MISSING_MAX;
+        let is_reachable = self.confirmation.is_platform_reachable(ctx.now);
         match wanted.confirmation {
-            Confirmation::Witnesses if !confirmed && missing && reachable => {
+            Confirmation::Witnesses if !is_confirmed && is_overdue && is_reachable => {
                 wanted.confirmation = Confirmation::Platform;
                 wanted.witnesses = Vec::new();
             }
-            Confirmation::Witnesses if confirmed && reachable => {
-                let lost =
+            Confirmation::Witnesses if is_confirmed && is_reachable => {
+                let is_lost =
                     |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
-                let more =
+                let has_too_few =
                     wanted.witnesses.len() < WITNESSES_MAX.min(largest_odd(candidates.len()));
                 if candidates.len() < WITNESSES_MIN {
                     wanted.confirmation = Confirmation::Platform;
                     wanted.witnesses = Vec::new();
-                } else if more || wanted.witnesses.iter().any(lost) {
+                } else if has_too_few || wanted.witnesses.iter().any(is_lost) {
                     wanted.witnesses =
                         choose_witnesses(ctx.own_instance(), &candidates, &wanted.witnesses);
                 }
             }
-            // Contact is a matter of course where the platform confirms, but here it is rare.
+            // The platform is read only rarely while witnesses confirm, so whether it is reachable
+            // may be unknown.
             Confirmation::Witnesses => {
-                let lost =
+                let is_lost =
                     |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
-                if wanted.witnesses.iter().any(lost) {
+                if wanted.witnesses.iter().any(is_lost) {
                     self.confirmation.schedule_read(ctx.now);
                 }
             }
-            Confirmation::Platform if confirmed && candidates.len() >= WITNESSES_MIN => {
+            Confirmation::Platform if is_confirmed && candidates.len() >= WITNESSES_MIN => {
                 let witnesses = choose_witnesses(ctx.own_instance(), &candidates, &[]);
                 let since = *self.coordinator_lease_capped_since.get_or_insert(ctx.now);
-                // By now this node's own lease ends as early as a successor of the new path
-                // expects it to.
+                // The cap has been in force for long enough that the coordinator lease ends as
+                // early as a successor expects when witnesses confirm.
                 if ctx.now.since(since) > wanted.times.platform_confirmation() {
                     wanted.confirmation = Confirmation::Witnesses;
                     wanted.witnesses = witnesses;
@@ -82,68 +89,76 @@
         }
     }
 
+    /// Returns the members that can be witnesses.
     fn witness_candidates(&self, ctx: &Ctx<'_>) -> Vec<&Instance> {
-        let able =
+        let is_candidate =
             |row: &&MemberRow| !row.leaving && ctx.now.since(row.joined_at) >= WITNESS_AGE_MIN;
-        self.members.rows.values().filter(able).map(|it| &it.instance).collect()
+        self.members.rows.values().filter(is_candidate).map(|it| &it.instance).collect()
     }
 
-    /// Longer times are written before they are used. Shorter ones are used at once, and written
-    /// when nothing that was given by the longer ones can live any more.
+    /// Sets the times in `wanted`. Longer times are written before they are used. Shorter times are
+    /// used at once, and written when all leases and confirmations given by the longer ones have
+    /// ended.
     fn choose_times(&mut self, ctx: &Ctx<'_>, wanted: &mut Coordinator) {
-        let asked = TermTimes::from(ctx.limits());
-        if wanted.times == asked {
+        let document_times = TermTimes::from(ctx.limits());
+        if wanted.times == document_times {
             self.times_differ_since = None;
             return;
         }
         let since = *self.times_differ_since.get_or_insert(ctx.now);
-        let former = wanted.times;
-        let longest = former.confirmation().max(former.platform_confirmation()) + former.lease();
-        if ctx.now.since(since) > former.with_drift_margin(longest) {
-            wanted.times = asked;
+        let current = wanted.times;
+        let longest = current.confirmation().max(current.platform_confirmation()) + current.lease();
+        if ctx.now.since(since) > current.with_drift_margin(longest) {
+            wanted.times = document_times;
         }
     }
 
-    /// An update of the object has taken effect.
+    /// Applies an acknowledged update of the coordinator object to the confirmation.
     pub(super) fn apply_confirmation_change(&mut self, ctx: &mut Ctx<'_>) {
         let object = self.object.acked();
-        let now = (object.confirmation, object.witnesses.iter().map(MemberId::from).collect());
-        let (method, _) = &now;
+        let acked = (object.confirmation, object.witnesses.iter().map(MemberId::from).collect());
+        let (method, _) = &acked;
         if *method != self.acked_confirmation.0 {
             self.confirmation.reset(ctx.now);
             self.coordinator_lease_capped_since = None;
         }
-        if now != self.acked_confirmation {
+        if acked != self.acked_confirmation {
             ctx.event(Event::ConfirmationChanged {
                 confirmation: object.confirmation,
                 witnesses: object.witnesses.len() as u16,
             });
         }
-        self.acked_confirmation = now;
+        self.acked_confirmation = acked;
     }
 }
 
+/// Returns the largest odd number up to `count`, or 0.
 fn largest_odd(count: usize) -> usize {
     if count.is_multiple_of(2) { count.saturating_sub(1) } else { count }
 }
 
-/// Spreads the witnesses over the zones. The coordinator itself comes last, and its zone counts as
-/// fuller by one, so that its loss does not cost a witness as well: while it lives it can do
-/// without them. Those that are witnesses already stay where that makes no difference.
-fn choose_witnesses(me: &Instance, able: &[&Instance], former: &[Instance]) -> Vec<Instance> {
-    let count = WITNESSES_MAX.min(largest_odd(able.len()));
-    let mut of_zone: BTreeMap<&Zone, usize> = BTreeMap::from([(&me.zone, 1)]);
+/// Chooses witnesses from the candidates, spread over the zones. The coordinator itself is chosen
+/// last, and its zone counts as having one witness more, so that the loss of the coordinator does
+/// not also cost a witness. While the coordinator runs, it can do without witnesses. Between equal
+/// candidates, current witnesses are preferred.
+fn choose_witnesses(
+    own_instance: &Instance,
+    candidates: &[&Instance],
+    current: &[Instance],
+) -> Vec<Instance> {
+    let count = WITNESSES_MAX.min(largest_odd(candidates.len()));
+    let mut per_zone: BTreeMap<&Zone, usize> = BTreeMap::from([(&own_instance.zone, 1)]);
     let mut chosen: Vec<Instance> = Vec::new();
-    let mut left: Vec<&Instance> = able.to_vec();
+    let mut remaining: Vec<&Instance> = candidates.to_vec();
     while chosen.len() < count {
         let cost = |it: &&Instance| {
-            let crowd = of_zone.get(&it.zone).copied().unwrap_or(0);
-            let new = !former.iter().any(|known| is_same_incarnation(known, it));
-            (is_same_incarnation(it, me), crowd, new)
+            let in_zone = per_zone.get(&it.zone).copied().unwrap_or(0);
+            let is_new = !current.iter().any(|known| is_same_incarnation(known, it));
+            (is_same_incarnation(it, own_instance), in_zone, is_new)
         };
-        let Some(at) = (0..left.len()).min_by_key(|it| cost(&left[*it])) else { break };
-        let it = left.remove(at);
-        *of_zone.entry(&it.zone).or_default() += 1;
+        let Some(at) = (0..remaining.len()).min_by_key(|it| cost(&remaining[*it])) else { break };
+        let it = remaining.remove(at);
+        *per_zone.entry(&it.zone).or_default() += 1;
         chosen.push(it.clone());
     }
     chosen
