--- a/crates/ownership/src/coordinator/tests.rs
+++ b/crates/ownership/src/coordinator/tests.rs
@@ -1,10 +1,11 @@
-//! The numbers of members that are gone.
+//! Tests of the release of member numbers.
 
 use model::{ConfigVersion, Incarnation, Instance, InstanceName, Term, Timestamp, Zone};
 
 use super::members::{MemberRow, MemberTable, RELEASED_NUMBERS_MAX};
 use crate::{MemberNumber, Renew, SessionId, UpstreamState, ctx::MemberId};
 
+/// Creates the row of a ready member named after `number`.
 fn row(number: usize) -> MemberRow {
     let instance = Instance {
         name: InstanceName::new(&format!("member-{number}")).unwrap(),
@@ -30,44 +31,45 @@
     MemberRow::new(&instance, &renew, Timestamp::ZERO)
 }
 
-/// A member joins and leaves in each route version from 1 on; one stays.
-fn table(versions: usize) -> MemberTable {
+/// Creates a table in which a member has joined and left in each route version from 1 to
+/// `versions`, besides one member that stays.
+fn table_with_releases(versions: usize) -> MemberTable {
     let mut table = MemberTable::default();
-    let stays = row(0);
-    table.insert(MemberId::from(&stays.instance), stays, None, 0);
+    let permanent = row(0);
+    table.insert(MemberId::from(&permanent.instance), permanent, None, 0);
     for version in 1..=versions {
-        let comes = row(version);
-        let id = MemberId::from(&comes.instance);
-        table.insert(id.clone(), comes, None, version as u64);
-        let goes = table.rows.remove(&id).unwrap();
-        table.release_number(&goes, version as u64);
+        let joining = row(version);
+        let id = MemberId::from(&joining.instance);
+        table.insert(id.clone(), joining, None, version as u64);
+        let leaving = table.rows.remove(&id).unwrap();
+        table.release_number(&leaving, version as u64);
     }
     table
 }
 
 #[test]
-fn whoever_follows_is_told_which_numbers_are_free() {
-    let table = table(10);
+fn numbers_released_after_a_version_are_returned() {
+    let table = table_with_releases(10);
     assert_eq!(table.numbers_released_since(10), Some(Vec::new()));
     assert_eq!(
         table.numbers_released_since(7),
         Some(vec![MemberNumber(1); 3]),
-        "the same number, three times"
+        "number 1 has been released three times"
     );
     assert_eq!(table.numbers_released_since(0).unwrap().len(), 10);
 }
 
 #[test]
-fn whoever_has_missed_more_than_is_remembered_is_told_all_anew() {
-    let forgotten = 5;
-    let table = table(RELEASED_NUMBERS_MAX + forgotten);
-    for since in 0..forgotten as u64 {
+fn releases_are_unknown_before_the_oldest_kept_one() {
+    let discarded = 5;
+    let table = table_with_releases(RELEASED_NUMBERS_MAX + discarded);
+    for since in 0..discarded as u64 {
         assert_eq!(table.numbers_released_since(since), None, "since {since}");
     }
-    let since = forgotten as u64;
+    let since = discarded as u64;
     assert_eq!(
         table.numbers_released_since(since).unwrap().len(),
         RELEASED_NUMBERS_MAX,
-        "all after it are remembered"
+        "all releases after version {since} are kept"
     );
 }
