--- a/crates/ownership/src/coordinator/confirm.rs
+++ b/crates/ownership/src/coordinator/confirm.rs
@@ -15,11 +15,12 @@
 
 /// The most queries to witnesses whose replies are still accepted.
 const QUERIES_MAX: usize = 8;
-/// Queries or reads started within the time for which one confirmation is valid.
+/// The number of queries or reads sent within the time for which one confirmation is valid.
 const ATTEMPTS_PER_CONFIRMATION: u32 = 3;
 /// The interval of reads of the coordinator object where the platform does not confirm the term.
 const READ_INTERVAL: Duration = Duration::from_secs(10);
-/// Reads started within the longest allowed absence from the platform, so that a few may fail.
+/// The number of reads sent within the longest allowed absence from the platform, so that a few may
+/// fail.
 const READS_PER_ABSENCE: u32 = 7;
 /// The delay before a failed read is repeated.
 const READ_RETRY: Duration = Duration::from_millis(100);
@@ -36,7 +37,8 @@
 
 /// The conditions under which a term is currently confirmed.
 pub(crate) struct ConfirmationPolicy<'a> {
-    /// Is `None` while a change of the method is in doubt: the term can't be confirmed then.
+    /// The confirmation method in force, or `None` while a change of it is in doubt, so that
+    /// nothing confirms the term.
     pub(crate) method: Option<Confirmation>,
     /// All witness sets that may be in force; a majority of each has to confirm.
     pub(crate) witness_sets: Vec<&'a [Instance]>,
@@ -93,11 +95,12 @@
         }
     }
 
+    /// Returns when the confirmation ends.
     pub(crate) fn valid_until(&self) -> Timestamp {
         self.valid_until
     }
 
-    /// Returns since when the term has been unconfirmed, or when its confirmation ends.
+    /// Returns when the term became unconfirmed, which is in the future while it is confirmed.
     pub(crate) fn unconfirmed_since(&self) -> Timestamp {
         self.valid_until.max(self.reset_at)
     }
@@ -183,6 +186,7 @@
         }
     }
 
+    /// Sends the next query to all witnesses.
     fn send_query(&mut self, ctx: &mut Ctx<'_>, term: Term, policy: &ConfirmationPolicy<'_>) {
         self.last_number += 1;
         let number = self.last_number;
@@ -191,13 +195,13 @@
         if self.queries.len() > QUERIES_MAX {
             self.queries.pop_front();
         }
-        let mut asked: Vec<&Instance> = Vec::new();
+        let mut recipients: Vec<&Instance> = Vec::new();
         for witness in policy.witness_sets.iter().copied().flatten() {
-            if !asked.iter().any(|it| is_same_incarnation(it, witness)) {
-                asked.push(witness);
+            if !recipients.iter().any(|it| is_same_incarnation(it, witness)) {
+                recipients.push(witness);
             }
         }
-        for witness in asked {
+        for witness in recipients {
             ctx.send_to_agent(witness, Message::WitnessQuery { term, number });
         }
     }
@@ -306,9 +310,9 @@
 
 /// Returns whether `replied` includes a majority of each witness set.
 fn is_majority(replied: &[MemberId], policy: &ConfirmationPolicy<'_>) -> bool {
-    let has = |set: &&[Instance]| {
+    let has_majority = |set: &&[Instance]| {
         let count = set.iter().filter(|it| replied.contains(&MemberId::from(*it))).count();
         2 * count > set.len()
     };
-    !policy.witness_sets.is_empty() && policy.witness_sets.iter().all(has)
+    !policy.witness_sets.is_empty() && policy.witness_sets.iter().all(has_majority)
 }
--- a/crates/ownership/src/coordinator/runs.rs
+++ b/crates/ownership/src/coordinator/runs.rs
@@ -56,10 +56,11 @@
         }
     }
 
+    /// Adds the runs of `other` that are missing here.
     pub(crate) fn add_all(&mut self, other: &EarlierRuns) {
-        let new = other.0.iter().filter(|it| !self.0.contains(it)).cloned();
-        let new: Vec<InstanceRuns> = new.collect();
-        self.0.extend(new);
+        let missing = other.0.iter().filter(|it| !self.0.contains(it)).cloned();
+        let missing: Vec<InstanceRuns> = missing.collect();
+        self.0.extend(missing);
     }
 
     /// Removes the runs of earlier terms, whose leases have ended.
--- a/crates/ownership/src/coordinator/slots.rs
+++ b/crates/ownership/src/coordinator/slots.rs
@@ -30,15 +30,16 @@
     Unknown,
     /// No grant of it is in force.
     Vacant {
-        /// When the last lease over it ended; `None` if its holder has closed it. A later term may
-        /// have adopted and renewed that session before this time, so a new grant needs proof
-        /// requested after it that no later term exists.
+        /// When the last lease over it ended, or `None` if its holder closed it or there was none.
+        /// A later term may have adopted and renewed the session before its lease ended, so a new
+        /// grant needs proof requested after this time that no later term exists.
         lapsed_at: Option<Timestamp>,
     },
     Member(Grant),
 }
 
 impl Holder {
+    /// Returns the grant that is in force, if it is known.
     pub(crate) fn grant(&self) -> Option<&Grant> {
         match self {
             Holder::Member(it) => Some(it),
@@ -54,11 +55,12 @@
     /// Returns whether it may be granted, given proof requested at `proved_at` that no later term
     /// exists.
     pub(crate) fn is_free(&self, proved_at: Timestamp) -> bool {
-        let proved =
+        let is_proved =
             |it: Timestamp| it <= proved_at || !rules::is_enforced(Rule::ProveTermAfterLapse);
-        matches!(self, Holder::Vacant { lapsed_at } if lapsed_at.is_none_or(proved))
+        matches!(self, Holder::Vacant { lapsed_at } if lapsed_at.is_none_or(is_proved))
     }
 
+    /// Returns whether a session holds it.
     pub(crate) fn is_held_by(&self, member: &MemberId, session: SessionId) -> bool {
         self.grant().is_some_and(|it| it.member == *member && it.session == session)
     }
@@ -114,6 +116,7 @@
 }
 
 impl KeyHolder {
+    /// Returns the key's own grant, or that of its slot while the key is leaving it.
     pub(crate) fn grant(&self) -> Option<&Grant> {
         match self {
             KeyHolder::Slot => None,
@@ -173,38 +176,39 @@
         self.slot_count.slot_of(key_hash)
     }
 
+    /// Returns the hot keys in a slot.
     pub(crate) fn keys_of(&self, slot: Slot) -> impl Iterator<Item = (KeyHash, &KeyRow)> {
         let slot_count = self.slot_count;
         let keys = self.keys.iter().map(|(key_hash, row)| (*key_hash, row));
         keys.filter(move |it| slot_count.slot_of(it.0) == slot)
     }
 
-    /// Replaces the holder of all that a session holds, whose lease has ended, by `new_holder`.
-    /// Returns the number of ended grants.
+    /// Ends all grants of a session whose lease has ended: the slots and keys get the holder that
+    /// `new_holder` returns. Returns the number of grants ended.
     pub(crate) fn end_session(
         &mut self,
         member: &MemberId,
         session: SessionId,
         new_holder: impl Fn(&Grant) -> Holder,
     ) -> usize {
-        let of = |it: &Grant| it.member == *member && it.session == session;
+        let is_of_session = |it: &Grant| it.member == *member && it.session == session;
         work::add_entries(self.slots.len());
         let mut ended = 0;
         for row in &mut self.slots {
-            let Some(grant) = row.holder.grant().filter(|it| of(it)) else { continue };
+            let Some(grant) = row.holder.grant().filter(|it| is_of_session(it)) else { continue };
             row.holder = new_holder(grant);
             ended += 1;
         }
         for row in self.keys.values_mut() {
-            let Some(grant) = row.holder.grant().filter(|it| of(it)) else { continue };
+            let Some(grant) = row.holder.grant().filter(|it| is_of_session(it)) else { continue };
             row.holder = KeyHolder::Entry(new_holder(grant));
             ended += 1;
         }
         ended
     }
 
-    /// Records that runs under a session's grants may continue until its lease ends at `until`,
-    /// because the grants end before.
+    /// Records that runs under a session's grants may continue until its lease ends at `until`. The
+    /// grants themselves end now.
     pub(crate) fn retain_runs(
         &mut self,
         now: Timestamp,
@@ -213,12 +217,13 @@
         until: Timestamp,
     ) {
         let id = MemberId::from(member);
-        let of = |it: Option<&Grant>| it.is_some_and(|it| it.member == id && it.session == session);
+        let is_of_session =
+            |it: Option<&Grant>| it.is_some_and(|it| it.member == id && it.session == session);
         work::add_entries(self.slots.len());
-        for row in self.slots.iter_mut().filter(|it| of(it.holder.grant())) {
+        for row in self.slots.iter_mut().filter(|it| is_of_session(it.holder.grant())) {
             row.runs.add(now, member, until);
         }
-        for row in self.keys.values_mut().filter(|it| of(it.holder.grant())) {
+        for row in self.keys.values_mut().filter(|it| is_of_session(it.holder.grant())) {
             row.runs.add(now, member, until);
         }
     }
@@ -234,22 +239,24 @@
     pub(crate) fn is_stable(&self) -> bool {
         let is_held = |it: &Holder| it.grant().is_some_and(|it| !it.closing);
         work::add_entries(self.slots.len() / 4);
-        let slots = self.slots.iter().all(|row| row.handover.is_none() && is_held(&row.holder));
+        let are_slots_stable =
+            self.slots.iter().all(|row| row.handover.is_none() && is_held(&row.holder));
         let is_key_stable = |it: &KeyHolder| match it {
             KeyHolder::Slot => true,
             KeyHolder::LeavingSlot(_) => false,
             KeyHolder::Entry(it) => is_held(it),
         };
-        slots && self.keys.values().all(|row| is_key_stable(&row.holder))
+        are_slots_stable && self.keys.values().all(|row| is_key_stable(&row.holder))
     }
 
     /// Returns whether a member holds anything, or is the new owner of a handover.
     pub(crate) fn involves(&self, member: &MemberId) -> bool {
-        let of = |it: Option<&Grant>| it.is_some_and(|it| it.member == *member);
+        let is_of_member = |it: Option<&Grant>| it.is_some_and(|it| it.member == *member);
         work::add_entries(self.slots.len());
-        let slots = self.slots.iter().any(|row| {
-            of(row.holder.grant()) || row.handover.as_ref().is_some_and(|it| it.to == *member)
+        let has_slot = self.slots.iter().any(|row| {
+            is_of_member(row.holder.grant())
+                || row.handover.as_ref().is_some_and(|it| it.to == *member)
         });
-        slots || self.keys.values().any(|row| of(row.holder.grant()))
+        has_slot || self.keys.values().any(|row| is_of_member(row.holder.grant()))
     }
 }
--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -1,6 +1,6 @@
-//! Tracks when a new coordinator may regrant what earlier terms have granted.
+//! Tracks when a new coordinator may grant the slots and keys that earlier terms have granted.
 //!
-//! Until then an earlier coordinator may still renew leases and grant slots, and leases that it
+//! Before that, an earlier coordinator may still renew leases and grant slots, and leases that it
 //! gave may still be valid.
 
 use std::{
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct Succession {
     acquired_at: Timestamp,
-    /// Is `None` if the platform had no coordinator object before this term.
+    /// The previous term, or `None` if the platform had no coordinator object before this one.
     predecessor: Option<Predecessor>,
     /// Members that have reported their holdings to this term, or whose upstreams have been
     /// cleared.
@@ -45,7 +45,8 @@
 /// The previous term, as the coordinator object showed it when this term replaced it.
 #[derive(Debug)]
 struct Predecessor {
-    /// Is `None` if the coordinator released its term, which it does only after its last renewal.
+    /// The previous coordinator, or `None` if it released its term, which it does only after its
+    /// last renewal.
     holder: Option<Instance>,
     settled: bool,
     confirmation: Confirmation,
@@ -108,6 +109,7 @@
         })
     }
 
+    /// Returns whether the platform has lost records of earlier terms.
     fn history_lost(&self) -> bool {
         self.predecessor.as_ref().is_some_and(|it| it.history_lost)
     }
@@ -147,16 +149,16 @@
         if self.past_earlier_leases {
             return false;
         }
-        let over = self.earlier_leases_end(confirmation).is_some_and(|it| now >= it);
-        self.past_earlier_leases = over || !rules::is_enforced(Rule::WaitForLeases);
+        let have_leases_ended = self.earlier_leases_end(confirmation).is_some_and(|it| now >= it);
+        self.past_earlier_leases = have_leases_ended || !rules::is_enforced(Rule::WaitForLeases);
         if self.settled {
             return false;
         }
-        let all_clear = planned.filter(|_| !self.history_lost()).is_some_and(|it| {
+        let has_no_other_holder = planned.filter(|_| !self.history_lost()).is_some_and(|it| {
             let ids: Vec<MemberId> = it.iter().map(MemberId::from).collect();
             self.has_no_holder_among(now, confirmation, &ids)
         });
-        self.settled = self.past_earlier_leases || all_clear;
+        self.settled = self.past_earlier_leases || has_no_other_holder;
         self.settled
     }
 
@@ -182,7 +184,7 @@
     }
 
     /// Returns when the last request ends that was admitted under an earlier term's grant to this
-    /// incarnation. `None` means: not before all leases of earlier terms have ended.
+    /// incarnation, or `None` if that is known only once all leases of earlier terms have ended.
     pub(crate) fn runs_end(&self, instance: &Instance) -> Option<Timestamp> {
         self.runs_end.get(&MemberId::from(instance)).copied()
     }
@@ -206,8 +208,9 @@
         self.accounted_for.contains(member)
     }
 
-    /// Returns whether none of the candidates for a slot or key can still hold it without this term
-    /// knowing. They must be the candidates of a plan that this term has written itself.
+    /// Returns whether none of the candidates for a slot or key can still hold it by a grant of an
+    /// earlier term that this term has not adopted. They must be the candidates of a plan that this
+    /// term has written itself.
     pub(crate) fn has_no_holder_among<'a>(
         &self,
         now: Timestamp,
