--- a/crates/ownership/src/coordinator/handover.rs
+++ b/crates/ownership/src/coordinator/handover.rs
@@ -21,8 +21,8 @@
 /// The most handovers of a group in progress at once that serve to even out the load. A leaving
 /// member's slots are handed over all at once, because the time for that is short.
 const HANDOVERS_MAX: usize = 8;
-/// The longest preparation of a new owner. After this time the handover continues without its
-/// report.
+/// The longest preparation of a new owner. After this time the handover continues without a report
+/// of the new owner.
 const PREPARE_MAX: Duration = Duration::from_secs(2);
 
 /// The next step of a slot's handover.
--- a/crates/ownership/src/coordinator/keys.rs
+++ b/crates/ownership/src/coordinator/keys.rs
@@ -24,6 +24,8 @@
         }
     }
 
+    /// Returns whether the key may be granted apart from its slot, given proof requested at
+    /// `proved_at` that no later term exists.
     fn is_free(&self, proved_at: Timestamp) -> bool {
         matches!(&self.holder, KeyHolder::Entry(it) if it.is_free(proved_at))
     }
--- a/crates/ownership/src/coordinator/loads.rs
+++ b/crates/ownership/src/coordinator/loads.rs
@@ -10,14 +10,14 @@
 
 /// The weight of the newest report in a smoothed load.
 const LOAD_WEIGHT: f64 = 0.3;
-/// The number of reports from which a member's load can be compared with that of others.
+/// The number of load reports of a member after which its load can be compared with that of others.
 const REPORTS_MIN: u32 = 3;
-/// The time after its join from which a member's load is compared even with fewer reports.
+/// The time after a member's join after which its load is compared even with fewer reports.
 const REPORTS_WAIT: Duration = Duration::from_secs(5);
 /// The most keys whose load is kept, over all members.
 const HOT_KEYS_MAX: usize = 256;
-/// The share of its load that a key loses with each proposal before which no member has reported
-/// it.
+/// The share of its load that a key loses at a proposal if no member has reported it since the
+/// previous one.
 const UNREPORTED_DECAY: f64 = 0.3;
 /// The least load of a key that is kept.
 const LOAD_MIN_US_PER_S: f64 = 100.0;
@@ -78,6 +78,7 @@
         self.loads.get(&key_hash).map_or(0.0, |it| it.us_per_s)
     }
 
+    /// Returns the keys whose loads are kept.
     pub(crate) fn keys(&self) -> impl Iterator<Item = KeyHash> {
         self.loads.keys().copied()
     }
--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -16,15 +16,15 @@
 const WITNESSES_MAX: usize = 5;
 /// The fewest witnesses of a term; with fewer candidates the platform confirms it.
 const WITNESSES_MIN: usize = 3;
-/// The time after its join from which a member can become a witness.
+/// The time that a member has to be in the group before it can become a witness.
 const WITNESS_AGE_MIN: Duration = Duration::from_secs(1);
 /// How long a term may be without confirmation by witnesses before the method is changed to the
 /// platform.
 const MAJORITY_MISSING_MAX: Duration = Duration::from_millis(100);
 
 impl Coordination {
-    /// Updates the coordinator object where its content is outdated. Only a settled coordinator
-    /// does so.
+    /// Updates the coordinator object if it differs from what it should be. Only a settled
+    /// coordinator does so.
     pub(super) fn maintain(&mut self, ctx: &mut Ctx<'_>) {
         let is_rolled_back = self.rolled_back_at.is_some();
         if !self.is_settled() || self.object.is_pending() || self.releasing || is_rolled_back {
@@ -66,8 +66,9 @@
                         choose_witnesses(ctx.own_instance(), &candidates, &wanted.witnesses);
                 }
             }
-            // The platform is read only rarely while witnesses confirm, so whether it is reachable
-            // may be unknown.
+            // While witnesses confirm the term, the platform is read only rarely. After the loss of
+            // a witness, a read checks whether the platform is reachable, so that the witness can
+            // be replaced.
             Confirmation::Witnesses => {
                 let is_lost =
                     |it: &Instance| !candidates.iter().any(|known| is_same_incarnation(known, it));
--- a/crates/ownership/src/coordinator/members.rs
+++ b/crates/ownership/src/coordinator/members.rs
@@ -225,6 +225,7 @@
 }
 
 impl MemberNumbers {
+    /// Returns the lowest free number, or else a new one.
     fn allocate(&mut self) -> MemberNumber {
         self.free.pop_first().unwrap_or_else(|| {
             self.allocated += 1;
@@ -232,6 +233,7 @@
         })
     }
 
+    /// Frees a number, and keeps its release until too many newer ones have followed.
     fn release(&mut self, number: MemberNumber, version: u64) {
         self.free.insert(number);
         self.released.push_back((version, number));
@@ -283,27 +285,27 @@
         ends_at: Option<Timestamp>,
         version: u64,
     ) {
-        let former = self.rows.get(&id);
-        row.number = former.map_or_else(|| self.numbers.allocate(), |it| it.number);
+        let replaced = self.rows.get(&id);
+        row.number = replaced.map_or_else(|| self.numbers.allocate(), |it| it.number);
         row.joined_version = version;
         row.changed_version = version;
-        let Some(former) = self.rows.insert(id.clone(), row) else { return };
-        self.record_ended(id.clone(), former.session);
+        let Some(replaced) = self.rows.insert(id.clone(), row) else { return };
+        self.record_ended(id.clone(), replaced.session);
         self.lapsing.push(LapsingSession {
             member: id,
-            session: former.session,
-            until: ends_at.unwrap_or(former.lease_until).min(former.lease_until),
+            session: replaced.session,
+            until: ends_at.unwrap_or(replaced.lease_until).min(replaced.lease_until),
         });
     }
 
-    /// Records that a session has ended: its later renewals are refused.
+    /// Records that a session has ended, so that its later renewals are refused.
     pub(crate) fn record_ended(&mut self, id: MemberId, session: SessionId) {
         let newest = self.ended.entry(id).or_insert(session);
         *newest = session.max(*newest);
     }
 
-    /// Removes all sessions whose leases have ended, and returns them; a replaced session has no
-    /// row.
+    /// Removes all sessions whose leases have ended and returns them, with their rows unless a
+    /// newer session of the same member has replaced them.
     pub(crate) fn expire(
         &mut self,
         now: Timestamp,
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -49,11 +49,11 @@
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
 /// The longest time without a scan of all slots and keys while none of them is changing.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// A coordinator that receives no renewal for this long stops announcing its term.
+/// The longest time without renewals during which a coordinator still announces its term.
 const RENEWAL_SILENCE_MAX: Duration = Duration::from_secs(1);
 /// How long witnesses may take to confirm a term whose record the platform has lost.
 const RECONFIRMATION_MAX: Duration = Duration::from_millis(300);
-/// The delay of a group's first plan, so that it includes all members that start together.
+/// The longest delay of a group's first plan, so that it includes all members that start together.
 const FIRST_PLAN_DELAY: Duration = Duration::from_millis(1000);
 
 /// A term that this node has acquired by an update of the coordinator object.
@@ -65,8 +65,7 @@
     pub(crate) previous: Option<Coordinator>,
     /// A lower bound of when the update was sent.
     pub(crate) sent_at: Timestamp,
-    /// The last plan of the term that this node held before, if no other term can have come
-    /// between.
+    /// The last plan of this node's previous term, if no other term can have begun since.
     pub(crate) carried_plan: Option<Plan>,
 }
 
@@ -83,9 +82,9 @@
 pub(crate) enum Reacquisition {
     /// The platform was not rolled back, or witnesses may still confirm the current term.
     NotDue,
-    /// No other term can have been settled, so the next term continues with this state.
+    /// No other term can have settled, so the next term continues with this state.
     WithState(Box<CarriedState>),
-    /// Another term may have been settled, so the next term continues with the stored state.
+    /// Another term may have settled, so the next term continues with the stored state.
     WithoutState,
 }
 
@@ -116,11 +115,11 @@
     plan: PlanWriter,
     /// The sequence number of the newest token.
     sequence: u64,
-    /// The version of the newest change of routes.
+    /// The newest route version. Each change of a member, slot or hot key gets a new one.
     route_version: u64,
     /// The route version of the last change of a slot.
     slots_changed_version: u64,
-    /// The routes that were made last, because many members get the same changes.
+    /// The routes made last, which are kept because many members need the same changes.
     cached_routes: Option<Arc<Routes>>,
     /// The route version at which `cached_routes` were made.
     cached_routes_version: u64,
@@ -143,7 +142,7 @@
     times_differ_since: Option<Timestamp>,
     /// The confirmation method and the witnesses that the platform has last acknowledged.
     acked_confirmation: (Confirmation, Vec<MemberId>),
-    /// The latest end that this term has ever given the lease over this node's grants to itself.
+    /// The latest end of the lease over this node's grants to itself that this term has ever set.
     coordinator_lease_until: Timestamp,
     /// Until when slots and keys are not scanned, because all are granted and none is changing.
     idle_until: Timestamp,
@@ -240,7 +239,7 @@
         }
         let until = match ctx.limits().coordinator_lease {
             CoordinatorLease::Confirmation if ctx.config.keyed => self.confirmed_until(ctx),
-            // Without keys, the term is not confirmed, and the lease covers no grants.
+            // A group without keys does not confirm its term, and the lease covers no grants.
             CoordinatorLease::Confirmation | CoordinatorLease::Full => {
                 ctx.now + self.times(ctx).lease()
             }
@@ -271,7 +270,7 @@
         self.object.acked().times.min(ctx.limits().into())
     }
 
-    /// Returns whether leases may be renewed and grants given now.
+    /// Returns whether this term may renew leases and give grants now.
     fn may_renew(&self, ctx: &Ctx<'_>) -> bool {
         if self.releasing {
             return false;
@@ -321,7 +320,8 @@
         self.send_answers(ctx, Recipients::WithRoutes);
     }
 
-    /// Ends sessions and settles the term if it is time, and takes all other steps that are due.
+    /// Ends lapsed sessions, settles the term, and sends the calls, announcements, plans and
+    /// answers that are due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         self.expire(ctx);
         let planned = self.plan.acked().map(|it| it.members.as_slice());
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -156,6 +156,7 @@
         }
     }
 
+    /// Marks the pending update as acknowledged, with this version of the object.
     fn apply_update(&mut self, version: ObjectVersion) -> UpdateOutcome {
         let Some(pending) = self.pending.take() else { return UpdateOutcome::Undecided };
         self.acked = pending.object;
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -38,27 +38,33 @@
         IndexedPlan { plan, ids }
     }
 
+    /// Returns the ids of the candidates for a slot.
     fn slot_ids(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
         self.slot_indexes(slot).filter_map(|it| self.ids.get(it))
     }
 
+    /// Returns the candidates for a slot with their addresses.
     fn slot_candidate_instances(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
         self.slot_indexes(slot).filter_map(|it| self.plan.members.get(it))
     }
 
+    /// Returns the ids of the candidates for a hot key.
     fn key_ids(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
         self.key_indexes(key_hash).filter_map(|it| self.ids.get(it))
     }
 
+    /// Returns the candidates for a hot key with their addresses.
     fn key_candidate_instances(&self, key_hash: KeyHash) -> impl Iterator<Item = &Instance> {
         self.key_indexes(key_hash).filter_map(|it| self.plan.members.get(it))
     }
 
+    /// Returns the indexes of the candidates for a slot in `plan.members`.
     fn slot_indexes(&self, slot: Slot) -> impl Iterator<Item = usize> {
         let entry = self.plan.slots.get(usize::from(slot.0));
         entry.into_iter().flat_map(|it| indexes(it.owner, &it.successors))
     }
 
+    /// Returns the indexes of the candidates for a hot key in `plan.members`.
     fn key_indexes(&self, key_hash: KeyHash) -> impl Iterator<Item = usize> {
         let entry = self.plan.hot_keys.iter().find(|it| it.key_hash == key_hash);
         entry.into_iter().flat_map(|it| indexes(it.owner, &it.successors))
@@ -305,7 +311,7 @@
         PlanOutcome::Pending
     }
 
-    /// Takes the plan in doubt as acknowledged.
+    /// Marks the plan in doubt as acknowledged, with this version of the object.
     fn apply_update(&mut self, version: ObjectVersion) -> PlanOutcome {
         self.version = version;
         self.step = None;
--- a/crates/ownership/src/coordinator/propose.rs
+++ b/crates/ownership/src/coordinator/propose.rs
@@ -33,7 +33,8 @@
 const PROPOSAL_PAUSE_PER_MEMBER: Duration = Duration::from_millis(5);
 /// The time for which a slot moved to even out the load is not moved again.
 const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
-const MINUTE: Duration = Duration::from_secs(60);
+/// The period over which the moves of slots are counted and limited.
+const CHURN_WINDOW: Duration = Duration::from_secs(60);
 /// The most hot keys in a plan.
 const PLANNED_KEYS_MAX: usize = 256;
 
@@ -68,7 +69,7 @@
 struct Members {
     instances: Vec<Instance>,
     ids: Vec<MemberId>,
-    /// Is 1 for members to which slots may be granted, and 0 for others.
+    /// The weight of each member: 1 if slots may be granted to it, and 0 otherwise.
     weights: Vec<f64>,
 }
 
@@ -101,7 +102,7 @@
     /// Makes a proposal if one is due, and writes it if it differs from the plan in force.
     pub(super) fn propose(&mut self, ctx: &mut Ctx<'_>) {
         let is_ready = self.is_settled() && self.plan.is_idle() && self.may_renew(ctx);
-        // Grants that the plan in force allows come first.
+        // A proposal is made only after all grants that the plan in force allows.
         let paused_until = self.proposed_at + self.proposal_pause();
         let due_at = self.next_proposal_at.max(paused_until);
         if !is_ready || due_at > ctx.now || self.has_pending_grant(ctx.now) {
@@ -136,8 +137,8 @@
     }
 
     /// Returns whether the first grants of this term are still delayed for members that may soon be
-    /// ready. If the plan of an earlier term names owners, only new incarnations of these delay
-    /// them.
+    /// ready. If the plan of an earlier term names owners, only new incarnations of these are
+    /// considered.
     fn is_delayed_for_upstreams(&mut self, now: Timestamp) -> bool {
         let was_granted = |row: &SlotRow| row.last_token != Token::default();
         if !self.members.any_eligible() || self.slot_table.slots.iter().any(was_granted) {
@@ -177,7 +178,7 @@
 
     /// Returns the input of the planner: the current members, slots, hot keys and loads.
     fn planner_input(&mut self, ctx: &Ctx<'_>, members: &Members) -> PlannerInput {
-        self.recent_moves.retain(|it| ctx.now.since(*it) < MINUTE);
+        self.recent_moves.retain(|it| ctx.now.since(*it) < CHURN_WINDOW);
         let moved = self.recent_moves.len() as f64 / f64::from(self.slot_table.slot_count.count());
         work::add_entries(16 * self.slot_table.slots.len());
         let instances = members.instances.iter().zip(&members.weights);
--- a/crates/ownership/src/coordinator/renewals.rs
+++ b/crates/ownership/src/coordinator/renewals.rs
@@ -15,8 +15,8 @@
 };
 
 impl Coordination {
-    /// Handles a renewal, which may open a session, belong to the current one, or have to be
-    /// refused.
+    /// Handles a renewal: applies it to the member's current session, opens a new session, or
+    /// refuses it.
     pub(super) fn handle_renewal(&mut self, ctx: &mut Ctx<'_>, from: &Instance, renew: &Renew) {
         if renew.term != self.term {
             return ctx.send(from, Message::Announce { term: self.term });
@@ -35,12 +35,13 @@
         }
     }
 
+    /// Notifies an agent that its session has ended, so that it starts a new one.
     fn refuse_session(&mut self, ctx: &mut Ctx<'_>, from: &Instance, session: SessionId) {
         ctx.send(from, Message::SessionEnded { term: self.term, session });
     }
 
     /// Opens a new session and adopts what it holds. A session that holds something is refused once
-    /// this term has settled.
+    /// this term has settled, or if its claims are outdated.
     fn open_session(&mut self, ctx: &mut Ctx<'_>, id: MemberId, from: &Instance, renew: &Renew) {
         let Some(holding) = &renew.holding else {
             return self.refuse_session(ctx, from, renew.session);
@@ -114,6 +115,7 @@
         slots || keys
     }
 
+    /// Records a session as the holder of a slot that it has reported to hold.
     fn adopt_slot(&mut self, id: &MemberId, session: SessionId, held: &HeldSlot) {
         let version = self.bump_slot_route_version();
         let Some(row) = self.slot_table.row_mut(held.slot) else { return };
@@ -123,6 +125,7 @@
         row.changed_version = version;
     }
 
+    /// Records a session as the holder of a hot key that it has reported to hold.
     fn adopt_key(&mut self, id: &MemberId, session: SessionId, held: &HeldKey) {
         let version = self.bump_route_version();
         let (member, token, closing) = (id.clone(), held.token, held.closing);
