--- a/crates/agent/src/control/state.rs
+++ b/crates/agent/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The tables of control, and the systems that run over them.
+//! The state of the control thread and the periodic tasks that run over it.
 
 use std::sync::Arc;
 
@@ -11,38 +11,38 @@
 use crate::{
     clock::Clock,
     control::{
-        accept::Acceptor, calls::Calls, documents::Documents, foreign::ForeignRoutes, group::Group,
-        status::StatusWriter, suspension::Suspension, upstream::LocalState, watch::Watches,
+        accept::Acceptor, calls::PlatformCalls, documents::Documents, foreign::ForeignRoutes,
+        group::Group, status::StatusWriter, suspension::SuspensionDetector,
+        upstream::UpstreamMonitor, watch::Watches,
     },
     gate::GateHandle,
     links::ControlLinks,
     snapshot::SnapshotCell,
 };
 
-/// The one group that the keys of a service form; larger services are refused at the join of the
-/// 33rd member.
+/// The only group of a service. Services are limited to one group of 32 members; the join of the
+/// 33rd member is refused.
 pub(crate) const ONLY_GROUP: GroupId = GroupId(0);
 
-/// What control works with.
+/// The settings and handles that the control thread uses.
 pub(crate) struct Parts {
     pub(crate) settings: Arc<AgentSettings>,
     pub(crate) own: Instance,
     pub(crate) clock: Clock,
     pub(crate) links: ControlLinks,
-    pub(crate) calls: Calls,
+    pub(crate) calls: PlatformCalls,
     pub(crate) gate: GateHandle,
     pub(crate) snapshots: Arc<SnapshotCell>,
     pub(crate) seed: u64,
-    /// Where documents come from.
     pub(crate) documents_from: DocumentSource,
 }
 
-/// Where the documents in force come from.
+/// The source of the documents in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DocumentSource {
-    /// From the object store, where coordinators accept what teams write.
+    /// The object store, where coordinators accept the documents that teams write.
     ObjectStore,
-    /// From one configuration of the whole fleet, which is accepted already.
+    /// A central configuration with the documents of all services, which needs no acceptance.
     CentralConfig,
 }
 
@@ -51,40 +51,41 @@
     pub(super) parts: Parts,
     pub(super) rng: Pcg64Mcg,
     pub(super) documents: Documents,
-    /// None until the own service's document is known.
+    /// The own service's group, or `None` until its document is in force.
     pub(super) group: Option<Group>,
-    /// Members of the own group that peers told of before this instance was one.
-    pub(super) met_members: Vec<Instance>,
+    /// Members of the own group that peers reported before this instance joined it.
+    pub(super) reported_members: Vec<Instance>,
     pub(super) foreign: ForeignRoutes,
     pub(super) acceptor: Acceptor,
     pub(super) watches: Watches,
     pub(super) status: StatusWriter,
-    pub(super) local: LocalState,
-    /// Routes by host, where there is a configuration of the whole fleet.
+    pub(super) upstream: UpstreamMonitor,
+    /// Routes by host, if documents come from a central configuration.
     pub(super) routing: Option<Arc<RoutingTable>>,
-    suspension: Suspension,
-    /// Something that traffic should see has changed.
+    suspension: SuspensionDetector,
+    /// Whether the snapshot for the traffic threads is outdated.
     pub(super) dirty: bool,
-    pub(super) stopping: bool,
+    /// Whether the graceful stop has begun.
+    pub(super) is_stopping: bool,
 }
 
 impl Control {
     pub(crate) fn new(parts: Parts) -> Control {
-        log::info!(target: "control", "{} of {} starts.", parts.own, parts.settings.service);
+        log::info!(target: "control", "Control of instance {} of {} starts.", parts.own, parts.settings.service);
         Control {
             rng: Pcg64Mcg::seed_from_u64(parts.seed),
             documents: Documents::default(),
             group: None,
-            met_members: Vec::new(),
+            reported_members: Vec::new(),
             foreign: ForeignRoutes::default(),
             acceptor: Acceptor::default(),
             watches: Watches::default(),
             status: StatusWriter::default(),
-            local: LocalState::default(),
+            upstream: UpstreamMonitor::default(),
             routing: None,
-            suspension: Suspension::default(),
+            suspension: SuspensionDetector::default(),
             dirty: true,
-            stopping: false,
+            is_stopping: false,
             parts,
         }
     }
@@ -97,63 +98,64 @@
         &self.parts.settings.service
     }
 
-    /// Runs every system once.
+    /// Runs all periodic tasks once.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
-        if let Some(slept) = self.suspension.slept() {
-            log::warn!(target: "control", "The instance was suspended for {slept:?}.");
+        if let Some(suspended) = self.suspension.take_suspended() {
+            log::warn!(target: "control", "The instance was suspended for {suspended:?}; leases may have expired.");
             self.step(now, Input::Suspended);
         }
-        // First of all: after a pause the node drops the lease before anything else runs.
+        // Runs first, so that after a pause the node drops an expired lease before other tasks run.
         self.step(now, Input::Tick);
-        self.watch_upstream(now);
+        self.check_upstream_timeout(now);
         self.report_load(now);
-        self.refresh_foreign(now);
+        self.refresh_foreign_routes(now);
         if self.parts.documents_from == DocumentSource::ObjectStore {
-            self.seek_document(now);
-            self.accept(now);
-            self.watch_platform(now);
-            self.spread_versions(now);
+            self.look_up_document(now);
+            self.reread_accepted(now);
+            self.start_watches(now);
+            self.broadcast_versions(now);
             self.write_status(now);
         }
     }
 
-    /// Begins the graceful stop.
+    /// Begins the graceful stop: the group's node hands over all slots.
     pub(crate) fn stop(&mut self) {
-        if self.stopping {
+        if self.is_stopping {
             return;
         }
-        log::info!(target: "control", "Stopping: handing over.");
-        self.stopping = true;
+        log::info!(target: "control", "Stopping; handing over all slots.");
+        self.is_stopping = true;
         self.dirty = true;
         let now = self.now();
         self.step(now, Input::Stop);
     }
 
-    /// The stop was asked for, and nothing is held any more.
+    /// Returns whether the graceful stop has begun and this instance no longer holds any slots.
     pub(crate) fn is_handed_over(&self) -> bool {
-        self.stopping && self.group.as_ref().is_none_or(|it| it.stopped)
+        self.is_stopping && self.group.as_ref().is_none_or(|it| it.stopped)
     }
 
-    /// Gives the group's node one input and carries out what it asks for.
+    /// Passes one input to the group's node and executes its outputs.
     pub(super) fn step(&mut self, now: Timestamp, input: Input) {
         let Some(group) = &mut self.group else { return };
         self.dirty |= group.step(now, input, &self.parts);
     }
 
-    /// The own service's document has come into force, first or anew.
-    pub(super) fn own_document_changed(&mut self) {
+    /// Applies the own service's document after its first or a later version came into force. The
+    /// first one creates the group.
+    pub(super) fn on_own_document_changed(&mut self) {
         let now = self.now();
         let service = self.service().clone();
-        let Some(in_force) = self.documents.of(&service).cloned() else { return };
+        let Some(in_force) = self.documents.in_force(&service).cloned() else { return };
         self.dirty = true;
         if self.group.is_none() {
-            let peers = std::mem::take(&mut self.met_members);
+            let peers = std::mem::take(&mut self.reported_members);
             let group = Group::new(now, &self.parts, &in_force.document, peers);
             self.group = Some(group);
-            let state = self.local.state();
+            let state = self.upstream.state();
             self.step(now, Input::Upstream(state));
-            if self.stopping {
+            if self.is_stopping {
                 self.step(now, Input::Stop);
             }
         }
@@ -162,7 +164,7 @@
     }
 }
 
-/// What a document says of ownership, as the core takes it.
+/// Returns a document's ownership limits in the form that the `ownership` crate uses.
 pub(super) fn limits(document: &ServiceDocument) -> Limits {
     let it = &document.ownership;
     Limits {
