--- a/crates/ownership/src/coordinator/answer.rs
+++ b/crates/ownership/src/coordinator/answer.rs
@@ -48,7 +48,7 @@
         let first_version = first_route_version(self.term);
         let is_due = |row: &MemberRow| {
             let has_routes = row.route_version.max(row.routes_sent_version) >= first_version;
-            (row.answer_due || row.push_due) && (has_routes || recipients == Recipients::All)
+            (row.is_answer_due || row.is_push_due) && (has_routes || recipients == Recipients::All)
         };
         work::add_entries(self.members.rows.len() / 8);
         let due: Vec<MemberId> =
@@ -74,8 +74,8 @@
             row.routes_sent_version = routes.version;
             row.routes_sent_at = ctx.now;
         }
-        row.answer_due = false;
-        row.push_due = false;
+        row.is_answer_due = false;
+        row.is_push_due = false;
         row.lease_until = row.lease_until.max(ctx.now + times.with_drift_margin(times.lease()));
         let renewed = Renewed {
             term: self.term,
--- a/crates/ownership/src/coordinator/handover.rs
+++ b/crates/ownership/src/coordinator/handover.rs
@@ -104,8 +104,8 @@
     }
 
     /// Returns the member that takes over a slot whose holder has to release it: the first
-    /// candidate that may take it. While there is none, a holder whose upstream can still serve
-    /// keeps the slot.
+    /// candidate that may take it. A holder whose upstream can still serve keeps the slot while
+    /// earlier runs at other upstreams exclude each candidate.
     fn successor_for(&self, now: Timestamp, slot: Slot, holder: &MemberId) -> Option<MemberId> {
         let row = self.members.rows.get(holder);
         let serves = row.is_some_and(|it| it.upstream != UpstreamState::Lost);
--- a/crates/ownership/src/coordinator/loads.rs
+++ b/crates/ownership/src/coordinator/loads.rs
@@ -33,7 +33,7 @@
 struct HotKeyLoad {
     us_per_s: f64,
     /// Whether any member has reported it since the last proposal.
-    reported: bool,
+    is_reported: bool,
 }
 
 impl HotKeys {
@@ -41,11 +41,11 @@
     fn report(&mut self, key_hash: KeyHash, us_per_s: f64) {
         if let Some(it) = self.loads.get_mut(&key_hash) {
             it.us_per_s += LOAD_WEIGHT * (us_per_s - it.us_per_s);
-            it.reported = true;
+            it.is_reported = true;
             return;
         }
         if self.loads.len() < HOT_KEYS_MAX || self.evict_lighter(us_per_s) {
-            self.loads.insert(key_hash, HotKeyLoad { us_per_s, reported: true });
+            self.loads.insert(key_hash, HotKeyLoad { us_per_s, is_reported: true });
         }
     }
 
@@ -65,10 +65,10 @@
     /// with too little load.
     pub(crate) fn decay_unreported(&mut self) {
         for it in self.loads.values_mut() {
-            if !it.reported {
+            if !it.is_reported {
                 it.us_per_s *= 1.0 - UNREPORTED_DECAY;
             }
-            it.reported = false;
+            it.is_reported = false;
         }
         self.loads.retain(|_, it| it.us_per_s >= LOAD_MIN_US_PER_S);
     }
--- a/crates/ownership/src/coordinator/maintain.rs
+++ b/crates/ownership/src/coordinator/maintain.rs
@@ -27,7 +27,7 @@
     /// coordinator does so.
     pub(super) fn maintain(&mut self, ctx: &mut Ctx<'_>) {
         let is_rolled_back = self.rolled_back_at.is_some();
-        if !self.is_settled() || self.object.is_pending() || self.releasing || is_rolled_back {
+        if !self.is_settled() || self.object.is_pending() || self.is_releasing || is_rolled_back {
             return;
         }
         let acked = self.object.acked();
--- a/crates/ownership/src/coordinator/members.rs
+++ b/crates/ownership/src/coordinator/members.rs
@@ -74,9 +74,9 @@
     pub(crate) excluded: BTreeSet<KeyHash>,
     pub(crate) earlier_sessions: EarlierSessions,
     /// Whether a renewal has not been answered yet.
-    pub(crate) answer_due: bool,
+    pub(crate) is_answer_due: bool,
     /// Whether there are new commands to send.
-    pub(crate) push_due: bool,
+    pub(crate) is_push_due: bool,
 }
 
 impl MemberRow {
@@ -106,8 +106,8 @@
                 Some(it) if it.slots.is_empty() => EarlierSessions::Unknown,
                 _ => EarlierSessions::Retained,
             },
-            answer_due: true,
-            push_due: false,
+            is_answer_due: true,
+            is_push_due: false,
         }
     }
 
@@ -150,7 +150,7 @@
     /// Appends a command, which is sent with the next answer.
     pub(crate) fn enqueue(&mut self, command: Command) {
         self.commands.push_back(command);
-        self.push_due = true;
+        self.is_push_due = true;
     }
 
     /// Applies a renewal. Returns its new reports, and whether the member's status or configuration
@@ -164,7 +164,7 @@
         self.leaving = renew.leaving;
         self.config = self.config.max(renew.config);
         self.route_version = renew.route_version;
-        self.answer_due = true;
+        self.is_answer_due = true;
         while self.first_command <= renew.applied && self.commands.pop_front().is_some() {
             self.first_command += 1;
         }
--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -153,7 +153,7 @@
     /// When a renewal of any member was last received.
     last_renewal_at: Timestamp,
     /// Whether the release of the term has begun.
-    releasing: bool,
+    is_releasing: bool,
     /// When the rollback of the platform to an older snapshot was detected.
     rolled_back_at: Option<Timestamp>,
 }
@@ -214,7 +214,7 @@
             released_slots: Vec::new(),
             coordinator_lease_capped_since: None,
             last_renewal_at: ctx.now,
-            releasing: false,
+            is_releasing: false,
             rolled_back_at: None,
         }
     }
@@ -272,7 +272,7 @@
 
     /// Returns whether this term may renew leases and give grants now.
     fn may_renew(&self, ctx: &Ctx<'_>) -> bool {
-        if self.releasing {
+        if self.is_releasing {
             return false;
         }
         // Without keys nothing is granted, so two coordinators at a time do no harm.
@@ -415,7 +415,7 @@
             }
             PlanOutcome::NotOwnCall | PlanOutcome::Pending => {}
         }
-        if self.plan.history_lost() {
+        if self.plan.is_history_lost() {
             self.succession.set_history_lost();
         }
         TermState::Held
@@ -549,10 +549,10 @@
     /// Releases the term by an update of the coordinator object. From now on this node renews no
     /// lease.
     pub(crate) fn release_term(&mut self, ctx: &mut Ctx<'_>) {
-        if self.releasing || self.object.is_pending() {
+        if self.is_releasing || self.object.is_pending() {
             return;
         }
-        self.releasing = true;
+        self.is_releasing = true;
         let object = Coordinator { holder: None, ..self.object.acked().clone() };
         self.object.update(ctx, object);
     }
--- a/crates/ownership/src/coordinator/object.rs
+++ b/crates/ownership/src/coordinator/object.rs
@@ -24,7 +24,7 @@
     call: Option<CallId>,
     /// Whether a sending met a conflict, so that only a read can show whether an earlier one took
     /// effect.
-    refused: bool,
+    is_refused: bool,
     /// When it was last sent.
     sent_at: Timestamp,
     retry_at: Timestamp,
@@ -94,7 +94,7 @@
         self.pending = Some(PendingUpdate {
             object,
             call: None,
-            refused: false,
+            is_refused: false,
             sent_at: ctx.now,
             retry_at: ctx.now,
         });
@@ -108,7 +108,7 @@
         if pending.call.is_some() || pending.retry_at > ctx.now {
             return;
         }
-        let request = match pending.refused {
+        let request = match pending.is_refused {
             true => PlatformRequest::ReadCoordinator,
             false => {
                 pending.sent_at = ctx.now;
@@ -132,7 +132,7 @@
         match reply {
             PlatformReply::Updated(version) => self.apply_update(*version),
             PlatformReply::Conflict => {
-                pending.refused = true;
+                pending.is_refused = true;
                 pending.retry_at = ctx.now;
                 self.tick(ctx);
                 UpdateOutcome::Undecided
--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -110,7 +110,7 @@
     carried: Option<Plan>,
     /// Whether the first plan of this term continues a rolled back one, so that newer plans may
     /// have been lost.
-    history_lost: bool,
+    is_history_lost: bool,
 }
 
 impl PlanWriter {
@@ -130,7 +130,7 @@
             call: None,
             retry_at: now,
             carried,
-            history_lost: false,
+            is_history_lost: false,
         }
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Returns whether plans newer than the one that this term continues may have been lost.
-    pub(crate) fn history_lost(&self) -> bool {
-        self.history_lost
+    pub(crate) fn is_history_lost(&self) -> bool {
+        self.is_history_lost
     }
 
     /// Returns whether no read or write is in progress.
@@ -305,7 +305,7 @@
         // here.
         let newest = stored.map_or(0, |it| it.version);
         let carried = carried.map(|it| Plan { version: it.version.max(newest), ..it });
-        self.history_lost |= is_rolled_back && carried.is_none();
+        self.is_history_lost |= is_rolled_back && carried.is_none();
         let plan = first_plan(ctx, carried.as_ref().or(stored));
         self.write(ctx, plan);
         PlanOutcome::Pending
--- a/crates/ownership/src/coordinator/runs.rs
+++ b/crates/ownership/src/coordinator/runs.rs
@@ -20,7 +20,7 @@
     until: Option<Timestamp>,
     /// Whether they began under a grant of an earlier term, so that they end with its leases at the
     /// latest.
-    of_earlier_term: bool,
+    is_of_earlier_term: bool,
 }
 
 /// Instances at whose upstreams runs of one slot or hot key may continue after their grants have
@@ -38,7 +38,7 @@
         let run = |instance: &Instance| InstanceRuns {
             instance: instance.clone(),
             until: end(instance),
-            of_earlier_term: true,
+            is_of_earlier_term: true,
         };
         EarlierRuns(instances.into_iter().map(run).collect())
     }
@@ -51,7 +51,7 @@
             self.0.push(InstanceRuns {
                 instance: instance.clone(),
                 until: Some(until),
-                of_earlier_term: false,
+                is_of_earlier_term: false,
             });
         }
     }
@@ -65,7 +65,7 @@
 
     /// Removes the runs of earlier terms, whose leases have ended.
     pub(crate) fn end_runs_of_earlier_terms(&mut self) {
-        self.0.retain(|it| !it.of_earlier_term);
+        self.0.retain(|it| !it.is_of_earlier_term);
     }
 
     /// Returns the instances at whose upstreams runs may still continue.
--- a/crates/ownership/src/coordinator/succession.rs
+++ b/crates/ownership/src/coordinator/succession.rs
@@ -35,7 +35,7 @@
     runs_end: BTreeMap<MemberId, Timestamp>,
     settled: bool,
     /// Whether all leases that earlier terms gave have ended.
-    past_earlier_leases: bool,
+    is_past_earlier_leases: bool,
     /// How long the previous coordinator may have held the slots that it granted to itself.
     coordinator_lease: CoordinatorLease,
     /// When a later incarnation of the agent that held the previous term was first seen.
@@ -87,7 +87,7 @@
             free_of_runs: BTreeSet::new(),
             runs_end: BTreeMap::new(),
             settled,
-            past_earlier_leases: settled,
+            is_past_earlier_leases: settled,
             coordinator_lease,
             replaced_at: None,
         }
@@ -110,7 +110,7 @@
     }
 
     /// Returns whether the platform has lost records of earlier terms.
-    fn history_lost(&self) -> bool {
+    fn is_history_lost(&self) -> bool {
         self.predecessor.as_ref().is_some_and(|it| it.history_lost)
     }
 
@@ -128,7 +128,7 @@
     /// may have seen a session lapse that this term adopted, and may have granted its slots to
     /// other members.
     pub(crate) fn is_past_earlier_leases(&self) -> bool {
-        self.past_earlier_leases
+        self.is_past_earlier_leases
     }
 
     /// Returns whether no earlier term can renew or grant any longer, and each of its leases has
@@ -146,19 +146,19 @@
         confirmation: &TermConfirmation,
         planned: Option<&[Instance]>,
     ) -> bool {
-        if self.past_earlier_leases {
+        if self.is_past_earlier_leases {
             return false;
         }
         let have_leases_ended = self.earlier_leases_end(confirmation).is_some_and(|it| now >= it);
-        self.past_earlier_leases = have_leases_ended || !rules::is_enforced(Rule::WaitForLeases);
+        self.is_past_earlier_leases = have_leases_ended || !rules::is_enforced(Rule::WaitForLeases);
         if self.settled {
             return false;
         }
-        let has_no_other_holder = planned.filter(|_| !self.history_lost()).is_some_and(|it| {
+        let has_no_other_holder = planned.filter(|_| !self.is_history_lost()).is_some_and(|it| {
             let ids: Vec<MemberId> = it.iter().map(MemberId::from).collect();
             self.has_no_holder_among(now, confirmation, &ids)
         });
-        self.settled = self.past_earlier_leases || has_no_other_holder;
+        self.settled = self.is_past_earlier_leases || has_no_other_holder;
         self.settled
     }
 
