--- a/crates/ownership/src/coordinator/mod.rs
+++ b/crates/ownership/src/coordinator/mod.rs
@@ -1,4 +1,7 @@
 //! The coordinator of a group: the role of the node that holds the group's term.
+//!
+//! It renews the leases of members, writes the plan of owners and successors, and grants and hands
+//! over slots and hot keys by it, while its term is confirmed.
 
 mod answer;
 mod confirm;
