--- a/crates/traffic/src/split/mod.rs
+++ b/crates/traffic/src/weighted_round_robin/mod.rs
@@ -24,12 +24,12 @@
     pub fn new(weights: impl Into<Vec<u32>>, rng: &mut impl Rng) -> WeightedRoundRobin {
         let weights = weights.into();
         let credits = vec![0; weights.len()];
-        let mut robin = WeightedRoundRobin { weights, credits };
-        let total = robin.total();
+        let mut schedule = WeightedRoundRobin { weights, credits };
+        let total = schedule.total();
         for _ in 0..rng.random_range(0..total.clamp(1, 1000)) {
-            robin.next_index();
+            schedule.next_index();
         }
-        robin
+        schedule
     }
 
     pub fn weights(&self) -> &[u32] {
