--- a/crates/ownership/src/coordinator/plan.rs
+++ b/crates/ownership/src/coordinator/plan.rs
@@ -38,27 +38,33 @@
         IndexedPlan { plan, ids }
     }
 
+    /// Returns the ids of the candidates for a slot.
     fn slot_ids(&self, slot: Slot) -> impl Iterator<Item = &MemberId> {
         self.slot_indexes(slot).filter_map(|it| self.ids.get(it))
     }
 
+    /// Returns the candidates for a slot with their addresses.
     fn slot_candidate_instances(&self, slot: Slot) -> impl Iterator<Item = &Instance> {
         self.slot_indexes(slot).filter_map(|it| self.plan.members.get(it))
     }
 
+    /// Returns the ids of the candidates for a hot key.
     fn key_ids(&self, key_hash: KeyHash) -> impl Iterator<Item = &MemberId> {
         self.key_indexes(key_hash).filter_map(|it| self.ids.get(it))
     }
 
+    /// Returns the candidates for a hot key with their addresses.
     fn key_candidate_instances(&self, key_hash: KeyHash) -> impl Iterator<Item = &Instance> {
         self.key_indexes(key_hash).filter_map(|it| self.plan.members.get(it))
     }
 
+    /// Returns the indexes of the candidates for a slot in `plan.members`.
     fn slot_indexes(&self, slot: Slot) -> impl Iterator<Item = usize> {
         let entry = self.plan.slots.get(usize::from(slot.0));
         entry.into_iter().flat_map(|it| indexes(it.owner, &it.successors))
     }
 
+    /// Returns the indexes of the candidates for a hot key in `plan.members`.
     fn key_indexes(&self, key_hash: KeyHash) -> impl Iterator<Item = usize> {
         let entry = self.plan.hot_keys.iter().find(|it| it.key_hash == key_hash);
         entry.into_iter().flat_map(|it| indexes(it.owner, &it.successors))
@@ -104,7 +110,7 @@
     carried: Option<Plan>,
     /// Whether the first plan of this term continues a rolled back one, so that newer plans may
     /// have been lost.
-    history_lost: bool,
+    is_history_lost: bool,
 }
 
 impl PlanWriter {
@@ -124,7 +130,7 @@
             call: None,
             retry_at: now,
             carried,
-            history_lost: false,
+            is_history_lost: false,
         }
     }
 
@@ -134,8 +140,8 @@
     }
 
     /// Returns whether plans newer than the one that this term continues may have been lost.
-    pub(crate) fn history_lost(&self) -> bool {
-        self.history_lost
+    pub(crate) fn is_history_lost(&self) -> bool {
+        self.is_history_lost
     }
 
     /// Returns whether no read or write is in progress.
@@ -299,13 +305,13 @@
         // here.
         let newest = stored.map_or(0, |it| it.version);
         let carried = carried.map(|it| Plan { version: it.version.max(newest), ..it });
-        self.history_lost |= is_rolled_back && carried.is_none();
+        self.is_history_lost |= is_rolled_back && carried.is_none();
         let plan = first_plan(ctx, carried.as_ref().or(stored));
         self.write(ctx, plan);
         PlanOutcome::Pending
     }
 
-    /// Takes the plan in doubt as acknowledged.
+    /// Marks the plan in doubt as acknowledged, with this version of the object.
     fn apply_update(&mut self, version: ObjectVersion) -> PlanOutcome {
         self.version = version;
         self.step = None;
