--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -125,7 +125,7 @@
             let drain = DrainSchedule::new(now, reason, &bound.document.drain);
             former_drain.map_or(drain, |it| it.earliest(drain))
         });
-        let bound = BoundUpstream { drain, members: members(service), ..bound };
+        let bound = BoundUpstream { drain, members: ready_members(service), ..bound };
         if former.as_ref().is_none_or(|it| it.members != bound.members) {
             self.members_changed_ns.store(now.ns, Ordering::SeqCst);
         }
@@ -195,7 +195,7 @@
     Some((service, local))
 }
 
-fn members(service: &ServiceRoutes) -> Vec<Instance> {
+fn ready_members(service: &ServiceRoutes) -> Vec<Instance> {
     match &service.routes {
         Routes::Any(members) => {
             let ready = members.iter().filter(|it| it.state == UpstreamState::Ready);
--- a/crates/agent/src/gate/leases/tests/exchange.rs
+++ b/crates/agent/src/gate/leases/tests/exchange.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::{MS, at, range, release_ended, take_closed, token};
+use super::{MS, at, finish_release, range, take_closed, token};
 use crate::{
     gate::leases::{
         exchange::{AnnouncedSlots, AnnouncementAnswer, ReleasedRange, SlotTransfer},
@@ -31,7 +31,7 @@
 }
 
 /// Leases of slots 1 to 4, granted at 0 under token 1 and confirmed by an announcement at 870.
-fn granted() -> SlotLeases {
+fn granted_leases() -> SlotLeases {
     let mut leases = SlotLeases::default();
     for slot in 1..=4 {
         leases.admit(at(0), Slot(slot), token(1));
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_slot_is_closed_once_an_announcement_shows_it_released() {
-    let mut leases = granted();
+    let mut leases = granted_leases();
     let successor = instance("other", "127.0.0.1:1".parse().unwrap());
     assert!(leases.close(at(900), Slot(2), token(1), Some(successor.clone())));
     assert!(leases.has_pending_changes(at(900), at(3400)));
@@ -87,7 +87,7 @@
         take_closed(&mut leases, at(1100)).is_empty(),
         "the handover token has not reached the next owner"
     );
-    assert_eq!(release_ended(&mut leases, at(1101), range(2, 2, 1), true), [(Slot(2), token(1))]);
+    assert_eq!(finish_release(&mut leases, at(1101), range(2, 2, 1), true), [(Slot(2), token(1))]);
 }
 
 /// The upstream may read the answer that grants the slot after it has sent the announcement that
@@ -108,7 +108,7 @@
 /// expired.
 #[test]
 fn a_slot_that_no_answer_omitted_is_not_closed_by_an_announcement_that_lacks_it() {
-    let mut leases = granted();
+    let mut leases = granted_leases();
     answer(&mut leases, 900, 3400);
     leases.close(at(950), Slot(1), token(1), None);
     assert!(leases.apply_announcement(at(960), &announced(&[range(2, 4, 1)])).transfers.is_empty());
@@ -124,7 +124,7 @@
 
 #[test]
 fn without_announcements_a_slot_is_closed_when_its_hold_has_expired() {
-    let mut leases = granted();
+    let mut leases = granted_leases();
     leases.close(at(900), Slot(1), token(1), None);
     assert!(take_closed(&mut leases, at(2400)).is_empty());
     assert_eq!(take_closed(&mut leases, at(2700)), [(Slot(1), token(1))]);
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_new_incarnation_of_the_upstream_holds_no_slots_and_is_cleared_at_once() {
-    let mut leases = granted();
+    let mut leases = granted_leases();
     leases.follow_incarnation(at(900), &(Some("i-1".into()), Some(1)));
     assert!(
         leases.is_usable(at(900), Slot(1)),
@@ -326,20 +326,20 @@
         let (mut announcements, mut answers): (Vec<AnnouncementInFlight>, Vec<AnswerInFlight>) =
             Default::default();
         let (mut lease_until, mut next_at, mut last_arrival) = (at(0), at(0), at(0));
-        let mut open: Option<(Timestamp, Timestamp)> = None;
+        let mut unanswered: Option<(Timestamp, Timestamp)> = None;
         let mut transfers: Vec<(Timestamp, SlotRange)> = Vec::new();
-        let mut current: [Option<u64>; 8] = [None; 8];
+        let mut admitted_tokens: [Option<u64>; 8] = [None; 8];
         let (mut next_token, mut closed_count) = (0, 0);
-        for reconcile_by_calls in 0..4000 {
-            let now = at(reconcile_by_calls * 5);
+        for step in 0..4000 {
+            let now = at(step * 5);
             if rng.random_bool(0.03) {
                 lease_until = lease_until.max(now + rng.random_range(500..2500) * MS);
             }
             let slot = rng.random_range(0..8_u16);
-            match (rng.random_range(0..60), current[usize::from(slot)]) {
+            match (rng.random_range(0..60), admitted_tokens[usize::from(slot)]) {
                 (0..=3, None) => {
                     next_token += 1;
-                    current[usize::from(slot)] = Some(next_token);
+                    admitted_tokens[usize::from(slot)] = Some(next_token);
                     leases.admit(now, Slot(slot), token(next_token));
                 }
                 (0, Some(held)) => {
@@ -371,14 +371,14 @@
                     for transfer in leases.apply_announcement(now, &it.announced).transfers {
                         transfers.push((now + rng.random_range(0..20) * MS, transfer.range));
                     }
-                    open = Some((now, it.sent_at));
+                    unanswered = Some((now, it.sent_at));
                 }
             }
-            if let Some((received_at, sent_at)) = open
+            if let Some((received_at, sent_at)) = unanswered
                 && (leases.has_pending_changes(now, lease_until)
                     || now.since(received_at) > 600 * MS)
             {
-                open = None;
+                unanswered = None;
                 let answer = leases.answer(now, received_at, lease_until, RANGES_MAX);
                 let until = received_at + answer.hold.mul_f64(1.02);
                 let granted = !answer.grants.is_empty();
@@ -397,7 +397,7 @@
             }
             let mut closed = take_closed(&mut leases, now);
             for (_, range) in transfers.extract_if(.., |it| it.0 <= now) {
-                closed.extend(release_ended(&mut leases, now, range, true));
+                closed.extend(finish_release(&mut leases, now, range, true));
             }
             for (slot, token) in closed {
                 let held = upstream.held.get(&slot.0);
@@ -406,7 +406,7 @@
                     !holds,
                     "seed {seed}: slot {slot} was closed at {now:?} while the upstream holds it"
                 );
-                current[usize::from(slot.0)].take_if(|it| *it == token.sequence);
+                admitted_tokens[usize::from(slot.0)].take_if(|it| *it == token.sequence);
                 closed_count += 1;
             }
         }
--- a/crates/agent/src/gate/leases/tests/mod.rs
+++ b/crates/agent/src/gate/leases/tests/mod.rs
@@ -43,7 +43,7 @@
 }
 
 /// Sends the due grants and has the upstream accept them at once.
-fn granted(leases: &mut SlotLeases, now: Timestamp, lease_until: Timestamp) {
+fn accept_due_grants(leases: &mut SlotLeases, now: Timestamp, lease_until: Timestamp) {
     for call in leases.due_calls(now, lease_until) {
         let Call::Grant { range, hold, .. } = call else { continue };
         leases.finish_grant(now, range, now, hold, GrantOutcome::Accepted);
@@ -56,7 +56,7 @@
 }
 
 /// Ends a release, then returns the closed slots of an upstream that runs no requests.
-fn release_ended(
+fn finish_release(
     leases: &mut SlotLeases,
     now: Timestamp,
     range: SlotRange,
@@ -115,7 +115,7 @@
 fn a_grant_is_renewed_only_if_the_lease_has_grown_enough() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
-    granted(&mut leases, at(0), at(1500));
+    accept_due_grants(&mut leases, at(0), at(1500));
     assert!(leases.due_calls(at(100), at(1600)).is_empty());
     assert_eq!(grants(&leases.due_calls(at(400), at(1900))), [range(1, 1, 1)]);
 }
@@ -137,7 +137,7 @@
     for slot in 1..=4 {
         leases.admit(at(0), Slot(slot), token(1));
     }
-    granted(&mut leases, at(0), at(1500));
+    accept_due_grants(&mut leases, at(0), at(1500));
     let successor = instance("other", "127.0.0.1:1".parse().unwrap());
     assert!(leases.close(at(10), Slot(2), token(1), Some(successor.clone())));
     assert!(leases.close(at(10), Slot(3), token(1), Some(successor)));
@@ -150,7 +150,7 @@
     let calls = leases.due_calls(at(10), at(1500));
     assert_eq!(releases(&calls), [range(2, 3, 1)]);
     assert!(take_closed(&mut leases, at(20)).is_empty());
-    let closed = release_ended(&mut leases, at(20), range(2, 3, 1), true);
+    let closed = finish_release(&mut leases, at(20), range(2, 3, 1), true);
     assert_eq!(closed, [(Slot(2), token(1)), (Slot(3), token(1))]);
 }
 
@@ -159,16 +159,16 @@
 fn an_unanswered_release_delays_the_close_until_the_hold_has_expired() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
-    granted(&mut leases, at(0), at(3000));
+    accept_due_grants(&mut leases, at(0), at(3000));
     leases.close(at(0), Slot(1), token(1), None);
     assert_eq!(releases(&leases.due_calls(at(0), at(3000))), [range(1, 1, 1)]);
-    assert!(release_ended(&mut leases, at(1800), range(1, 1, 1), false).is_empty());
+    assert!(finish_release(&mut leases, at(1800), range(1, 1, 1), false).is_empty());
     assert_eq!(
         releases(&leases.due_calls(at(1800), at(4000))),
         [range(1, 1, 1)],
         "the release must be retried"
     );
-    assert!(release_ended(&mut leases, at(2900), range(1, 1, 1), false).is_empty());
+    assert!(finish_release(&mut leases, at(2900), range(1, 1, 1), false).is_empty());
     let closed = take_closed(&mut leases, at(3100));
     assert_eq!(closed, [(Slot(1), token(1))]);
 }
@@ -178,7 +178,7 @@
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
     leases.admit(at(0), Slot(2), token(1));
-    granted(&mut leases, at(0), at(1500));
+    accept_due_grants(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
     leases.close(at(10), Slot(2), token(1), None);
     assert_eq!(releases(&leases.due_calls(at(10), at(1500))), [range(1, 2, 1)]);
@@ -197,7 +197,7 @@
 fn a_slot_that_is_closed_twice_still_waits_for_its_requests() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
-    granted(&mut leases, at(0), at(1500));
+    accept_due_grants(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
     leases.due_calls(at(10), at(1500));
     assert!(leases.close(at(15), Slot(1), token(1), None));
@@ -212,7 +212,7 @@
 fn a_released_slot_waits_for_its_requests_at_most_until_the_end_of_its_hold() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
-    granted(&mut leases, at(0), at(1500));
+    accept_due_grants(&mut leases, at(0), at(1500));
     leases.close(at(10), Slot(1), token(1), None);
     leases.due_calls(at(10), at(1500));
     leases.finish_release(at(20), range(1, 1, 1), true);
@@ -231,7 +231,7 @@
     assert_eq!(grants(&calls), [range(1, 1, 1), range(2, 3, 1)]);
     let Call::Grant { handover, .. } = &calls[1] else { panic!("{calls:?}") };
     assert_eq!(handover.as_deref(), Some("warm"));
-    granted(&mut leases, at(10), at(1500));
+    accept_due_grants(&mut leases, at(10), at(1500));
     leases.admit(at(60_000), Slot(2), token(2));
     let calls = leases.due_calls(at(60_000), at(61_500));
     let Some(Call::Grant { handover: None, .. }) = calls.first() else { panic!("{calls:?}") };
@@ -241,7 +241,7 @@
 fn a_new_incarnation_of_the_upstream_holds_no_slots() {
     let mut leases = SlotLeases::default();
     leases.admit(at(0), Slot(1), token(1));
-    granted(&mut leases, at(0), at(1500));
+    accept_due_grants(&mut leases, at(0), at(1500));
     leases.reset_for_new_incarnation(at(100));
     assert!(!leases.is_usable(at(100), Slot(1)));
 }
@@ -270,14 +270,14 @@
 }
 
 /// Slots that the upstream holds: slot, token, and the end of the hold in true time.
-type Held = Vec<(u16, u64, Timestamp)>;
+type HeldSlots = Vec<(u16, u64, Timestamp)>;
 
 /// Delivers a call. A grant may be applied at once or later, but its hold counts from the arrival.
 fn deliver(
     rng: &mut Pcg64Mcg,
     it: &mut CallInFlight,
-    held: &mut Held,
-    late: &mut Vec<(Timestamp, (u16, u64, Timestamp))>,
+    held: &mut HeldSlots,
+    late_grants: &mut Vec<(Timestamp, (u16, u64, Timestamp))>,
 ) {
     it.has_arrived = true;
     match &it.call {
@@ -288,7 +288,7 @@
             for slot in range.first.0..=range.last.0 {
                 let grant = (slot, range.token.sequence, until);
                 match is_late {
-                    true => late.push((applied_at, grant)),
+                    true => late_grants.push((applied_at, grant)),
                     false => held.push(grant),
                 }
             }
@@ -312,29 +312,29 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut leases = SlotLeases::default();
         let mut lease_until = at(0);
-        let mut held: Held = Vec::new();
+        let mut held: HeldSlots = Vec::new();
         let mut sequence = 0;
-        let mut current: Vec<Option<u64>> = vec![None; 8];
+        let mut admitted_tokens: Vec<Option<u64>> = vec![None; 8];
         let mut in_flight: Vec<CallInFlight> = Vec::new();
         // Unanswered grants that are still to be applied, with the time at which they are.
-        let mut late: Vec<(Timestamp, (u16, u64, Timestamp))> = Vec::new();
+        let mut late_grants: Vec<(Timestamp, (u16, u64, Timestamp))> = Vec::new();
         // Latest end of the requests on each slot, and of its hold if nothing were released.
         let mut runs_until = [Timestamp::ZERO; 8];
         let mut would_hold_until = [Timestamp::ZERO; 8];
         let mut request_rng = Pcg64Mcg::seed_from_u64(!seed);
-        for reconcile_by_calls in 0..2000 {
-            let now = at(reconcile_by_calls * 5);
-            for (_, grant) in late.extract_if(.., |it| it.0 <= now) {
+        for step in 0..2000 {
+            let now = at(step * 5);
+            for (_, grant) in late_grants.extract_if(.., |it| it.0 <= now) {
                 held.push(grant);
             }
             if rng.random_bool(0.05) {
                 lease_until = lease_until.max(now + rng.random_range(500..1500) * MS);
             }
             let slot = rng.random_range(0..8_u16);
-            match (rng.random_range(0..50), current[usize::from(slot)]) {
+            match (rng.random_range(0..50), admitted_tokens[usize::from(slot)]) {
                 (0..=3, None) => {
                     sequence += 1;
-                    current[usize::from(slot)] = Some(sequence);
+                    admitted_tokens[usize::from(slot)] = Some(sequence);
                     leases.admit(now, Slot(slot), token(sequence));
                 }
                 (0, Some(held)) => {
@@ -359,7 +359,7 @@
             }
             in_flight.sort_by_key(|it| it.arrives_at);
             for it in in_flight.iter_mut().filter(|it| !it.has_arrived && it.arrives_at <= now) {
-                deliver(&mut rng, it, &mut held, &mut late);
+                deliver(&mut rng, it, &mut held, &mut late_grants);
             }
             for (slot, _, until) in &held {
                 let would_hold = &mut would_hold_until[usize::from(*slot)];
@@ -397,8 +397,8 @@
                     request_ends_at <= now,
                     "seed {seed}: slot {slot} was closed at {now:?} while a request runs on it"
                 );
-                if current[usize::from(slot.0)] == Some(token.sequence) {
-                    current[usize::from(slot.0)] = None;
+                if admitted_tokens[usize::from(slot.0)] == Some(token.sequence) {
+                    admitted_tokens[usize::from(slot.0)] = None;
                 }
             }
             for slot in (0..8).filter(|it| leases.is_usable(now, Slot(*it))) {
--- a/crates/agent/src/gate/records.rs
+++ b/crates/agent/src/gate/records.rs
@@ -42,6 +42,7 @@
     Granted { first_token: Token, epoch: u64 },
 }
 
+/// The tables of all units, with the replies that resends wait for.
 #[derive(Debug)]
 struct RecordTables {
     records: Records<SharedAnswer>,
@@ -65,11 +66,15 @@
 /// Result of looking up a request in the records.
 #[derive(Debug)]
 pub(crate) enum RecordLookup {
+    /// The request is new and has been recorded as running.
     Run(RunningRequest),
     /// The request is running already; the receiver gets its reply too.
     Attach(oneshot::Receiver<GateReply>),
+    /// The request has ended with this answer.
     Replay(Answer),
+    /// The outcome of the request is not known.
     Unknown(UnknownReason),
+    /// There is no room for another record.
     Full,
 }
 
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -50,6 +50,7 @@
 /// The record unit of a service that is not divided by key.
 const WHOLE_SERVICE: RecordUnit = RecordUnit::Slot(Slot(0));
 
+/// Sender of the reply to a caller; closed once the caller has disconnected.
 pub(super) type Caller = oneshot::Sender<GateReply>;
 
 /// One request with the state that it needs on its path through the gate.
