--- a/crates/agent/src/gate/admission_queue.rs
+++ b/crates/agent/src/gate/admission_queue.rs
@@ -234,7 +234,7 @@
         let now = self.clock.now();
         let admission = &self.state().admission;
         let route = kind.map(|it| RouteIndex(it.into()));
-        let of_kind = admission.measured_service_time(self.class_index(class), route);
+        let kind_service_time = admission.measured_service_time(self.class_index(class), route);
         let count = |it: usize| u32::try_from(it).unwrap_or(u32::MAX);
         // A cold upstream works off its queue like a single slot whose service time is the interval
         // between two starts.
@@ -247,7 +247,7 @@
             queued: count(admission.queued()),
             slots: count(slots),
             service_us: whole_us(service),
-            kind_us: of_kind.map(whole_us),
+            kind_us: kind_service_time.map(whole_us),
         }
     }
 
--- a/crates/agent/src/gate/crash/mod.rs
+++ b/crates/agent/src/gate/crash/mod.rs
@@ -71,7 +71,7 @@
 /// Checks after each lost connection whether the upstream has crashed.
 pub(super) async fn run(gate: Arc<Gate>) {
     loop {
-        gate.unanswered.connection_lost.notified().await;
+        gate.unanswered_runs.connection_lost.notified().await;
         for delay in GONE_PROBE_DELAYS {
             sleep(delay).await;
             let Some(bound) = gate.bound.load_full() else { continue };
@@ -86,7 +86,7 @@
 impl Gate {
     /// Records a crash of the upstream with the runs that were in flight.
     pub(super) fn record_upstream_crash(&self, reason: &str) {
-        let in_flight = self.unanswered.take();
+        let in_flight = self.unanswered_runs.take_in_flight();
         if in_flight.is_empty() {
             return;
         }
@@ -111,7 +111,7 @@
 
     /// Returns the runs that were in flight when the upstream crashed, without duplicates. There
     /// are none if no connection was lost.
-    pub(super) fn take(&self) -> Vec<Fingerprint> {
+    pub(super) fn take_in_flight(&self) -> Vec<Fingerprint> {
         let mut state = self.state();
         let Some(lost_at) = state.lost_at.take() else { return Vec::new() };
         let runs = std::mem::take(&mut state.runs);
@@ -136,16 +136,16 @@
             RunEnd::Answered | RunEnd::NotRun => {}
             RunEnd::Lost => {
                 state.lost_at = Some(now);
-                state.keep(run.fingerprint, now);
+                state.push(run.fingerprint, now);
                 self.connection_lost.notify_one();
             }
-            RunEnd::Abandoned => state.keep(run.fingerprint, now),
+            RunEnd::Abandoned => state.push(run.fingerprint, now),
         }
     }
 }
 
 impl State {
-    fn keep(&mut self, fingerprint: Fingerprint, at: Timestamp) {
+    fn push(&mut self, fingerprint: Fingerprint, at: Timestamp) {
         self.runs.push_back((fingerprint, at));
         if self.runs.len() > UNANSWERED_MAX {
             self.runs.pop_front();
--- a/crates/agent/src/gate/crash/tests.rs
+++ b/crates/agent/src/gate/crash/tests.rs
@@ -23,8 +23,8 @@
     sleep(Duration::from_millis(50)).await;
     first.end(RunEnd::Lost);
     second.end(RunEnd::Lost);
-    assert_eq!(runs.take(), [A, B]);
-    assert_eq!(runs.take(), [], "a crash is reported once");
+    assert_eq!(runs.take_in_flight(), [A, B]);
+    assert_eq!(runs.take_in_flight(), [], "a crash is reported once");
 }
 
 #[tokio::test(start_paused = true)]
@@ -37,7 +37,7 @@
     sleep(Duration::from_millis(10)).await;
     let later = runs.begin(clock, C);
     assert_eq!(
-        runs.take(),
+        runs.take_in_flight(),
         [A],
         "the answer to an earlier run may have been in flight at the crash"
     );
@@ -45,7 +45,7 @@
     runs.begin(clock, A).end(RunEnd::Lost);
     sleep(Duration::from_millis(10)).await;
     runs.begin(clock, C).end(RunEnd::Answered);
-    assert_eq!(runs.take(), []);
+    assert_eq!(runs.take_in_flight(), []);
 }
 
 #[tokio::test(start_paused = true)]
@@ -53,5 +53,5 @@
     let (runs, clock) = (UnansweredRuns::default(), Clock::start());
     drop(runs.begin(clock, A));
     runs.begin(clock, B).end(RunEnd::NotRun);
-    assert_eq!(runs.take(), []);
+    assert_eq!(runs.take_in_flight(), []);
 }
--- a/crates/agent/src/gate/leases/exchange.rs
+++ b/crates/agent/src/gate/leases/exchange.rs
@@ -252,9 +252,9 @@
     /// released remain granted, because the upstream releases every range that the answer omits.
     fn ranges_to_grant(&self, ranges_max: usize) -> (Vec<RangeGrant>, usize) {
         let mut ranges = self.ranges_where(|it| it.closing.is_none());
-        let new_max = ranges_max - ranges_max / SPLIT_RESERVE_DIVISOR;
+        let new_ranges_max = ranges_max - ranges_max / SPLIT_RESERVE_DIVISOR;
         let mut deferred = 0;
-        while ranges.len() > new_max
+        while ranges.len() > new_ranges_max
             && let Some(at) = ranges.iter().rposition(|it| self.is_never_granted(it.0))
         {
             ranges.remove(at);
--- a/crates/agent/src/gate/leases/mod.rs
+++ b/crates/agent/src/gate/leases/mod.rs
@@ -121,7 +121,7 @@
     }
 
     /// Waits until a slot is usable, at most until `until`. `now` reads the clock.
-    pub(super) async fn wait_usable(
+    pub(super) async fn wait_until_usable(
         self: &Arc<Leases>,
         slot: Slot,
         until: Instant,
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -89,7 +89,7 @@
     records: OnceLock<RequestRecords>,
     leases: Arc<Leases>,
     upstream_runs: UpstreamRuns,
-    unanswered: UnansweredRuns,
+    unanswered_runs: UnansweredRuns,
     quarantine: Arc<SharedQuarantine>,
     /// Permit for running a suspect request. There is only one, so that a crash of the upstream can
     /// be attributed to that request.
@@ -122,7 +122,7 @@
             records: OnceLock::new(),
             leases: Arc::default(),
             upstream_runs: UpstreamRuns::default(),
-            unanswered: UnansweredRuns::default(),
+            unanswered_runs: UnansweredRuns::default(),
             quarantine: parts.quarantine,
             suspect_permit: Semaphore::new(1),
             links: OnceLock::new(),
@@ -167,7 +167,7 @@
     }
 
     /// Reports a peer that has a later document than this agent, so that control fetches it.
-    fn compare_config(&self, from: &Instance, request: &GateRequest) {
+    fn report_later_config(&self, from: &Instance, request: &GateRequest) {
         let bound = self.bound.load();
         let same_service = bound.as_ref().filter(|it| it.service == request.service);
         if same_service.is_some_and(|it| it.version < request.config) {
@@ -234,7 +234,7 @@
 
 impl Handler for Arc<Gate> {
     fn request(&self, from: &Instance, request: GateRequest) -> Serving {
-        self.compare_config(from, &request);
+        self.report_later_config(from, &request);
         let gate = Arc::clone(self);
         Box::pin(async move { gate.serve(request).await })
     }
@@ -261,9 +261,12 @@
     document: &ServiceDocument,
 ) -> anyhow::Result<Arc<dyn Upstream>> {
     // One connection for each slot and a few for control calls, up to the configured limit.
-    let unused_max =
+    let idle_connections_max =
         (document.upstream.slots as usize).min(document.upstream.connections_max as usize);
-    let upstream =
-        HttpUpstream::new(announcement.address, unused_max, document.limits.body_bytes_max)?;
+    let upstream = HttpUpstream::new(
+        announcement.address,
+        idle_connections_max,
+        document.limits.body_bytes_max,
+    )?;
     Ok(Arc::new(upstream))
 }
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -165,7 +165,7 @@
     async fn wait_for_grant(&self, slot: Slot, deadline: Timestamp) -> bool {
         let until = deadline.min(self.clock.now() + GRANT_WAIT);
         let now = || self.clock.now();
-        self.leases.wait_usable(slot, self.clock.instant(until), now).await
+        self.leases.wait_until_usable(slot, self.clock.instant(until), now).await
     }
 
     fn not_owner_reply(&self, request: &GateRequest, error: NotAdmitted) -> GateReply {
@@ -413,8 +413,8 @@
     /// key is owned separately from its slot.
     fn load_key(&self) -> Option<(Option<Slot>, KeyHash)> {
         let (key_hash, entry) = (self.request.key_hash?, self.entry.as_ref()?);
-        let in_slot = matches!(entry.admittance.unit, RecordUnit::Slot(_));
-        Some((in_slot.then(|| entry.slot()), key_hash))
+        let follows_slot = matches!(entry.admittance.unit, RecordUnit::Slot(_));
+        Some((follows_slot.then(|| entry.slot()), key_hash))
     }
 
     fn record_refused_load(&self, reply: &GateReply) {
@@ -429,7 +429,7 @@
     /// Sends the request to the upstream, once.
     async fn send(&self, mut permit: Permit, clearance: Option<Clearance>) -> GateReply {
         let gate = self.gate;
-        let started = gate.clock.now();
+        let started_at = gate.clock.now();
         let until = self.upstream_deadline(clearance.as_ref());
         if let Some(it) = &clearance {
             assert!(
@@ -437,7 +437,7 @@
                 "a request passed the last check without a lease"
             );
         }
-        if started >= until {
+        if started_at >= until {
             let reason = match until < self.deadline {
                 true => NotRunReason::NoOwner,
                 false => NotRunReason::DeadlineExceeded,
@@ -445,10 +445,10 @@
             return GateReply::not_run(reason);
         }
         permit.completion = Completion::Aborted;
-        let remaining = until.since(started);
+        let remaining = until.since(started_at);
         let run =
-            gate.upstream_runs.begin(started, self.entry.as_ref().map(Entry::slot), remaining);
-        let tracked_run = gate.unanswered.begin(gate.clock, self.request.content);
+            gate.upstream_runs.begin(started_at, self.entry.as_ref().map(Entry::slot), remaining);
+        let tracked_run = gate.unanswered_runs.begin(gate.clock, self.request.content);
         let call = self.bound.upstream.call(upstream::Request {
             method: self.request.method.clone(),
             path: self.request.path.clone(),
@@ -466,19 +466,23 @@
             run.finish();
         }
         tracked_run.end(result.run_end());
-        let ended = gate.clock.now();
+        let ended_at = gate.clock.now();
         if let Some((slot, key_hash)) = self.load_key() {
-            gate.handle.load.add(slot, key_hash, ended.since(started));
+            gate.handle.load.add(slot, key_hash, ended_at.since(started_at));
         }
-        gate.metrics.upstream(&self.bound.document.team, &self.request.class, ended.since(started));
+        gate.metrics.upstream(
+            &self.bound.document.team,
+            &self.request.class,
+            ended_at.since(started_at),
+        );
         match result {
             // The deadline that the upstream exceeded may be that of the lease, not the caller's.
-            CallEnd::Answered(answer) if is_upstream_timeout(&answer, ended, until) => {
-                gate.record_response(ended);
+            CallEnd::Answered(answer) if is_upstream_timeout(&answer, ended_at, until) => {
+                gate.record_response(ended_at);
                 GateReply::unknown(UnknownReason::DeadlineExceeded)
             }
             CallEnd::Answered(answer) => {
-                gate.record_response(ended);
+                gate.record_response(ended_at);
                 gate.quarantine.record_answer(self.request.content);
                 // An upstream that fails fast must not be measured as one that works fast.
                 permit.completion = match answer.status.is_server_error() {
@@ -491,7 +495,7 @@
                 log::debug!(target: "gate", "A request to the upstream failed: {error}.");
                 gate.report_unreachable(self.bound, &error);
                 if !matches!(error, CallError::NotSent { .. } | CallError::Lost { .. }) {
-                    gate.record_response(ended);
+                    gate.record_response(ended_at);
                 }
                 failure_reply(&mut permit, &error)
             }
@@ -508,7 +512,7 @@
         until: Timestamp,
     ) -> CallEnd {
         let mut changes = self.gate.handle.table.changes();
-        let mut overdue = pin!(sleep_until(self.gate.clock.instant(until)));
+        let mut deadline = pin!(sleep_until(self.gate.clock.instant(until)));
         loop {
             tokio::select! {
                 biased;
@@ -516,7 +520,7 @@
                     Ok(answer) => CallEnd::Answered(answer),
                     Err(error) => CallEnd::Failed(error),
                 },
-                _ = &mut overdue => return CallEnd::Abandoned(UnknownReason::DeadlineExceeded),
+                _ = &mut deadline => return CallEnd::Abandoned(UnknownReason::DeadlineExceeded),
                 _ = changes.changed() => {
                     if self.must_abandon() {
                         return CallEnd::Abandoned(UnknownReason::ConnectionLost);
@@ -593,8 +597,8 @@
 }
 
 /// Returns whether the answer states that the upstream timed out at its deadline.
-fn is_upstream_timeout(answer: &upstream::Answer, ended: Timestamp, until: Timestamp) -> bool {
-    answer.status == StatusCode::GATEWAY_TIMEOUT && ended + UPSTREAM_TIMEOUT_MARGIN >= until
+fn is_upstream_timeout(answer: &upstream::Answer, ended_at: Timestamp, until: Timestamp) -> bool {
+    answer.status == StatusCode::GATEWAY_TIMEOUT && ended_at + UPSTREAM_TIMEOUT_MARGIN >= until
 }
 
 fn into_permit(decision: AdmissionDecision) -> Result<Permit, Box<GateReply>> {
--- a/crates/agent/src/gate/upstream_runs/mod.rs
+++ b/crates/agent/src/gate/upstream_runs/mod.rs
@@ -96,7 +96,7 @@
         let mut state = self.state();
         state.slots.retain(|_, it| it.running > 0 || now < it.unanswered_until);
         let no_runs = OngoingRuns::default();
-        let slots = state.slots.iter().map(|(slot, it)| (*slot, no_runs.plus(now, it).until));
+        let slots = state.slots.iter().map(|(slot, it)| (*slot, no_runs.add_runs(now, it).until));
         let slots: BTreeMap<Slot, Timestamp> = slots.collect();
         let earlier_runs_until = state.earlier_runs_until;
         move |slot| slots.get(&slot).copied().unwrap_or_default().max(earlier_runs_until)
@@ -109,7 +109,7 @@
             until: Some(state.earlier_runs_until).filter(|it| now < *it).unwrap_or_default(),
             ..OngoingRuns::default()
         };
-        state.slots.range(first..=last).fold(earlier_runs, |sum, (_, it)| sum.plus(now, it))
+        state.slots.range(first..=last).fold(earlier_runs, |sum, (_, it)| sum.add_runs(now, it))
     }
 
     fn record_end(&self, run: &OngoingRun<'_>) {
@@ -128,7 +128,7 @@
 }
 
 impl OngoingRuns {
-    fn plus(self, now: Timestamp, runs: &SlotRunCounts) -> OngoingRuns {
+    fn add_runs(self, now: Timestamp, runs: &SlotRunCounts) -> OngoingRuns {
         let may_continue = now < runs.unanswered_until;
         let continues_until = if may_continue { runs.unanswered_until } else { Timestamp::ZERO };
         OngoingRuns {
