--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -29,7 +29,8 @@
 /// The local upstream's state as announced by itself and as observed by the gate.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamMonitor {
-    /// The last announcement, with the state that is in effect since then.
+    /// The last accepted announcement. Its state also changes without a new announcement, when the
+    /// upstream leaves or is lost.
     pub(crate) announcement: Option<Announcement>,
     pub(super) announced_at: Timestamp,
     /// The state last reported by the gate, which also detects a hung upstream.
@@ -68,7 +69,8 @@
 }
 
 impl UpstreamMonitor {
-    /// Compares an announcement with the last accepted one. `interval` is the time between two announcements.
+    /// Compares an announcement with the last accepted one. `interval` is the time between two
+    /// announcements.
     pub(super) fn classify(
         &self,
         now: Timestamp,
@@ -164,7 +166,7 @@
                 target: "control",
                 "The announced state of the upstream at {} is now {:?}.", announcement.address, announcement.state,
             );
-            self.dirty = true;
+            self.is_dirty = true;
         }
         self.upstream.announcement = Some(announcement);
         self.report_upstream_state();
@@ -180,7 +182,7 @@
         log::info!(target: "control", "The upstream {upstream_id} is leaving; its state is now draining.");
         announcement.state = UpstreamState::Draining;
         self.upstream.is_leaving = true;
-        self.dirty = true;
+        self.is_dirty = true;
         self.report_upstream_state();
     }
 
@@ -199,7 +201,7 @@
                 self.parts.gate.mark_possibly_cold();
             }
         }
-        self.dirty = true;
+        self.is_dirty = true;
         self.report_upstream_state();
     }
 
@@ -230,7 +232,7 @@
             Some(announcement) if has_timed_out && announcement.state != UpstreamState::Lost => {
                 log::warn!(target: "control", "The upstream has stopped announcing itself; it counts as lost.");
                 announcement.state = UpstreamState::Lost;
-                self.dirty = true;
+                self.is_dirty = true;
                 self.report_upstream_state();
             }
             _ => {}
