--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -54,7 +54,7 @@
 }
 
 /// How the local upstream announces itself.
-pub trait AnnounceForm: Send + Sync {
+pub trait AnnounceProtocol: Send + Sync {
     /// Whether a request at the caller address is an announcement and not a caller's.
     fn is_announcement(&self, head: &Parts) -> bool;
     /// Reads an announcement; the error is what the upstream is told, and its status.
@@ -69,7 +69,7 @@
 /// Takes announcements to control.
 #[derive(Clone)]
 pub(crate) struct Announcements {
-    pub(crate) form: Arc<dyn AnnounceForm>,
+    pub(crate) protocol: Arc<dyn AnnounceProtocol>,
     pub(crate) clock: Clock,
     pub(crate) upstream_clock: Arc<UpstreamClock>,
     pub(crate) reporter: Reporter,
@@ -78,20 +78,20 @@
 
 impl Announcements {
     pub(super) fn is_announcement(&self, head: &Parts) -> bool {
-        self.form.is_announcement(head)
+        self.protocol.is_announcement(head)
     }
 
     /// Takes an announcement and passes it on to control.
     pub(super) async fn take(&self, head: &Parts, body: Body) -> Response {
         let body: Result<Bytes, _> = read(body, BYTES_MAX).await;
         let heard = match body {
-            Ok(body) => self.form.read(head, &body),
+            Ok(body) => self.protocol.read(head, &body),
             Err(error) => Err((StatusCode::BAD_REQUEST, error.to_string())),
         };
         match heard {
             Ok(heard) => {
                 let keys = self.pass_on(heard).await;
-                self.form.acknowledge(keys.as_ref())
+                self.protocol.acknowledge(keys.as_ref())
             }
             Err((status, text)) => {
                 log::warn!(target: "ingress", "Refused an announcement: {text}.");
@@ -108,7 +108,7 @@
             Heard::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.update(clock_ms, self.clock.now());
                 self.reporter.hint(Report::Announcement(announcement.clone()));
-                let ranges_max = self.form.ranges_max();
+                let ranges_max = self.protocol.ranges_max();
                 self.granter.keys_to_hold(announcement, keys?, ranges_max).await
             }
             Heard::Leaves { upstream_id, born_ms } => {
@@ -145,15 +145,15 @@
 
 /// The product's own form.
 #[derive(Debug)]
-pub(crate) struct OwnAnnounceForm;
+pub(crate) struct DefaultAnnounceProtocol;
 
-impl OwnAnnounceForm {
+impl DefaultAnnounceProtocol {
     /// Paths that are the upstream's own.
     const PREFIX: &str = "/upstream/";
     const PATH: &str = "/upstream/announce";
 }
 
-impl AnnounceForm for OwnAnnounceForm {
+impl AnnounceProtocol for DefaultAnnounceProtocol {
     fn is_announcement(&self, head: &Parts) -> bool {
         head.uri.path().starts_with(Self::PREFIX)
     }
--- a/crates/agent/src/ingress/form.rs
+++ b/crates/agent/src/ingress/form.rs
@@ -33,7 +33,7 @@
 }
 
 /// How callers speak.
-pub trait CallerForm: Send + Sync {
+pub trait CallerProtocol: Send + Sync {
     /// Reads the head of a request.
     fn read(&self, head: &Parts) -> Result<CallHead, Refusal>;
     /// The response for the end of a request.
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Where callers come in: HTTP on the caller address, in the form that [`CallerForm`] reads.
+//! Where callers come in: HTTP on the caller address, in the form that [`CallerProtocol`] reads.
 
 mod ahead;
 mod announce;
@@ -51,12 +51,12 @@
 use destination::Destinations;
 use waits::Waits;
 
-pub use announce::{AnnounceForm, Heard};
-pub use form::{CallHead, CallId, CallerForm, answered, status_of};
+pub use announce::{AnnounceProtocol, Heard};
+pub use form::{CallHead, CallId, CallerProtocol, answered, status_of};
 pub use refusal::Refusal;
 
-pub(crate) use announce::{Announcements, KeyGranter, OwnAnnounceForm, serve_announcements};
-pub(crate) use own_form::OwnForm;
+pub(crate) use announce::{Announcements, KeyGranter, DefaultAnnounceProtocol, serve_announcements};
+pub(crate) use own_form::DefaultCallerProtocol;
 pub(crate) use server::serve;
 
 /// How long a first request waits for the routes of a service that this agent has not met.
@@ -77,7 +77,7 @@
     pub(crate) announcements: Option<Announcements>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Arc<RequestLog>,
-    pub(crate) form: Arc<dyn CallerForm>,
+    pub(crate) protocol: Arc<dyn CallerProtocol>,
 }
 
 /// The callers' side of the agent.
@@ -156,7 +156,7 @@
         if self.is_leaving() {
             return false;
         }
-        let Ok(head) = self.parts.form.read(parts) else { return false };
+        let Ok(head) = self.parts.protocol.read(parts) else { return false };
         self.destinations.is_idempotent(&head, parts, &self.parts.snapshots.load())
     }
 
@@ -167,7 +167,7 @@
         {
             return announcements.take(&parts, body).await;
         }
-        let head = match self.parts.form.read(&parts) {
+        let head = match self.parts.protocol.read(&parts) {
             Ok(head) => head,
             Err(refusal) => return self.refuse(&refusal, None),
         };
@@ -177,14 +177,14 @@
             let reply = GateReply::not_run(NotRunReason::Draining);
             let ending = FinalReply { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
             let resent = parts.headers.contains_key(own_form::FIRST_SENT_HEADER);
-            return self.parts.form.answer(if resent { of_resend(ending) } else { ending }, &id);
+            return self.parts.protocol.answer(if resent { of_resend(ending) } else { ending }, &id);
         }
         let started = self.parts.clock.now();
         match self.forward(&parts, head, id.id, body).await {
             Ok(Done { team, class, ending }) => {
                 let spent = self.parts.clock.now().since(started);
                 self.parts.metrics.request(&team, &class, ending.reply.outcome(), spent);
-                self.parts.form.answer(ending, &id)
+                self.parts.protocol.answer(ending, &id)
             }
             Err(refusal) => self.refuse(&refusal, Some(id.id)),
         }
@@ -192,7 +192,7 @@
 
     fn refuse(&self, refusal: &Refusal, id: Option<RequestId>) -> Response {
         self.parts.log.refused(id, refusal);
-        self.parts.form.refuse(refusal)
+        self.parts.protocol.refuse(refusal)
     }
 
     async fn forward(
--- a/crates/agent/src/ingress/own_form.rs
+++ b/crates/agent/src/ingress/own_form.rs
@@ -20,7 +20,7 @@
     forward::FinalReply,
     ingress::{
         COME_BACK,
-        form::{CallHead, CallId, CallerForm, answered, status_of},
+        form::{CallHead, CallId, CallerProtocol, answered, status_of},
         refusal::Refusal,
         strip_connection,
     },
@@ -45,9 +45,9 @@
 
 /// The product's own form.
 #[derive(Debug)]
-pub(crate) struct OwnForm;
+pub(crate) struct DefaultCallerProtocol;
 
-impl CallerForm for OwnForm {
+impl CallerProtocol for DefaultCallerProtocol {
     fn read(&self, head: &Parts) -> Result<CallHead, Refusal> {
         let given = head.headers.get(REQUEST_ID_HEADER);
         let id = given.map(|it| parse_id(it.to_str().unwrap_or_default())).transpose()?;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -25,10 +25,10 @@
 pub use forward::FinalReply;
 pub use gate::Connect;
 pub use ingress::{
-    AnnounceForm, CallHead, CallId, CallerForm, Heard, Refusal, answered, status_of,
+    AnnounceProtocol, CallHead, CallId, CallerProtocol, Heard, Refusal, answered, status_of,
     strip_connection,
 };
-pub use port::Ports;
+pub use port::Adapters;
 pub use reload::SettingsFile;
 pub use request::GateReply;
 pub use run::{ListenError, run, run_with};
--- a/crates/agent/src/plane.rs
+++ b/crates/agent/src/plane.rs
@@ -23,7 +23,7 @@
     control::DocumentSource,
     forward::{ForwardParts, Forwarder},
     gate::{Connect, Gate, GateHandle, GateParts, GateTask, UpstreamClock},
-    ingress::{self, AnnounceForm, Announcements, CallerForm, Ingress, IngressParts},
+    ingress::{self, AnnounceProtocol, Announcements, CallerProtocol, Ingress, IngressParts},
     links::{LinkKey, traffic::TrafficLinks},
     metrics::{self, Metrics},
     quarantine::SharedQuarantine,
@@ -61,8 +61,8 @@
     pub(crate) metrics: TcpListener,
     /// What control asks of the platform, for the metrics.
     pub(crate) platform_calls: Arc<CallCounts>,
-    pub(crate) form: Arc<dyn CallerForm>,
-    pub(crate) announce_form: Arc<dyn AnnounceForm>,
+    pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
+    pub(crate) announce_protocol: Arc<dyn AnnounceProtocol>,
     /// Where the upstream announces itself, if not at the callers' address.
     pub(crate) announcements: Option<TcpListener>,
     pub(crate) ready: Option<TcpListener>,
@@ -116,7 +116,7 @@
             quarantine,
         });
         let announcements = Announcements {
-            form: parts.announce_form,
+            protocol: parts.announce_protocol,
             clock: parts.clock,
             upstream_clock,
             reporter: parts.reporter.clone(),
@@ -139,7 +139,7 @@
         }
         let ingress = Arc::new(Ingress::new(IngressParts {
             announcements: announced_here,
-            form: parts.form,
+            protocol: parts.caller_protocol,
             clock: parts.clock,
             snapshots: Arc::clone(&parts.snapshots),
             forwarder,
--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/port.rs
@@ -9,26 +9,26 @@
 use crate::{
     control::CentralConfigSource,
     gate::{Connect, connect_http},
-    ingress::{AnnounceForm, CallerForm, OwnAnnounceForm, OwnForm},
+    ingress::{AnnounceProtocol, CallerProtocol, DefaultAnnounceProtocol, DefaultCallerProtocol},
     zones::{ClosedZones, ClosedZonesSource, follow_own_zones},
 };
 
 /// One set of adapters.
-pub struct Ports {
+pub struct Adapters {
     pub store: Arc<dyn ObjectStore>,
     /// The same store, for the traffic threads: a client's connections live on the threads that made them.
     pub traffic_store: Arc<dyn ObjectStore>,
-    pub callers: Arc<dyn CallerForm>,
-    pub announcements: Arc<dyn AnnounceForm>,
+    pub callers: Arc<dyn CallerProtocol>,
+    pub announcements: Arc<dyn AnnounceProtocol>,
     pub connect: Connect,
     /// Configurations of the whole fleet; none: teams write documents of their own.
     pub central_config: Option<CentralConfigSource>,
     pub closed_zones: ClosedZonesSource,
 }
 
-impl Ports {
+impl Adapters {
     /// The product's own forms. To be called on a runtime.
-    pub(crate) fn own(settings: &AgentSettings, calls: &Arc<CallCounts>) -> anyhow::Result<Ports> {
+    pub(crate) fn own(settings: &AgentSettings, calls: &Arc<CallCounts>) -> anyhow::Result<Adapters> {
         let store = || HttpObjectStore::new(settings.platform_address, Timeouts::default());
         let (closed, closed_zones) = watch::channel(ClosedZones::default());
         let followed = || {
@@ -36,11 +36,11 @@
             anyhow::Ok(Arc::new(counted))
         };
         tokio::spawn(follow_own_zones(followed()?, closed));
-        Ok(Ports {
+        Ok(Adapters {
             store: Arc::new(store()?),
             traffic_store: followed()?,
-            callers: Arc::new(OwnForm),
-            announcements: Arc::new(OwnAnnounceForm),
+            callers: Arc::new(DefaultCallerProtocol),
+            announcements: Arc::new(DefaultAnnounceProtocol),
             connect: Box::new(connect_http),
             central_config: None,
             closed_zones,
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -25,7 +25,7 @@
     gate::GateHandle,
     links::LinkKey,
     plane::{Plane, PlaneParts},
-    port::Ports,
+    port::Adapters,
     reload::SettingsFile,
     report::{self, Report},
     snapshot::SnapshotCell,
@@ -69,14 +69,14 @@
 
 /// Runs an agent that speaks the product's own forms, until a signal has ended it gracefully.
 pub fn run(file: SettingsFile) -> anyhow::Result<()> {
-    run_with(file, Ports::own)
+    run_with(file, Adapters::own)
 }
 
 /// Runs an agent with other adapters, until a signal has ended it gracefully. They are made on the
 /// runtime of the traffic threads.
 pub fn run_with(
     file: SettingsFile,
-    ports: impl FnOnce(&AgentSettings, &Arc<CallCounts>) -> anyhow::Result<Ports>,
+    ports: impl FnOnce(&AgentSettings, &Arc<CallCounts>) -> anyhow::Result<Adapters>,
 ) -> anyhow::Result<()> {
     let settings = file.settings.clone();
     let runtime = Builder::new_multi_thread()
@@ -91,7 +91,7 @@
     let listeners = runtime.block_on(async { Listeners::bind(&settings) })?;
     let platform_calls: Arc<CallCounts> = Arc::default();
     let ports = runtime.block_on(async { ports(&settings, &platform_calls) });
-    let Ports {
+    let Adapters {
         store,
         traffic_store,
         callers,
@@ -149,8 +149,8 @@
             handle,
             tasks,
             connect,
-            form: callers,
-            announce_form: announcements,
+            caller_protocol: callers,
+            announce_protocol: announcements,
             announcements: listeners.announcements.map(TcpListener::from_std).transpose()?,
             ready: listeners.ready.map(TcpListener::from_std).transpose()?,
             documents_from,
--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -17,7 +17,7 @@
 
 use super::fakes::{Call, PATIENCE, TestAgent, check, get, token};
 use crate::{
-    ingress::{AnnounceForm, Heard},
+    ingress::{AnnounceProtocol, Heard},
     report::{Announcement, Report},
 };
 
@@ -33,7 +33,7 @@
 /// Announcements at the callers' address, as JSON.
 pub(super) struct TestForm;
 
-impl AnnounceForm for TestForm {
+impl AnnounceProtocol for TestForm {
     fn is_announcement(&self, head: &Parts) -> bool {
         head.uri.path() == "/announce"
     }
--- a/crates/agent/src/tests/fakes.rs
+++ b/crates/agent/src/tests/fakes.rs
@@ -29,7 +29,7 @@
     clock::Clock,
     control::{DocumentSource, tests::platform::FakeStore},
     gate::GateHandle,
-    ingress::{AnnounceForm, OwnAnnounceForm, OwnForm},
+    ingress::{AnnounceProtocol, DefaultAnnounceProtocol, DefaultCallerProtocol},
     links::LinkKey,
     plane::{Plane, PlaneParts},
     report::{self, Announcement, Report},
@@ -303,7 +303,7 @@
         let store = Arc::new(FakeStore::new());
         let mut agents = Vec::new();
         for it in 0..count {
-            let (upstream, form) = (FakeUpstream::new(None), Arc::new(OwnAnnounceForm));
+            let (upstream, form) = (FakeUpstream::new(None), Arc::new(DefaultAnnounceProtocol));
             let (name, store) = (format!("a{it}"), Arc::clone(&store));
             agents.push(TestAgent::start_at(&name, SECRET, upstream, form, store).await);
         }
@@ -315,17 +315,17 @@
     }
 
     pub(super) async fn start_with_key(name: &str, key: &[u8]) -> TestAgent {
-        TestAgent::start_with(name, key, FakeUpstream::new(None), Arc::new(OwnAnnounceForm)).await
+        TestAgent::start_with(name, key, FakeUpstream::new(None), Arc::new(DefaultAnnounceProtocol)).await
     }
 
     /// Beside an upstream that runs requests only for keys that it was granted.
     pub(super) async fn start_leased(name: &str) -> TestAgent {
         let upstream = FakeUpstream::new(Some(KeyGrants::Calls));
-        TestAgent::start_with(name, SECRET, upstream, Arc::new(OwnAnnounceForm)).await
+        TestAgent::start_with(name, SECRET, upstream, Arc::new(DefaultAnnounceProtocol)).await
     }
 
     /// Beside one that is granted keys by the answers to its announcements.
-    pub(super) async fn start_announced(name: &str, form: Arc<dyn AnnounceForm>) -> TestAgent {
+    pub(super) async fn start_announced(name: &str, form: Arc<dyn AnnounceProtocol>) -> TestAgent {
         let upstream = FakeUpstream::new(Some(KeyGrants::Announcements));
         TestAgent::start_with(name, SECRET, upstream, form).await
     }
@@ -334,17 +334,17 @@
         name: &str,
         key: &[u8],
         upstream: FakeUpstream,
-        announce_form: Arc<dyn AnnounceForm>,
+        announce_protocol: Arc<dyn AnnounceProtocol>,
     ) -> TestAgent {
         let store = Arc::new(FakeStore::new());
-        TestAgent::start_at(name, key, upstream, announce_form, store).await
+        TestAgent::start_at(name, key, upstream, announce_protocol, store).await
     }
 
     async fn start_at(
         name: &str,
         key: &[u8],
         upstream: FakeUpstream,
-        announce_form: Arc<dyn AnnounceForm>,
+        announce_protocol: Arc<dyn AnnounceProtocol>,
         store: Arc<FakeStore>,
     ) -> TestAgent {
         let listen = || TcpListener::bind("127.0.0.1:0");
@@ -371,8 +371,8 @@
             peers,
             metrics,
             platform_calls: Arc::default(),
-            form: Arc::new(OwnForm),
-            announce_form,
+            caller_protocol: Arc::new(DefaultCallerProtocol),
+            announce_protocol,
             announcements: None,
             ready: None,
             documents_from: DocumentSource::ObjectStore,
