--- a/crates/agent/src/port.rs
+++ b/crates/agent/src/adapters.rs
@@ -28,7 +28,10 @@
 
 impl Adapters {
     /// The product's own forms. To be called on a runtime.
-    pub(crate) fn own(settings: &AgentSettings, calls: &Arc<CallCounts>) -> anyhow::Result<Adapters> {
+    pub(crate) fn own(
+        settings: &AgentSettings,
+        calls: &Arc<CallCounts>,
+    ) -> anyhow::Result<Adapters> {
         let store = || HttpObjectStore::new(settings.platform_address, Timeouts::default());
         let (closed, closed_zones) = watch::channel(ClosedZones::default());
         let followed = || {
--- a/crates/agent/src/ingress/own_form.rs
+++ b/crates/agent/src/ingress/default_protocol.rs
@@ -20,7 +20,7 @@
     forward::FinalReply,
     ingress::{
         COME_BACK,
-        form::{CallHead, CallId, CallerProtocol, answered, status_of},
+        protocol::{CallHead, CallId, CallerProtocol, answered, status_of},
         refusal::Refusal,
         strip_connection,
     },
--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -11,7 +11,7 @@
 use traffic::WeightedRoundRobin;
 
 use crate::{
-    ingress::{form::CallHead, refusal::Refusal},
+    ingress::{protocol::CallHead, refusal::Refusal},
     snapshot::{ServiceRoutes, Snapshot},
 };
 
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -1,11 +1,11 @@
 //! Where callers come in: HTTP on the caller address, in the form that [`CallerProtocol`] reads.
 
-mod ahead;
+mod read_ahead;
 mod announce;
 mod answer;
 mod destination;
-mod form;
-mod own_form;
+mod protocol;
+mod default_protocol;
 mod refusal;
 mod server;
 mod waits;
@@ -52,11 +52,13 @@
 use waits::Waits;
 
 pub use announce::{AnnounceProtocol, Heard};
-pub use form::{CallHead, CallId, CallerProtocol, answered, status_of};
+pub use protocol::{CallHead, CallId, CallerProtocol, answered, status_of};
 pub use refusal::Refusal;
 
-pub(crate) use announce::{Announcements, KeyGranter, DefaultAnnounceProtocol, serve_announcements};
-pub(crate) use own_form::DefaultCallerProtocol;
+pub(crate) use announce::{
+    Announcements, DefaultAnnounceProtocol, KeyGranter, serve_announcements,
+};
+pub(crate) use default_protocol::DefaultCallerProtocol;
 pub(crate) use server::serve;
 
 /// How long a first request waits for the routes of a service that this agent has not met.
@@ -176,8 +178,11 @@
         if self.closed.load(Ordering::SeqCst) {
             let reply = GateReply::not_run(NotRunReason::Draining);
             let ending = FinalReply { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
-            let resent = parts.headers.contains_key(own_form::FIRST_SENT_HEADER);
-            return self.parts.protocol.answer(if resent { of_resend(ending) } else { ending }, &id);
+            let resent = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
+            return self
+                .parts
+                .protocol
+                .answer(if resent { of_resend(ending) } else { ending }, &id);
         }
         let started = self.parts.clock.now();
         match self.forward(&parts, head, id.id, body).await {
--- a/crates/agent/src/ingress/server.rs
+++ b/crates/agent/src/ingress/server.rs
@@ -18,9 +18,8 @@
 use volo_http::body::Body;
 
 use crate::ingress::{
-    Ingress,
-    ahead::{Ahead, PeerState},
-    answer,
+    Ingress, answer,
+    read_ahead::{Ahead, PeerState},
 };
 
 /// How long to wait after a failure to accept, as when there are too many open files.
--- a/crates/agent/src/ingress/tests/mod.rs
+++ b/crates/agent/src/ingress/tests/mod.rs
@@ -3,7 +3,7 @@
 use http::Method;
 use quickcheck::{Gen, QuickCheck};
 
-use super::ahead::Scan;
+use super::read_ahead::Scan;
 
 const READ: &str = "GET /a HTTP/1.1\r\nhost: x\r\n\r\n";
 const WRITE: &str = "POST /b HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nGET /";
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod links;
 mod metrics;
 mod plane;
-mod port;
+mod adapters;
 mod quarantine;
 mod ready;
 mod reload;
@@ -22,13 +22,13 @@
 pub mod snapshot;
 mod zones;
 
+pub use adapters::Adapters;
 pub use forward::FinalReply;
 pub use gate::Connect;
 pub use ingress::{
     AnnounceProtocol, CallHead, CallId, CallerProtocol, Heard, Refusal, answered, status_of,
     strip_connection,
 };
-pub use port::Adapters;
 pub use reload::SettingsFile;
 pub use request::GateReply;
 pub use run::{ListenError, run, run_with};
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -20,12 +20,12 @@
 };
 
 use crate::{
+    adapters::Adapters,
     clock::Clock,
     control::{self, CentralConfigSource, ControlParts, DocumentSource, Phase},
     gate::GateHandle,
     links::LinkKey,
     plane::{Plane, PlaneParts},
-    port::Adapters,
     reload::SettingsFile,
     report::{self, Report},
     snapshot::SnapshotCell,
--- a/crates/agent/src/tests/fakes.rs
+++ b/crates/agent/src/tests/fakes.rs
@@ -315,7 +315,8 @@
     }
 
     pub(super) async fn start_with_key(name: &str, key: &[u8]) -> TestAgent {
-        TestAgent::start_with(name, key, FakeUpstream::new(None), Arc::new(DefaultAnnounceProtocol)).await
+        TestAgent::start_with(name, key, FakeUpstream::new(None), Arc::new(DefaultAnnounceProtocol))
+            .await
     }
 
     /// Beside an upstream that runs requests only for keys that it was granted.
