--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -156,8 +156,8 @@
         let now = self.now();
         match report {
             Report::Announcement(announcement) => self.on_announcement(announcement),
-            Report::UpstreamLeaves { upstream_id, born_ms } => {
-                self.on_upstream_leaving(&upstream_id, born_ms);
+            Report::UpstreamLeaving { upstream_id, incarnation_start_ms } => {
+                self.on_upstream_leaving(&upstream_id, incarnation_start_ms);
             }
             Report::GrantOutdated { token } => self.on_grant_outdated(now, token),
             Report::Upstream(state) => self.on_gate_state(state),
--- a/crates/agent/src/control/publish.rs
+++ b/crates/agent/src/control/publish.rs
@@ -9,7 +9,8 @@
 use crate::{
     control::{documents::InForce, state::Control},
     snapshot::{
-        KeyRoutes, Leaving, LocalUpstream, MemberRoute, OwnerRoute, Routes, ServiceRoutes, Snapshot,
+        KeyRoutes, LeaveReason, LocalUpstream, MemberRoute, OwnerRoute, Routes, ServiceRoutes,
+        Snapshot,
     },
 };
 
@@ -31,7 +32,7 @@
         }
         let local = self.upstream.announcement.clone().map(|announcement| LocalUpstream {
             leaving: match self.is_stopping {
-                true => Some(Leaving::ForGood),
+                true => Some(LeaveReason::Stopping),
                 false => self.upstream.leaving(),
             },
             announcement,
--- a/crates/agent/src/control/tests/agent.rs
+++ b/crates/agent/src/control/tests/agent.rs
@@ -147,7 +147,7 @@
 
     /// Reports a caller's request for the tested service.
     pub(super) fn request_service(&self) {
-        self.reporter.hint(Report::UnknownService { service: service() });
+        self.reporter.try_report(Report::UnknownService { service: service() });
     }
 
     /// Waits until this instance's routes of the tested service contain an instance.
@@ -224,7 +224,7 @@
         slots: 12,
         checks_fence: true,
         upstream_id: None,
-        born_ms: None,
+        incarnation_start_ms: None,
         sequence: 0,
         cold_for: Duration::ZERO,
     };
@@ -245,7 +245,7 @@
                 Some(GateTask::Grant { .. } | GateTask::DropAll) => continue,
             },
         };
-        reporter.deliver(report).await;
+        reporter.report(report).await;
     }
 }
 
--- a/crates/agent/src/control/tests/upstream.rs
+++ b/crates/agent/src/control/tests/upstream.rs
@@ -13,7 +13,7 @@
 
 const INTERVAL: Duration = Duration::from_secs(1);
 
-fn announcement(id: &str, born_ms: Option<u64>, sequence: u64) -> Announcement {
+fn announcement(id: &str, incarnation_start_ms: Option<u64>, sequence: u64) -> Announcement {
     Announcement {
         service: ServiceName::new("standings").unwrap(),
         address: SocketAddr::from(([127, 0, 0, 1], 5)),
@@ -21,7 +21,7 @@
         slots: 12,
         checks_fence: true,
         upstream_id: Some(id.into()),
-        born_ms,
+        incarnation_start_ms,
         sequence,
         cold_for: Duration::ZERO,
     }
--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -9,7 +9,7 @@
 use crate::{
     control::state::Control,
     report::{Announcement, UpstreamId},
-    snapshot::Leaving,
+    snapshot::LeaveReason,
     zones::ClosedZones,
 };
 
@@ -81,7 +81,7 @@
         let Some(known) = &self.announcement else { return AnnouncementKind::SameIncarnation };
         let is_alive = now.since(self.announced_at) < interval.mul_f64(REPLACEABLE_AFTER_INTERVALS)
             && self.gate_state != Some(UpstreamState::Lost);
-        match (known.born_ms, announcement.born_ms) {
+        match (known.incarnation_start_ms, announcement.incarnation_start_ms) {
             _ if known.is_same_incarnation(announcement) => {
                 let is_numbered = announcement.sequence > 0;
                 let is_stale = is_numbered && announcement.sequence <= known.sequence;
@@ -99,10 +99,10 @@
     }
 
     /// Returns the reason for sending the upstream no new work, if there is one.
-    pub(super) fn leaving(&self) -> Option<Leaving> {
+    pub(super) fn leaving(&self) -> Option<LeaveReason> {
         match &self.announcement {
-            Some(it) if it.state == UpstreamState::Draining => Some(Leaving::ForGood),
-            Some(_) if self.zone_is_closed => Some(Leaving::ZoneClosed),
+            Some(it) if it.state == UpstreamState::Draining => Some(LeaveReason::Stopping),
+            Some(_) if self.zone_is_closed => Some(LeaveReason::ZoneClosed),
             _ => None,
         }
     }
@@ -161,7 +161,7 @@
         // The announcement proves that the upstream runs, even if a connection to it was lost.
         self.upstream.gate_state.take_if(|_| announcement.upstream_id.is_some());
         let is_changed =
-            self.upstream.announcement.as_ref().is_none_or(|it| !it.is_like(&announcement));
+            self.upstream.announcement.as_ref().is_none_or(|it| !it.is_equivalent(&announcement));
         if is_changed {
             log::info!(
                 target: "control",
@@ -174,9 +174,14 @@
     }
 
     /// Marks the upstream as draining, since it has announced that it leaves for good.
-    pub(super) fn on_upstream_leaving(&mut self, upstream_id: &UpstreamId, born_ms: Option<u64>) {
+    pub(super) fn on_upstream_leaving(
+        &mut self,
+        upstream_id: &UpstreamId,
+        incarnation_start_ms: Option<u64>,
+    ) {
         let Some(announcement) = &mut self.upstream.announcement else { return };
-        let is_other_incarnation = born_ms.is_some() && born_ms != announcement.born_ms;
+        let is_other_incarnation = incarnation_start_ms.is_some()
+            && incarnation_start_ms != announcement.incarnation_start_ms;
         if announcement.upstream_id.as_ref() != Some(upstream_id) || is_other_incarnation {
             return;
         }
--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -22,8 +22,8 @@
     metrics::Metrics,
     quarantine::SharedQuarantine,
     report::{Report, Reporter},
-    request::{GateReply, GateRequest, Replied},
-    request_log::{Placing, RequestLog, Underway},
+    request::{GateReply, GateRequest, ReplyWithLoad},
+    request_log::{LoggedRequest, Placement, RequestLog},
     snapshot::{MemberRoute, Routes, ServiceRoutes, SnapshotCell},
 };
 
@@ -96,20 +96,20 @@
 
     /// Forwards a request until it has a final reply. Dropping the future cancels the request.
     pub(crate) async fn send(&self, request: GateRequest, team: &TeamName) -> FinalReply {
-        let mut underway = self.parts.log.start(request);
-        let final_reply = self.forward(&mut underway, team).await;
-        underway.end(&final_reply);
+        let mut logged = self.parts.log.start(request);
+        let final_reply = self.forward(&mut logged, team).await;
+        logged.end(&final_reply);
         final_reply
     }
 
     /// Attempts a request until it is answered or may not be retried.
-    async fn forward(&self, underway: &mut Underway<'_>, team: &TeamName) -> FinalReply {
-        let useful_until = underway.useful_until;
-        let Underway { request, placing, .. } = underway;
+    async fn forward(&self, logged: &mut LoggedRequest<'_>, team: &TeamName) -> FinalReply {
+        let useful_until = logged.useful_until;
+        let LoggedRequest { request, placement, .. } = logged;
         let clock = self.parts.clock;
         let started = clock.now();
         let deadline = started + request.remaining;
-        let mut attempts = Attempts::new(request.attempts);
+        let mut attempts = Attempts::new(request.upstream_attempts_max);
         let mut history = AttemptHistory::default();
         let mut is_first_attempt = true;
         let mut was_sent = false;
@@ -117,9 +117,9 @@
         // of later attempts cannot rule that out.
         let earlier_unknown = (!request.age.is_zero()).then_some(UnknownReason::NoRecord);
         let mut unknown_reason: Option<UnknownReason> = earlier_unknown;
-        let content = request.content;
+        let fingerprint = request.fingerprint;
         loop {
-            if self.parts.quarantine.is_quarantined(content) {
+            if self.parts.quarantine.is_quarantined(fingerprint) {
                 let reply = GateReply::not_run(NotRunReason::Quarantined);
                 return FinalReply::without_retry_after(overall_reply(reply, unknown_reason));
             }
@@ -136,11 +136,11 @@
             request.objective = useful_until.map(|it| it.since(now));
             if std::mem::replace(&mut was_sent, true) {
                 // The caller may have resent the request to another agent in the meantime.
-                request.held = now.since(started);
+                request.time_at_ingress = now.since(started);
             }
-            placing.config = Some(routes.version);
-            placing.route_version = routes.routes.version();
-            let reply = self.attempt(&state, &routes, request, placing, &mut history).await;
+            placement.config_version = Some(routes.version);
+            placement.route_version = routes.routes.version();
+            let reply = self.attempt(&state, &routes, request, placement, &mut history).await;
             let retry_after = match &reply {
                 GateReply::Failed { retry_after, .. } => *retry_after,
                 _ => None,
@@ -152,7 +152,7 @@
                 has_untried_target: has_untried_target(&routes, &history),
             };
             if attempt.outcome == Outcome::Answered {
-                self.parts.quarantine.record_answer(content);
+                self.parts.quarantine.record_answer(fingerprint);
                 return FinalReply { reply, retry_after: None };
             }
             if let Outcome::Unknown(reason) = attempt.outcome {
@@ -162,9 +162,9 @@
             let verdict =
                 state.decide_retry(clock.now(), deadline, idempotent, &mut attempts, &attempt);
             match verdict {
-                RetryVerdict::FollowRedirect => self.parts.metrics.again(team, "redirect"),
+                RetryVerdict::FollowRedirect => self.parts.metrics.record_retry(team, "redirect"),
                 RetryVerdict::Retry { after } => {
-                    self.parts.metrics.again(team, "retry");
+                    self.parts.metrics.record_retry(team, "retry");
                     sleep(after).await;
                 }
                 RetryVerdict::GiveUp { retry_after } => {
@@ -186,7 +186,7 @@
         state: &ServiceState,
         routes: &ServiceRoutes,
         request: &GateRequest,
-        placing: &mut Placing,
+        placement: &mut Placement,
         history: &mut AttemptHistory,
     ) -> GateReply {
         let now = self.parts.clock.now();
@@ -198,11 +198,11 @@
             return GateReply::not_run(NotRunReason::NoOwner);
         };
         let target = picked.instance;
-        placing.tries += 1;
-        placing.sent_to = Some(target.clone());
-        placing.weighed = picked.comparison;
+        placement.attempts += 1;
+        placement.sent_to = Some(target.clone());
+        placement.comparison = picked.comparison;
         let in_flight = state.selector.track(now, self.parts.clock, &target, routes, request);
-        let Replied { reply, load } = self.send_to(&target, request).await;
+        let ReplyWithLoad { reply, load } = self.send_to(&target, request).await;
         if let Some(load) = load {
             state.selector.record_load(self.parts.clock.now(), &target, request.kind, load);
         }
@@ -224,9 +224,9 @@
         reply
     }
 
-    async fn send_to(&self, target: &Instance, request: &GateRequest) -> Replied {
+    async fn send_to(&self, target: &Instance, request: &GateRequest) -> ReplyWithLoad {
         if *target != self.parts.own {
-            return self.parts.links.ask(target, request).await;
+            return self.parts.links.send_request(target, request).await;
         }
         // The local gate enforces the deadline itself.
         self.parts.gate.serve(request.clone()).await
@@ -241,7 +241,12 @@
     ) {
         let key_hash = request.key_hash;
         let (service, owner) = (request.service.clone(), owner.clone());
-        self.parts.reporter.hint(Report::StaleRoute { service, key_hash, owner, route_version });
+        self.parts.reporter.try_report(Report::StaleRoute {
+            service,
+            key_hash,
+            owner,
+            route_version,
+        });
     }
 }
 
--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -13,7 +13,7 @@
         Gate, admission_queue::AdmissionQueue, leases::UpstreamIncarnation, records::RequestRecords,
     },
     report::Announcement,
-    snapshot::{Leaving, LocalUpstream, Routes, ServiceRoutes, Snapshot},
+    snapshot::{LeaveReason, LocalUpstream, Routes, ServiceRoutes, Snapshot},
 };
 
 /// The memory for records is divided as if one in this many of the service's units were held here.
@@ -30,10 +30,10 @@
 }
 
 impl DrainSchedule {
-    fn new(now: Timestamp, reason: Leaving, drain: &DrainLimits) -> DrainSchedule {
+    fn new(now: Timestamp, reason: LeaveReason, drain: &DrainLimits) -> DrainSchedule {
         let drain_time = match reason {
-            Leaving::ForGood => drain.no_new_work_after,
-            Leaving::ZoneClosed => drain.zone_no_new_work_after,
+            LeaveReason::Stopping => drain.no_new_work_after,
+            LeaveReason::ZoneClosed => drain.zone_no_new_work_after,
         };
         DrainSchedule { refuses_at: now + drain_time / 2, closed_at: now + drain_time }
     }
@@ -70,7 +70,7 @@
 
     /// Returns the incarnation of this upstream.
     pub(super) fn incarnation(&self) -> UpstreamIncarnation {
-        (self.announcement.upstream_id.clone(), self.announcement.born_ms)
+        (self.announcement.upstream_id.clone(), self.announcement.incarnation_start_ms)
     }
 
     /// Returns whether the client can be reused under the other document.
--- a/crates/agent/src/gate/health.rs
+++ b/crates/agent/src/gate/health.rs
@@ -46,7 +46,7 @@
         }
         if reported_state != Some(state) {
             reported_state = Some(state);
-            gate.reporter.deliver(Report::Upstream(state)).await;
+            gate.reporter.report(Report::Upstream(state)).await;
         }
     }
 }
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -128,7 +128,7 @@
     ) {
         if let Some(token) = effects.refused_token {
             log::warn!(target: "gate", "The upstream refuses grants under token {token}.");
-            self.reporter.hint(Report::GrantOutdated { token });
+            self.reporter.try_report(Report::GrantOutdated { token });
         }
         for transfer in effects.transfers {
             let (gate, bound) = (Arc::clone(self), Arc::clone(bound));
@@ -137,7 +137,7 @@
         let cleared = self.leases.lock().take_cleared();
         if let Some(token) = cleared {
             self.assume_earlier_runs(bound);
-            self.reporter.deliver(Report::Cleared { token }).await;
+            self.reporter.report(Report::Cleared { token }).await;
         }
     }
 }
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -76,7 +76,7 @@
     report_closed(gate).await;
     if let Some(token) = cleared {
         gate.assume_earlier_runs(bound);
-        gate.reporter.deliver(Report::Cleared { token }).await;
+        gate.reporter.report(Report::Cleared { token }).await;
     }
 }
 
@@ -165,7 +165,7 @@
     }
     gate.leases.wakeup.notify_one();
     match handover {
-        Some(_) => gate.reporter.deliver(Report::Cleared { token }).await,
+        Some(_) => gate.reporter.report(Report::Cleared { token }).await,
         None => {
             log::warn!(target: "gate", "The upstream did not confirm the release of grants made by earlier sessions or incarnations of this agent; they are left to expire.")
         }
@@ -186,7 +186,7 @@
         Ok(Ok(())) => GrantOutcome::Accepted,
         Ok(Err(GrantError::Outdated { peer })) => {
             log::warn!(target: "gate", "Upstream {peer} refused a grant under token {} for keys {} to {}: it has seen a higher token.", range.token, granted.keys.first, granted.keys.last);
-            gate.reporter.hint(Report::GrantOutdated { token: range.token });
+            gate.reporter.try_report(Report::GrantOutdated { token: range.token });
             GrantOutcome::Outdated
         }
         Ok(Err(error)) => {
@@ -280,6 +280,6 @@
     let runs_until = gate.upstream_runs.latest_ends(now);
     let closed = gate.leases.lock().take_closed(now, runs_until);
     if !closed.is_empty() {
-        gate.reporter.deliver(Report::ClosedSlots(closed)).await;
+        gate.reporter.report(Report::ClosedSlots(closed)).await;
     }
 }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -35,11 +35,11 @@
 use crate::{
     clock::Clock,
     ingress::KeyGranter,
-    links::traffic::{Handler, Handover, Serving, TrafficLinks},
+    links::traffic::{Handler, Handover, ReplyFuture, TrafficLinks},
     metrics::Metrics,
     quarantine::SharedQuarantine,
     report::{Announcement, Report, Reporter},
-    request::{GateReply, GateRequest, Replied},
+    request::{GateReply, GateRequest, ReplyWithLoad},
     request_log::{GateState, RequestLog},
     snapshot::SnapshotCell,
 };
@@ -170,9 +170,9 @@
     fn compare_config(&self, from: &Instance, request: &GateRequest) {
         let bound = self.bound.load();
         let same_service = bound.as_ref().filter(|it| it.service == request.service);
-        if same_service.is_some_and(|it| it.version < request.config) {
-            let (service, version) = (request.service.clone(), request.config);
-            self.reporter.hint(Report::Config { service, version, from: from.clone() });
+        if same_service.is_some_and(|it| it.version < request.config_version) {
+            let (service, version) = (request.service.clone(), request.config_version);
+            self.reporter.try_report(Report::Config { service, version, from: from.clone() });
         }
     }
 
@@ -203,23 +203,23 @@
     }
 
     /// Runs a request like [`Gate::call`] and adds the load of the gate to the reply.
-    pub(crate) async fn serve(self: &Arc<Gate>, request: GateRequest) -> Replied {
+    pub(crate) async fn serve(self: &Arc<Gate>, request: GateRequest) -> ReplyWithLoad {
         let (class, kind) = (request.class.clone(), request.kind);
         let reply = self.call(request).await;
-        Replied { reply, load: self.gate_load(&class, kind) }
+        ReplyWithLoad { reply, load: self.gate_load(&class, kind) }
     }
 
     async fn handle_logged(&self, request: &GateRequest, caller: &mut Caller) -> GateReply {
         let arrived_at = self.clock.now();
         let reply = self.handle(request, caller).await;
-        self.log.at_gate(request, arrived_at, &reply, self.state());
+        self.log.log_gate_reply(request, arrived_at, &reply, self.state());
         reply
     }
 
     fn state(&self) -> GateState {
         let bound = self.bound.load();
         let (running, queued) = bound.as_ref().map_or((0, 0), |it| it.queue.load());
-        GateState { config: bound.as_ref().map(|it| it.version), running, queued }
+        GateState { config_version: bound.as_ref().map(|it| it.version), running, queued }
     }
 }
 
@@ -233,7 +233,7 @@
 }
 
 impl Handler for Arc<Gate> {
-    fn request(&self, from: &Instance, request: GateRequest) -> Serving {
+    fn request(&self, from: &Instance, request: GateRequest) -> ReplyFuture {
         self.compare_config(from, &request);
         let gate = Arc::clone(self);
         Box::pin(async move { gate.serve(request).await })
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -183,7 +183,7 @@
     fn report_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
         let is_unreachable = matches!(error, CallError::NotSent { .. });
         if is_unreachable && !bound.upstream.is_asked_for_health() {
-            self.reporter.hint(Report::Upstream(UpstreamState::Lost));
+            self.reporter.try_report(Report::Upstream(UpstreamState::Lost));
         }
     }
 
@@ -276,7 +276,7 @@
         &self,
         caller: &mut Caller,
     ) -> Result<Option<SemaphorePermit<'_>>, Box<GateReply>> {
-        match self.gate.quarantine.status(self.request.content) {
+        match self.gate.quarantine.status(self.request.fingerprint) {
             QuarantineStatus::Clear => return Ok(None),
             QuarantineStatus::Suspect => {}
             QuarantineStatus::Quarantined => return Err(quarantined_reply()),
@@ -318,7 +318,7 @@
         let now = self.gate.clock.now();
         let remaining = self.deadline.since(now);
         let expected = || self.bound.queue.expected_service_time(&self.request.class, self.route());
-        let (queue_time, timeliness) = match self.request.has_come_back {
+        let (queue_time, timeliness) = match self.request.is_caller_retry {
             _ if objective.is_zero() => {
                 (remaining.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late)
             }
@@ -368,7 +368,7 @@
         if now >= self.deadline {
             return Err(Box::new(GateReply::not_run(NotRunReason::DeadlineExceeded)));
         }
-        if self.gate.quarantine.is_quarantined(self.request.content) {
+        if self.gate.quarantine.is_quarantined(self.request.fingerprint) {
             return Err(quarantined_reply());
         }
         // The gate may have bound another state since the request arrived.
@@ -447,7 +447,7 @@
         let remaining = until.since(started);
         let run =
             gate.upstream_runs.begin(started, self.entry.as_ref().map(Entry::slot), remaining);
-        let tracked_run = gate.unanswered.begin(gate.clock, self.request.content);
+        let tracked_run = gate.unanswered.begin(gate.clock, self.request.fingerprint);
         let call = self.bound.upstream.call(upstream::Request {
             method: self.request.method.clone(),
             path: self.request.path.clone(),
@@ -469,7 +469,11 @@
         if let Some((slot, key_hash)) = self.load_key() {
             gate.handle.load.add(slot, key_hash, ended.since(started));
         }
-        gate.metrics.upstream(&self.bound.document.team, &self.request.class, ended.since(started));
+        gate.metrics.record_upstream_time(
+            &self.bound.document.team,
+            &self.request.class,
+            ended.since(started),
+        );
         match result {
             // The deadline that the upstream exceeded may be that of the lease, not the caller's.
             CallEnd::Answered(answer) if is_upstream_timeout(&answer, ended, until) => {
@@ -478,7 +482,7 @@
             }
             CallEnd::Answered(answer) => {
                 gate.record_response(ended);
-                gate.quarantine.record_answer(self.request.content);
+                gate.quarantine.record_answer(self.request.fingerprint);
                 // An upstream that fails fast must not be measured as one that works fast.
                 permit.completion = match answer.status.is_server_error() {
                     true => Completion::Aborted,
@@ -588,7 +592,7 @@
 /// Returns the age of the request for its record: the age that the caller states, plus the time
 /// spent in this system.
 fn record_age(request: &GateRequest) -> Duration {
-    request.age + request.held
+    request.age + request.time_at_ingress
 }
 
 /// Returns whether the answer states that the upstream timed out at its deadline.
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -79,10 +79,10 @@
         }
     }
     if !prepared.is_empty() {
-        gate.reporter.deliver(Report::PreparedSlots(prepared)).await;
+        gate.reporter.report(Report::PreparedSlots(prepared)).await;
     }
     if !closed.is_empty() {
-        gate.reporter.deliver(Report::ClosedSlots(closed)).await;
+        gate.reporter.report(Report::ClosedSlots(closed)).await;
     }
 }
 
@@ -122,7 +122,7 @@
             }
         };
         match timeout(PREPARE_TIMEOUT, prepare_until_warm).await {
-            Ok(()) => self.reporter.deliver(Report::Prepared { slot, token }).await,
+            Ok(()) => self.reporter.report(Report::Prepared { slot, token }).await,
             Err(_) => {
                 log::warn!(target: "gate", "The upstream did not prepare slot {slot} in time; it is not reported as prepared.")
             }
@@ -152,7 +152,7 @@
             RecordUnit::Slot(slot) => Report::Closed { slot, token },
             RecordUnit::Key(key_hash) => Report::KeyClosed { key_hash, token },
         };
-        self.reporter.deliver(report).await;
+        self.reporter.report(report).await;
     }
 
     async fn wait_until_idle(&self, unit: RecordUnit) {
--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -25,7 +25,7 @@
 
 /// What an upstream says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
+pub enum UpstreamMessage {
     Announced {
         announcement: Announcement,
         /// What its monotonic clock shows, in milliseconds, if it says so.
@@ -34,10 +34,10 @@
         keys: Option<HeldKeys>,
     },
     /// It leaves for good.
-    Leaves {
+    Leaving {
         upstream_id: UpstreamId,
         /// When this life of it began, in milliseconds of its time of day, if it says so.
-        born_ms: Option<u64>,
+        incarnation_start_ms: Option<u64>,
     },
 }
 
@@ -58,7 +58,7 @@
     /// Whether a request at the caller address is an announcement and not a caller's.
     fn is_announcement(&self, head: &Parts) -> bool;
     /// Reads an announcement; the error is what the upstream is told, and its status.
-    fn read(&self, head: &Parts, body: &[u8]) -> Result<Heard, (StatusCode, String)>;
+    fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)>;
     /// The response to one that has been taken; with what the upstream is to hold, if there is something
     /// to say about that.
     fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response;
@@ -103,16 +103,17 @@
     }
 
     /// Resolves to what the upstream is to hold, if there is something to say about that.
-    async fn pass_on(&self, heard: Heard) -> Option<KeysToHold> {
+    async fn pass_on(&self, heard: UpstreamMessage) -> Option<KeysToHold> {
         match heard {
-            Heard::Announced { announcement, clock_ms, keys } => {
+            UpstreamMessage::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.update(clock_ms, self.clock.now());
-                self.reporter.hint(Report::Announcement(announcement.clone()));
+                self.reporter.try_report(Report::Announcement(announcement.clone()));
                 let ranges_max = self.protocol.ranges_max();
                 self.granter.keys_to_hold(announcement, keys?, ranges_max).await
             }
-            Heard::Leaves { upstream_id, born_ms } => {
-                self.reporter.hint(Report::UpstreamLeaves { upstream_id, born_ms });
+            UpstreamMessage::Leaving { upstream_id, incarnation_start_ms } => {
+                self.reporter
+                    .try_report(Report::UpstreamLeaving { upstream_id, incarnation_start_ms });
                 None
             }
         }
@@ -158,7 +159,7 @@
         head.uri.path().starts_with(Self::PREFIX)
     }
 
-    fn read(&self, head: &Parts, body: &[u8]) -> Result<Heard, (StatusCode, String)> {
+    fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
         let refuse = |status, text: &str| Err((status, text.to_owned()));
         match () {
             _ if head.uri.path() != Self::PATH => refuse(StatusCode::NOT_FOUND, "no such call"),
@@ -169,7 +170,11 @@
                 let announced: Announced = serde_json::from_slice(body)
                     .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
                 let clock_ms = announced.clock_ms;
-                Ok(Heard::Announced { announcement: announced.into(), clock_ms, keys: None })
+                Ok(UpstreamMessage::Announced {
+                    announcement: announced.into(),
+                    clock_ms,
+                    keys: None,
+                })
             }
         }
     }
@@ -197,7 +202,7 @@
             slots: announced.slots,
             checks_fence: announced.checks_fence,
             upstream_id: None,
-            born_ms: None,
+            incarnation_start_ms: None,
             sequence: 0,
             cold_for: Duration::ZERO,
         }
--- a/crates/agent/src/ingress/default_protocol.rs
+++ b/crates/agent/src/ingress/default_protocol.rs
@@ -20,9 +20,9 @@
     forward::FinalReply,
     ingress::{
         COME_BACK,
-        protocol::{CallHead, CallId, CallerProtocol, answered, status_of},
+        protocol::{CallHead, CallId, CallerProtocol, answer_response, status_of},
         refusal::Refusal,
-        strip_connection,
+        strip_hop_by_hop_headers,
     },
     request::GateReply,
 };
@@ -55,14 +55,14 @@
         let age = parse_ms(&head.headers, FIRST_SENT_HEADER)?.unwrap_or_default();
         let mut headers = head.headers.clone();
         strip(&mut headers);
-        let content = content(&headers);
-        Ok(CallHead { host: None, id, id_text: None, deadline, age, content, headers })
+        let fingerprint = headers_fingerprint(&headers);
+        Ok(CallHead { host: None, id, id_text: None, deadline, age, fingerprint, headers })
     }
 
     fn answer(&self, ending: FinalReply, id: &CallId) -> Response {
         let outcome = ending.reply.outcome();
         let mut response = match ending.reply {
-            GateReply::Answered(answer) => answered(answer),
+            GateReply::Answered(answer) => answer_response(answer),
             GateReply::Failed { .. } | GateReply::NotOwner { .. } => {
                 let mut response = Response::new(Body::from(format!("{outcome}\n")));
                 *response.status_mut() = status_of(outcome);
@@ -81,14 +81,14 @@
 
     fn refuse(&self, refusal: &Refusal) -> Response {
         let reason = match refusal {
-            Refusal::NoRoutesYet => NotRunReason::Unreachable,
+            Refusal::RoutesUnknown => NotRunReason::Unreachable,
             _ => NotRunReason::BadRequest,
         };
         let mut response = Response::new(Body::from(format!("{refusal}\n")));
         *response.status_mut() = refusal.status();
         let headers = response.headers_mut();
         headers.insert(OUTCOME, outcome_value(Outcome::NotRun(reason)));
-        if *refusal == Refusal::NoRoutesYet {
+        if *refusal == Refusal::RoutesUnknown {
             set_retry_after(headers, COME_BACK);
         }
         response
@@ -96,7 +96,7 @@
 }
 
 /// Of all that the upstream is given but for what traces a single attempt.
-fn content(headers: &HeaderMap) -> Fingerprint {
+fn headers_fingerprint(headers: &HeaderMap) -> Fingerprint {
     let counted = headers.iter().filter(|(name, _)| !OF_ONE_ATTEMPT.contains(name));
     Fingerprint::of(counted.flat_map(|(name, value)| [name.as_str().as_bytes(), value.as_bytes()]))
 }
@@ -134,7 +134,7 @@
 
 /// Takes out what belongs to the caller's connection and what the gate sets itself.
 fn strip(headers: &mut HeaderMap) {
-    strip_connection(headers);
+    strip_hop_by_hop_headers(headers);
     headers.remove(HOST);
     headers.remove(DEADLINE_HEADER);
     headers.remove(FIRST_SENT_HEADER);
--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -44,7 +44,7 @@
         match (&head.host, &snapshot.routing) {
             (None, _) => by_segment(uri),
             // Whether there is such a route is not for an agent to say that knows of none at all.
-            (Some(_), None) => Err(Refusal::NoRoutesYet),
+            (Some(_), None) => Err(Refusal::RoutesUnknown),
             (Some(host), Some(table)) => self.by_host(host, uri, table),
         }
     }
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -51,8 +51,8 @@
 use destination::Destinations;
 use waits::Waits;
 
-pub use announce::{AnnounceProtocol, Heard};
-pub use protocol::{CallHead, CallId, CallerProtocol, answered, status_of};
+pub use announce::{AnnounceProtocol, UpstreamMessage};
+pub use protocol::{CallHead, CallId, CallerProtocol, answer_response, status_of};
 pub use refusal::Refusal;
 
 pub(crate) use announce::{
@@ -188,7 +188,7 @@
         match self.forward(&parts, head, id.id, body).await {
             Ok(Done { team, class, ending }) => {
                 let spent = self.parts.clock.now().since(started);
-                self.parts.metrics.request(&team, &class, ending.reply.outcome(), spent);
+                self.parts.metrics.record_request(&team, &class, ending.reply.outcome(), spent);
                 self.parts.protocol.answer(ending, &id)
             }
             Err(refusal) => self.refuse(&refusal, Some(id.id)),
@@ -212,17 +212,17 @@
             self.destinations.find(&head, &parts.uri, &self.parts.snapshots.load())?;
         let patience = head.deadline.map_or(ROUTES_WAIT, |it| it.min(ROUTES_WAIT));
         let Some(routes) = self.routes(&destination.service, patience).await else {
-            return Err(Refusal::NoRoutesYet);
+            return Err(Refusal::RoutesUnknown);
         };
         let limits = &routes.document.limits;
         check_size(&parts.headers, &parts.uri, limits.header_bytes_max)?;
         let left = head.deadline;
         let mut request = gate_request(&routes, &destination, parts, head, id)?;
         request.body = read(body, limits.body_bytes_max).await?;
-        request.content = content(&request);
+        request.fingerprint = request_fingerprint(&request);
         if let (Some(route), Some(left)) = (&destination.route, left) {
             let waited = self.waits.waited(route, left);
-            request.has_come_back = waited.is_some();
+            request.is_caller_retry = waited.is_some();
             let waited = waited.unwrap_or_default();
             request.objective = request.objective.map(|it| it.saturating_sub(waited));
         }
@@ -256,7 +256,7 @@
             return Some(routes);
         }
         let mut changes = self.parts.snapshots.changes();
-        self.parts.reporter.hint(Report::UnknownService { service: service.clone() });
+        self.parts.reporter.try_report(Report::UnknownService { service: service.clone() });
         let waiting = async {
             while known().filter(lead_somewhere).is_none() && changes.changed().await.is_ok() {}
         };
@@ -315,17 +315,17 @@
         service: destination.service.clone(),
         key_hash,
         id,
-        content: head.content,
+        fingerprint: head.fingerprint,
         class: class.clone(),
         idempotent,
         remaining: head.deadline.map_or(timeout, |named| named.min(timeout)),
         age: head.age,
-        held: Duration::ZERO,
-        attempts,
+        time_at_ingress: Duration::ZERO,
+        upstream_attempts_max: attempts,
         kind: host_route.map(kind_of),
-        has_come_back: false,
+        is_caller_retry: false,
         objective: host_route.map(|it| it.objective),
-        config: routes.version,
+        config_version: routes.version,
         method: parts.method.clone(),
         path: path.clone(),
         headers: Arc::new(head.headers),
@@ -334,9 +334,9 @@
 }
 
 /// What a request asks for, once its body is there.
-fn content(request: &GateRequest) -> Fingerprint {
+fn request_fingerprint(request: &GateRequest) -> Fingerprint {
     Fingerprint::of([
-        &request.content.0.to_le_bytes()[..],
+        &request.fingerprint.0.to_le_bytes()[..],
         request.method.as_str().as_bytes(),
         request.path.as_str().as_bytes(),
         &request.body,
@@ -353,7 +353,7 @@
 }
 
 /// Takes out what is about one connection only.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/agent/src/ingress/protocol.rs
+++ b/crates/agent/src/ingress/protocol.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     forward::FinalReply,
-    ingress::{refusal::Refusal, strip_connection},
+    ingress::{refusal::Refusal, strip_hop_by_hop_headers},
 };
 
 /// What the head of a request says, apart from its method and path.
@@ -27,7 +27,7 @@
     /// Time since the first sending of this id whose end the caller does not know; zero: this is it.
     pub age: Duration,
     /// Of the headers that count for what is asked for: attempts of the same request agree in them.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// What the upstream is given of the headers.
     pub headers: HeaderMap,
 }
@@ -50,11 +50,11 @@
 }
 
 /// An upstream's whole answer as the response to its caller: all but what is about one connection.
-pub fn answered(answer: Answer) -> Response {
+pub fn answer_response(answer: Answer) -> Response {
     let mut response = Response::new(Body::from(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
-    strip_connection(response.headers_mut());
+    strip_hop_by_hop_headers(response.headers_mut());
     response
 }
 
--- a/crates/agent/src/ingress/refusal.rs
+++ b/crates/agent/src/ingress/refusal.rs
@@ -12,7 +12,7 @@
     #[error("no route leads on from this host and path")]
     NoHostRoute,
     #[error("the routes of this service are not known here yet")]
-    NoRoutesYet,
+    RoutesUnknown,
     #[error("{0}")]
     NoRoute(RouteError),
     #[error("{0}")]
@@ -36,7 +36,7 @@
             Refusal::NoService | Refusal::NoHostRoute | Refusal::NoRoute(_) => {
                 StatusCode::NOT_FOUND
             }
-            Refusal::NoRoutesYet => StatusCode::SERVICE_UNAVAILABLE,
+            Refusal::RoutesUnknown => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::NoKey(_)
             | Refusal::KeyOutOfRange
             | Refusal::Header { .. }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -26,13 +26,13 @@
 pub use forward::FinalReply;
 pub use gate::Connect;
 pub use ingress::{
-    AnnounceProtocol, CallHead, CallId, CallerProtocol, Heard, Refusal, answered, status_of,
-    strip_connection,
+    AnnounceProtocol, CallHead, CallId, CallerProtocol, Refusal, UpstreamMessage, answer_response,
+    status_of, strip_hop_by_hop_headers,
 };
 pub use reload::SettingsFile;
 pub use request::GateReply;
 pub use run::{ListenError, run, run_with};
-pub use zones::{ClosedZones, ClosedZonesSource, ZoneNews, follow_zones};
+pub use zones::{ClosedZones, ClosedZonesSource, ZoneChange, follow_zones};
 
 #[cfg(test)]
 mod tests;
--- a/crates/agent/src/links/traffic/inbox.rs
+++ b/crates/agent/src/links/traffic/inbox.rs
@@ -17,7 +17,7 @@
             serve::Served,
         },
     },
-    request::{GateReply, GateRequest, Replied, answer_from_parts},
+    request::{GateReply, GateRequest, ReplyWithLoad, answer_from_parts},
 };
 
 /// How many bytes of unfinished bodies a link may hold.
@@ -61,7 +61,7 @@
             Frame::Chunk(chunk) => self.chunk(&chunk).await,
             Frame::Failed(it) => {
                 let load = it.load;
-                self.reply(it.id, Replied { load, reply: it.into() });
+                self.reply(it.id, ReplyWithLoad { load, reply: it.into() });
                 Ok(())
             }
             Frame::NotOwner(it) => {
@@ -131,7 +131,7 @@
                     Ok(answer) => GateReply::Answered(answer),
                     Err(_) => GateReply::unknown(UnknownReason::BrokenAnswer),
                 };
-                self.reply(id, Replied { reply, load });
+                self.reply(id, ReplyWithLoad { reply, load });
                 Ok(())
             }
             Progress::Whole(Head::Records(it)) => self.records(it).await,
@@ -147,7 +147,7 @@
     }
 
     /// An answer nobody waits for is late, doubled or made up, and goes nowhere else.
-    fn reply(&self, id: CorrelationId, replied: Replied) {
+    fn reply(&self, id: CorrelationId, replied: ReplyWithLoad) {
         if let Some(Waiting::Reply(sender)) = self.link.take(id) {
             // Whoever waited may have given up.
             drop(sender.send(replied));
--- a/crates/agent/src/links/traffic/link.rs
+++ b/crates/agent/src/links/traffic/link.rs
@@ -22,7 +22,7 @@
         assembly::{Handover, chunks},
         outbox::{Outgoing, Senders, TrafficOutbox, channel},
     },
-    request::{GateReply, GateRequest, Replied},
+    request::{GateReply, GateRequest, ReplyWithLoad},
 };
 
 /// How much earlier than the asking side the gate gives up, so that its word arrives in time: it
@@ -36,7 +36,7 @@
 /// Who waits for a message with this correlation id.
 #[derive(Debug)]
 pub(super) enum Waiting {
-    Reply(oneshot::Sender<Replied>),
+    Reply(oneshot::Sender<ReplyWithLoad>),
     Taken(oneshot::Sender<bool>),
 }
 
@@ -89,7 +89,7 @@
     }
 
     /// Sends a request, once, and waits for its answer.
-    pub(super) async fn ask(self: &Arc<Link>, request: &GateRequest) -> Replied {
+    pub(super) async fn send_request(self: &Arc<Link>, request: &GateRequest) -> ReplyWithLoad {
         let id = CorrelationId(rand::random());
         let (sender, receiver) = oneshot::channel();
         let mut pending = Pending::new(Arc::clone(self), id, Waiting::Reply(sender));
--- a/crates/agent/src/links/traffic/mod.rs
+++ b/crates/agent/src/links/traffic/mod.rs
@@ -31,7 +31,7 @@
         handshake::{Established, LinkIdentity},
         socket,
     },
-    request::{GateReply, GateRequest, Replied},
+    request::{GateReply, GateRequest, ReplyWithLoad},
 };
 
 use inbox::TrafficInbox;
@@ -44,12 +44,12 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(500);
 
 /// A request of a peer on its way to its reply.
-pub(crate) type Serving = Pin<Box<dyn Future<Output = Replied> + Send>>;
+pub(crate) type ReplyFuture = Pin<Box<dyn Future<Output = ReplyWithLoad> + Send>>;
 
 /// Takes what peers send.
 pub(crate) trait Handler: Send + Sync {
     /// Takes a request to its end; dropping the future cancels it.
-    fn request(&self, from: &Instance, request: GateRequest) -> Serving;
+    fn request(&self, from: &Instance, request: GateRequest) -> ReplyFuture;
     /// Takes over records; false: they can't be used.
     fn records(&self, from: &Instance, handover: Handover) -> bool;
 }
@@ -98,9 +98,13 @@
 
     /// Asks a peer's gate. Resolves by the end of the request's remaining time; dropping the
     /// future cancels the request there.
-    pub(crate) async fn ask(&self, peer: &Instance, request: &GateRequest) -> Replied {
+    pub(crate) async fn send_request(
+        &self,
+        peer: &Instance,
+        request: &GateRequest,
+    ) -> ReplyWithLoad {
         match self.link(peer).await {
-            Some(link) => link.ask(request).await,
+            Some(link) => link.send_request(request).await,
             None => GateReply::not_run(NotRunReason::Unreachable).into(),
         }
     }
@@ -114,7 +118,7 @@
     }
 
     /// Makes a link ahead of the first request.
-    pub(crate) fn warm(&self, peer: &Instance) {
+    pub(crate) fn preconnect(&self, peer: &Instance) {
         if peer.traffic == self.shared.identity.own.traffic
             || matches!(self.shared.peers().get(&peer.traffic), Some(Peer::Up(_)))
         {
--- a/crates/agent/src/links/traffic/serve.rs
+++ b/crates/agent/src/links/traffic/serve.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     links::traffic::{
-        Serving,
+        ReplyFuture,
         link::{Link, first_len},
     },
-    request::{GateReply, Replied, headers_to_wire},
+    request::{GateReply, ReplyWithLoad, headers_to_wire},
 };
 
 /// Running requests of one link.
@@ -28,11 +28,16 @@
     }
 
     /// Sends the reply when it comes. Cancelling drops the request on its way.
-    pub(super) fn start(self: &Arc<Served>, link: &Arc<Link>, id: CorrelationId, serving: Serving) {
+    pub(super) fn start(
+        self: &Arc<Served>,
+        link: &Arc<Link>,
+        id: CorrelationId,
+        serving: ReplyFuture,
+    ) {
         let (served, link) = (Arc::clone(self), Arc::clone(link));
         let mut table = self.table();
         let task = tokio::spawn(async move {
-            let Replied { reply, load } = serving.await;
+            let ReplyWithLoad { reply, load } = serving.await;
             send(&link, id, reply, load).await;
             served.table().remove(&id);
         });
--- a/crates/agent/src/links/traffic/tests.rs
+++ b/crates/agent/src/links/traffic/tests.rs
@@ -12,7 +12,7 @@
 };
 
 use super::{
-    Handler, Handover, LinkIdentity, LinkKey, Serving, TrafficLinks,
+    Handler, Handover, LinkIdentity, LinkKey, ReplyFuture, TrafficLinks,
     assembly::{Assembly, Head, Progress, chunks},
     outbox::{Outgoing, channel},
 };
@@ -109,7 +109,7 @@
 struct Unasked;
 
 impl Handler for Unasked {
-    fn request(&self, _from: &Instance, _request: GateRequest) -> Serving {
+    fn request(&self, _from: &Instance, _request: GateRequest) -> ReplyFuture {
         unreachable!("no request is sent")
     }
 
--- a/crates/agent/src/metrics/mod.rs
+++ b/crates/agent/src/metrics/mod.rs
@@ -63,7 +63,7 @@
     }
 
     /// The end of a caller's request.
-    pub(crate) fn request(
+    pub(crate) fn record_request(
         &self,
         team: &TeamName,
         class: &ClassName,
@@ -80,17 +80,17 @@
         self.requests.with_label_values(&[team.as_str(), class.as_str(), kind]).inc();
     }
 
-    pub(crate) fn upstream(&self, team: &TeamName, class: &ClassName, spent: Duration) {
+    pub(crate) fn record_upstream_time(&self, team: &TeamName, class: &ClassName, spent: Duration) {
         let labels = [team.as_str(), class.as_str()];
         self.upstream_s.with_label_values(&labels).observe(spent.as_secs_f64());
     }
 
     /// A request that is sent on again; `kind` is `redirect` or `retry`.
-    pub(crate) fn again(&self, team: &TeamName, kind: &str) {
+    pub(crate) fn record_retry(&self, team: &TeamName, kind: &str) {
         self.retries.with_label_values(&[team.as_str(), kind]).inc();
     }
 
-    pub(crate) fn gate(&self, running: usize, queued: usize) {
+    pub(crate) fn set_gate_load(&self, running: usize, queued: usize) {
         self.running.set(i64::try_from(running).unwrap_or(i64::MAX));
         self.queued.set(i64::try_from(queued).unwrap_or(i64::MAX));
     }
--- a/crates/agent/src/metrics/server.rs
+++ b/crates/agent/src/metrics/server.rs
@@ -28,7 +28,7 @@
 
 fn answer(metrics: &Metrics, gate: &Gate) -> Response {
     let (running, queued) = gate.load();
-    metrics.gate(running, queued);
+    metrics.set_gate_load(running, queued);
     match metrics.text() {
         Ok(text) => text.into_response(),
         Err(error) => {
--- a/crates/agent/src/plane.rs
+++ b/crates/agent/src/plane.rs
@@ -152,7 +152,7 @@
         let server = ingress::serve(parts.callers, closed, Arc::clone(&ingress), hook);
         let server = tokio::spawn(server);
         tokio::spawn(metrics::serve(parts.metrics, metrics, Arc::clone(&gate)));
-        tokio::spawn(warm_links(parts.snapshots, links));
+        tokio::spawn(preconnect_links(parts.snapshots, links));
         Ok(Plane { gate, ingress, readiness, closing, drained, server })
     }
 
@@ -202,12 +202,12 @@
 }
 
 /// Makes links to owners and members before the first request needs them.
-async fn warm_links(snapshots: Arc<SnapshotCell>, links: TrafficLinks) {
+async fn preconnect_links(snapshots: Arc<SnapshotCell>, links: TrafficLinks) {
     let mut changes = snapshots.changes();
     loop {
         let snapshot = snapshots.load().clone();
         for service in snapshot.services.values() {
-            service.routes.instances().for_each(|it| links.warm(it));
+            service.routes.instances().for_each(|it| links.preconnect(it));
         }
         if changes.changed().await.is_err() {
             return;
--- a/crates/agent/src/report/mod.rs
+++ b/crates/agent/src/report/mod.rs
@@ -16,7 +16,7 @@
     /// The upstream beside this agent said what it is; repeated about each second.
     Announcement(Announcement),
     /// The upstream beside this agent has said that it leaves, for good.
-    UpstreamLeaves { upstream_id: UpstreamId, born_ms: Option<u64> },
+    UpstreamLeaving { upstream_id: UpstreamId, incarnation_start_ms: Option<u64> },
     /// The upstream has seen a higher token for a grant than the one it was given.
     GrantOutdated { token: Token },
     /// The upstream's state as the gate sees it: hung or gone, or answering again.
@@ -59,7 +59,7 @@
     /// How the upstream names itself, if it does; a later life may have the same name.
     pub upstream_id: Option<UpstreamId>,
     /// When this life of it began, in milliseconds of its time of day, if it says so.
-    pub born_ms: Option<u64>,
+    pub incarnation_start_ms: Option<u64>,
     /// Rises with each announcement of one life; 0 where they are not numbered.
     pub sequence: u64,
     /// For how much longer it is cold, and bears only what the document says; zero: it is warm.
@@ -69,11 +69,12 @@
 impl Announcement {
     /// Whether both come from one life of an upstream.
     pub(crate) fn is_same_incarnation(&self, other: &Announcement) -> bool {
-        self.upstream_id == other.upstream_id && self.born_ms == other.born_ms
+        self.upstream_id == other.upstream_id
+            && self.incarnation_start_ms == other.incarnation_start_ms
     }
 
     /// Whether both say the same, apart from their number and the time that runs down.
-    pub(crate) fn is_like(&self, other: &Announcement) -> bool {
+    pub(crate) fn is_equivalent(&self, other: &Announcement) -> bool {
         let lasting = |it: &Announcement| Announcement {
             sequence: 0,
             cold_for: Duration::ZERO,
@@ -98,14 +99,14 @@
 
 impl Reporter {
     /// Reports what may be lost, for it is repeated or only a hint. Never waits.
-    pub(crate) fn hint(&self, report: Report) {
+    pub(crate) fn try_report(&self, report: Report) {
         if let Err(error) = self.0.try_send(report) {
             log::debug!(target: "report", "Dropped a report to control: {error}.");
         }
     }
 
     /// Reports what must not be lost; waits for room.
-    pub(crate) async fn deliver(&self, report: Report) {
+    pub(crate) async fn report(&self, report: Report) {
         if self.0.send(report).await.is_err() {
             log::debug!(target: "report", "Control has ended.");
         }
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -22,7 +22,7 @@
     pub(crate) key_hash: Option<KeyHash>,
     pub(crate) id: RequestId,
     /// What it asks for: the same for all attempts, whoever takes them in.
-    pub(crate) content: Fingerprint,
+    pub(crate) fingerprint: Fingerprint,
     pub(crate) class: ClassName,
     pub(crate) idempotent: bool,
     /// Time left to answer in.
@@ -30,17 +30,17 @@
     /// Time since the first sending of this id, as its caller says; zero: this is it.
     pub(crate) age: Duration,
     /// Time that ingress has held this sending; zero: this is the first try to place it.
-    pub(crate) held: Duration,
+    pub(crate) time_at_ingress: Duration,
     /// Requests of one kind are expected to take alike; none: as the document's route says.
     pub(crate) kind: Option<u8>,
     /// Time left in which an answer is of full use to the caller; none: all of it.
     pub(crate) objective: Option<Duration>,
     /// Its caller has come back with it after a refusal, as far as that can be seen.
-    pub(crate) has_come_back: bool,
+    pub(crate) is_caller_retry: bool,
     /// The most upstreams that it may be given to; the ingress sees to that.
-    pub(crate) attempts: u8,
+    pub(crate) upstream_attempts_max: u8,
     /// The ingress's version of the document.
-    pub(crate) config: ConfigVersion,
+    pub(crate) config_version: ConfigVersion,
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
     /// Shared: a request is cloned for each try.
@@ -80,15 +80,15 @@
 
 /// What comes back from a gate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Replied {
+pub(crate) struct ReplyWithLoad {
     pub(crate) reply: GateReply,
     /// How busy the gate is, if it says so.
     pub(crate) load: Option<GateLoad>,
 }
 
-impl From<GateReply> for Replied {
-    fn from(reply: GateReply) -> Replied {
-        Replied { reply, load: None }
+impl From<GateReply> for ReplyWithLoad {
+    fn from(reply: GateReply) -> ReplyWithLoad {
+        ReplyWithLoad { reply, load: None }
     }
 }
 
@@ -129,17 +129,17 @@
             service: self.service.clone(),
             key_hash: self.key_hash,
             request_id: self.id,
-            content: self.content,
+            content: self.fingerprint,
             class: self.class.clone(),
             idempotent: self.idempotent,
             remaining_us: whole_us(self.remaining),
             // A resend must not look like a first sending for its age being short.
             age_us: whole_us(self.age).max(u64::from(!self.age.is_zero())),
-            held_us: whole_us(self.held),
+            held_us: whole_us(self.time_at_ingress),
             kind: self.kind,
             objective_us: self.objective.map(whole_us),
-            has_come_back: self.has_come_back,
-            config: self.config,
+            has_come_back: self.is_caller_retry,
+            config: self.config_version,
             method: self.method.as_str().to_owned(),
             path: self.path.as_str().to_owned(),
             headers: headers_to_wire(&self.headers),
@@ -158,17 +158,17 @@
             service: raw.service,
             key_hash: raw.key_hash,
             id: raw.request_id,
-            content: raw.content,
+            fingerprint: raw.content,
             class: raw.class,
             idempotent: raw.idempotent,
             remaining: Duration::from_micros(raw.remaining_us),
             age: Duration::from_micros(raw.age_us),
-            held: Duration::from_micros(raw.held_us),
-            attempts: 1,
+            time_at_ingress: Duration::from_micros(raw.held_us),
+            upstream_attempts_max: 1,
             kind: raw.kind,
             objective: raw.objective_us.map(Duration::from_micros),
-            has_come_back: raw.has_come_back,
-            config: raw.config,
+            is_caller_retry: raw.has_come_back,
+            config_version: raw.config,
             method: Method::from_bytes(raw.method.as_bytes())
                 .map_err(|error| invalid("method", error.to_string()))?,
             path: PathAndQuery::from_maybe_shared(raw.path)
--- a/crates/agent/src/request_log/mod.rs
+++ b/crates/agent/src/request_log/mod.rs
@@ -36,10 +36,10 @@
 
 /// A request on its way from the ingress to a gate. Dropped before its end, its caller has left.
 #[derive(Debug)]
-pub(crate) struct Underway<'a> {
+pub(crate) struct LoggedRequest<'a> {
     log: &'a RequestLog,
     pub(crate) request: GateRequest,
-    pub(crate) placing: Placing,
+    pub(crate) placement: Placement,
     started: Timestamp,
     /// Until when an answer is of full use to the caller; none: up to the deadline.
     pub(crate) useful_until: Option<Timestamp>,
@@ -48,15 +48,15 @@
 
 /// How a request has been placed so far.
 #[derive(Debug, Default)]
-pub(crate) struct Placing {
+pub(crate) struct Placement {
     /// Gates that were asked.
-    pub(crate) tries: u64,
+    pub(crate) attempts: u64,
     /// The last of them.
     pub(crate) sent_to: Option<Instance>,
     /// What that one was weighed by; none: there was no choice, or gates do not tell their loads.
-    pub(crate) weighed: Option<TargetComparison>,
+    pub(crate) comparison: Option<TargetComparison>,
     /// Of the service's document that it was placed by.
-    pub(crate) config: Option<ConfigVersion>,
+    pub(crate) config_version: Option<ConfigVersion>,
     /// Of the routes that it was placed by; zero where any member may take it.
     pub(crate) route_version: u64,
 }
@@ -64,7 +64,7 @@
 /// What a gate knew when it replied.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct GateState {
-    pub(crate) config: Option<ConfigVersion>,
+    pub(crate) config_version: Option<ConfigVersion>,
     pub(crate) running: usize,
     pub(crate) queued: usize,
 }
@@ -89,18 +89,18 @@
     }
 
     /// A request sets out from the ingress.
-    pub(crate) fn start(&self, request: GateRequest) -> Underway<'_> {
+    pub(crate) fn start(&self, request: GateRequest) -> LoggedRequest<'_> {
         let started = self.clock.now();
         let useful_until = request.objective.map(|it| started + it);
-        let placing = Placing::default();
-        Underway { log: self, request, placing, started, useful_until, has_ended: false }
+        let placement = Placement::default();
+        LoggedRequest { log: self, request, placement, started, useful_until, has_ended: false }
     }
 
     /// The final answer of a request at the ingress.
-    fn ended(&self, underway: &Underway<'_>, ending: &FinalReply) {
-        let Underway { request, placing, .. } = underway;
+    fn ended(&self, logged: &LoggedRequest<'_>, ending: &FinalReply) {
+        let LoggedRequest { request, placement, .. } = logged;
         let now = self.clock.now();
-        let is_late = underway.useful_until.is_some_and(|it| it < now);
+        let is_late = logged.useful_until.is_some_and(|it| it < now);
         let level = match failed(&ending.reply) || is_late {
             true => Level::Info,
             false => Level::Debug,
@@ -116,29 +116,29 @@
             service:% = request.service,
             class:% = request.class,
             key:% = Key(request),
-            content:% = request.content,
+            content:% = request.fingerprint,
             idempotent = request.idempotent,
             outcome:% = ending.reply.outcome(),
             status:% = Status(&ending.reply),
-            sent_to:% = Named(placing.sent_to.as_ref()),
-            tries = placing.tries,
-            weighed = placing.weighed.as_ref().map_or(0, |it| it.targets),
-            expected_ms = whole_ms(placing.weighed.as_ref().map_or(Duration::ZERO, |it| it.expected_latency)),
-            load_age_ms:% = LoadAge(placing.weighed.as_ref()),
-            next_best:% = NextBest(placing.weighed.as_ref()),
-            spent_ms = whole_ms(now.since(underway.started)),
+            sent_to:% = Named(placement.sent_to.as_ref()),
+            tries = placement.attempts,
+            weighed = placement.comparison.as_ref().map_or(0, |it| it.targets),
+            expected_ms = whole_ms(placement.comparison.as_ref().map_or(Duration::ZERO, |it| it.expected_latency)),
+            load_age_ms:% = LoadAge(placement.comparison.as_ref()),
+            next_best:% = NextBest(placement.comparison.as_ref()),
+            spent_ms = whole_ms(now.since(logged.started)),
             is_late,
             come_back_ms = whole_ms(ending.retry_after.unwrap_or_default()),
-            config = placing.config.unwrap_or_default().0,
-            routes = placing.route_version,
+            config = placement.config_version.unwrap_or_default().0,
+            routes = placement.route_version,
             left_out;
             "Ended."
         );
     }
 
     /// The caller went away before the end.
-    fn abandoned(&self, underway: &Underway<'_>) {
-        let Underway { request, placing, .. } = underway;
+    fn abandoned(&self, logged: &LoggedRequest<'_>) {
+        let LoggedRequest { request, placement, .. } = logged;
         let now = self.clock.now();
         let Some(left_out) = self.ingress.take(now) else { return };
         log::info!(
@@ -147,19 +147,19 @@
             service:% = request.service,
             class:% = request.class,
             key:% = Key(request),
-            content:% = request.content,
-            sent_to:% = Named(placing.sent_to.as_ref()),
-            tries = placing.tries,
-            spent_ms = whole_ms(now.since(underway.started)),
-            config = placing.config.unwrap_or_default().0,
-            routes = placing.route_version,
+            content:% = request.fingerprint,
+            sent_to:% = Named(placement.sent_to.as_ref()),
+            tries = placement.attempts,
+            spent_ms = whole_ms(now.since(logged.started)),
+            config = placement.config_version.unwrap_or_default().0,
+            routes = placement.route_version,
             left_out;
             "The caller left."
         );
     }
 
     /// What the gate beside an upstream replied, unless it only named another owner.
-    pub(crate) fn at_gate(
+    pub(crate) fn log_gate_reply(
         &self,
         request: &GateRequest,
         came_at: Timestamp,
@@ -182,21 +182,21 @@
             service:% = request.service,
             class:% = request.class,
             key:% = Key(request),
-            content:% = request.content,
+            content:% = request.fingerprint,
             outcome:% = reply.outcome(),
             spent_ms = whole_ms(now.since(came_at)),
             left_ms = whole_ms(request.remaining.saturating_sub(now.since(came_at))),
             running = state.running,
             queued = state.queued,
-            config = state.config.unwrap_or_default().0,
-            sender_config = request.config.0,
+            config = state.config_version.unwrap_or_default().0,
+            sender_config = request.config_version.0,
             left_out;
             "The gate replied."
         );
     }
 }
 
-impl Underway<'_> {
+impl LoggedRequest<'_> {
     /// The request has its final answer.
     pub(crate) fn end(mut self, ending: &FinalReply) {
         self.has_ended = true;
@@ -204,7 +204,7 @@
     }
 }
 
-impl Drop for Underway<'_> {
+impl Drop for LoggedRequest<'_> {
     fn drop(&mut self) {
         if !self.has_ended {
             self.log.abandoned(self);
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -182,7 +182,7 @@
     log::info!(target: "agent", "A signal asks to stop: handing over.");
     plane.leave();
     let handed_over = async {
-        sleep(serve_on(stop_max)).await;
+        sleep(serving_time_on_stop(stop_max)).await;
         phase.send_replace(Phase::Stopping);
         if timeout_at(began + stop_max.mul_f64(HANDOVER_SHARE), handed_over).await.is_err() {
             log::warn!(target: "agent", "Not everything was handed over in time.");
@@ -207,7 +207,7 @@
 }
 
 /// How long an instance that stops goes on as before.
-pub(crate) fn serve_on(stop_max: Duration) -> Duration {
+pub(crate) fn serving_time_on_stop(stop_max: Duration) -> Duration {
     SERVE_ON_MAX.min(stop_max.mul_f64(SERVE_ON_SHARE))
 }
 
--- a/crates/agent/src/snapshot/mod.rs
+++ b/crates/agent/src/snapshot/mod.rs
@@ -26,14 +26,14 @@
 pub struct LocalUpstream {
     pub announcement: Announcement,
     /// Set while no new work is to come from callers that could go elsewhere.
-    pub leaving: Option<Leaving>,
+    pub leaving: Option<LeaveReason>,
 }
 
 /// Why an upstream is to get no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Leaving {
+pub enum LeaveReason {
     /// It, or the agent beside it, is about to stop.
-    ForGood,
+    Stopping,
     /// An operator has closed its availability zone.
     ZoneClosed,
 }
--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -17,7 +17,7 @@
 
 use super::fakes::{Call, PATIENCE, TestAgent, check, get, token};
 use crate::{
-    ingress::{AnnounceProtocol, Heard},
+    ingress::{AnnounceProtocol, UpstreamMessage},
     report::{Announcement, Report},
 };
 
@@ -38,7 +38,7 @@
         head.uri.path() == "/announce"
     }
 
-    fn read(&self, _head: &Parts, body: &[u8]) -> Result<Heard, (StatusCode, String)> {
+    fn read(&self, _head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
         let said: Said = serde_json::from_slice(body)
             .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
         let announcement = Announcement {
@@ -48,7 +48,7 @@
             slots: 2,
             checks_fence: false,
             upstream_id: None,
-            born_ms: None,
+            incarnation_start_ms: None,
             sequence: said.sequence,
             cold_for: Duration::ZERO,
         };
@@ -61,7 +61,7 @@
             handover: handover.into(),
         });
         let keys = HeldKeys { held: held.collect(), released: released.collect() };
-        Ok(Heard::Announced { announcement, clock_ms: None, keys: Some(keys) })
+        Ok(UpstreamMessage::Announced { announcement, clock_ms: None, keys: Some(keys) })
     }
 
     fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response {
--- a/crates/agent/src/tests/fakes.rs
+++ b/crates/agent/src/tests/fakes.rs
@@ -34,7 +34,7 @@
     plane::{Plane, PlaneParts},
     report::{self, Announcement, Report},
     snapshot::{
-        KeyRoutes, Leaving, LocalUpstream, MemberRoute, OwnerRoute, Routes, ServiceRoutes,
+        KeyRoutes, LeaveReason, LocalUpstream, MemberRoute, OwnerRoute, Routes, ServiceRoutes,
         Snapshot, SnapshotCell,
     },
 };
@@ -410,10 +410,10 @@
     /// The same with the own zone closed, or opened.
     pub(super) async fn close_zone(&self, is_closed: bool) {
         let former = self.snapshots.load();
-        let local = former
-            .local
-            .clone()
-            .map(|it| LocalUpstream { leaving: is_closed.then_some(Leaving::ZoneClosed), ..it });
+        let local = former.local.clone().map(|it| LocalUpstream {
+            leaving: is_closed.then_some(LeaveReason::ZoneClosed),
+            ..it
+        });
         let services = former.services.clone();
         self.snapshots.store(Snapshot { services, routing: None, local });
         self.plane.wait_bound().await;
@@ -430,7 +430,7 @@
             slots: 2,
             checks_fence: false,
             upstream_id: None,
-            born_ms: None,
+            incarnation_start_ms: None,
             sequence: 0,
             cold_for: Duration::ZERO,
         };
--- a/crates/agent/src/zones/mod.rs
+++ b/crates/agent/src/zones/mod.rs
@@ -30,7 +30,7 @@
 
 /// What a change of the store says of a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ZoneNews {
+pub enum ZoneChange {
     Closed(Zone),
     Open(Zone),
 }
@@ -39,7 +39,7 @@
 pub async fn follow_zones(
     store: Arc<dyn ObjectStore>,
     prefix: &str,
-    read: impl Fn(&Change) -> Option<ZoneNews>,
+    read: impl Fn(&Change) -> Option<ZoneChange>,
     closed: watch::Sender<ClosedZones>,
 ) {
     let mut follower = Follower::new(store, prefix, FOLLOWER_TIMES).from_an_aged_list();
@@ -49,10 +49,10 @@
     }
 }
 
-fn take(news: ZoneNews, closed: &watch::Sender<ClosedZones>) {
+fn take(news: ZoneChange, closed: &watch::Sender<ClosedZones>) {
     closed.send_if_modified(|known| match news {
-        ZoneNews::Closed(zone) => Arc::make_mut(known).insert(zone),
-        ZoneNews::Open(zone) => Arc::make_mut(known).remove(&zone),
+        ZoneChange::Closed(zone) => Arc::make_mut(known).insert(zone),
+        ZoneChange::Open(zone) => Arc::make_mut(known).remove(&zone),
     });
 }
 
@@ -64,12 +64,12 @@
     follow_zones(store, ZONES_PREFIX, read_own, closed).await;
 }
 
-fn read_own(change: &Change) -> Option<ZoneNews> {
+fn read_own(change: &Change) -> Option<ZoneChange> {
     let zone = zone_of_path(&change.path)?;
-    let Some(body) = &change.body else { return Some(ZoneNews::Open(zone)) };
+    let Some(body) = &change.body else { return Some(ZoneChange::Open(zone)) };
     match serde_json::from_slice(body) {
-        Ok(ZoneObject { closed: true }) => Some(ZoneNews::Closed(zone)),
-        Ok(ZoneObject { closed: false }) => Some(ZoneNews::Open(zone)),
+        Ok(ZoneObject { closed: true }) => Some(ZoneChange::Closed(zone)),
+        Ok(ZoneObject { closed: false }) => Some(ZoneChange::Open(zone)),
         Err(error) => {
             log::error!(target: "zones", "{} is passed over: {error}.", change.path);
             None
--- a/crates/agent/src/zones/tests.rs
+++ b/crates/agent/src/zones/tests.rs
@@ -7,7 +7,7 @@
 use object_store::Change;
 use tokio::{sync::watch, time::timeout};
 
-use super::{ClosedZones, ClosedZonesSource, ZoneNews, follow_own_zones, read_own};
+use super::{ClosedZones, ClosedZonesSource, ZoneChange, follow_own_zones, read_own};
 use crate::control::tests::platform::FakeStore;
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -30,10 +30,10 @@
 #[test]
 fn what_is_no_zone_changes_nothing() {
     let closed = change("zones/pitlane", Some(r#"{"closed": true}"#));
-    assert_eq!(read_own(&closed), Some(ZoneNews::Closed(zone("pitlane"))));
+    assert_eq!(read_own(&closed), Some(ZoneChange::Closed(zone("pitlane"))));
     let open = change("zones/pitlane", Some(r#"{"closed": false}"#));
-    assert_eq!(read_own(&open), Some(ZoneNews::Open(zone("pitlane"))));
-    assert_eq!(read_own(&change("zones/pitlane", None)), Some(ZoneNews::Open(zone("pitlane"))));
+    assert_eq!(read_own(&open), Some(ZoneChange::Open(zone("pitlane"))));
+    assert_eq!(read_own(&change("zones/pitlane", None)), Some(ZoneChange::Open(zone("pitlane"))));
     for (path, body) in [
         ("zones/pitlane", "{}"),
         ("zones/pitlane", "nonsense"),
