--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -1,11 +1,11 @@
-//! Where callers come in: HTTP on the caller address, in the form that [`CallerForm`] reads.
+//! Where callers come in: HTTP on the caller address, in the form that [`CallerProtocol`] reads.
 
-mod ahead;
+mod read_ahead;
 mod announce;
 mod answer;
 mod destination;
-mod form;
-mod own_form;
+mod protocol;
+mod default_protocol;
 mod refusal;
 mod server;
 mod waits;
@@ -51,12 +51,14 @@
 use destination::Destinations;
 use waits::Waits;
 
-pub use announce::{AnnounceForm, Heard};
-pub use form::{CallHead, CallId, CallerForm, answered, status_of};
+pub use announce::{AnnounceProtocol, UpstreamMessage};
+pub use protocol::{CallHead, CallId, CallerProtocol, answer_response, status_of};
 pub use refusal::Refusal;
 
-pub(crate) use announce::{Announcements, KeyGranter, OwnAnnounceForm, serve_announcements};
-pub(crate) use own_form::OwnForm;
+pub(crate) use announce::{
+    Announcements, DefaultAnnounceProtocol, KeyGranter, serve_announcements,
+};
+pub(crate) use default_protocol::DefaultCallerProtocol;
 pub(crate) use server::serve;
 
 /// How long a first request waits for the routes of a service that this agent has not met.
@@ -77,7 +79,7 @@
     pub(crate) announcements: Option<Announcements>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Arc<RequestLog>,
-    pub(crate) form: Arc<dyn CallerForm>,
+    pub(crate) protocol: Arc<dyn CallerProtocol>,
 }
 
 /// The callers' side of the agent.
@@ -156,7 +158,7 @@
         if self.is_leaving() {
             return false;
         }
-        let Ok(head) = self.parts.form.read(parts) else { return false };
+        let Ok(head) = self.parts.protocol.read(parts) else { return false };
         self.destinations.is_idempotent(&head, parts, &self.parts.snapshots.load())
     }
 
@@ -167,7 +169,7 @@
         {
             return announcements.take(&parts, body).await;
         }
-        let head = match self.parts.form.read(&parts) {
+        let head = match self.parts.protocol.read(&parts) {
             Ok(head) => head,
             Err(refusal) => return self.refuse(&refusal, None),
         };
@@ -176,15 +178,18 @@
         if self.closed.load(Ordering::SeqCst) {
             let reply = GateReply::not_run(NotRunReason::Draining);
             let ending = FinalReply { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
-            let resent = parts.headers.contains_key(own_form::FIRST_SENT_HEADER);
-            return self.parts.form.answer(if resent { of_resend(ending) } else { ending }, &id);
+            let resent = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
+            return self
+                .parts
+                .protocol
+                .answer(if resent { of_resend(ending) } else { ending }, &id);
         }
         let started = self.parts.clock.now();
         match self.forward(&parts, head, id.id, body).await {
             Ok(Done { team, class, ending }) => {
                 let spent = self.parts.clock.now().since(started);
-                self.parts.metrics.request(&team, &class, ending.reply.outcome(), spent);
-                self.parts.form.answer(ending, &id)
+                self.parts.metrics.record_request(&team, &class, ending.reply.outcome(), spent);
+                self.parts.protocol.answer(ending, &id)
             }
             Err(refusal) => self.refuse(&refusal, Some(id.id)),
         }
@@ -192,7 +197,7 @@
 
     fn refuse(&self, refusal: &Refusal, id: Option<RequestId>) -> Response {
         self.parts.log.refused(id, refusal);
-        self.parts.form.refuse(refusal)
+        self.parts.protocol.refuse(refusal)
     }
 
     async fn forward(
@@ -207,17 +212,17 @@
             self.destinations.find(&head, &parts.uri, &self.parts.snapshots.load())?;
         let patience = head.deadline.map_or(ROUTES_WAIT, |it| it.min(ROUTES_WAIT));
         let Some(routes) = self.routes(&destination.service, patience).await else {
-            return Err(Refusal::NoRoutesYet);
+            return Err(Refusal::RoutesUnknown);
         };
         let limits = &routes.document.limits;
         check_size(&parts.headers, &parts.uri, limits.header_bytes_max)?;
         let left = head.deadline;
         let mut request = gate_request(&routes, &destination, parts, head, id)?;
         request.body = read(body, limits.body_bytes_max).await?;
-        request.content = content(&request);
+        request.fingerprint = request_fingerprint(&request);
         if let (Some(route), Some(left)) = (&destination.route, left) {
             let waited = self.waits.waited(route, left);
-            request.has_come_back = waited.is_some();
+            request.is_caller_retry = waited.is_some();
             let waited = waited.unwrap_or_default();
             request.objective = request.objective.map(|it| it.saturating_sub(waited));
         }
@@ -251,7 +256,7 @@
             return Some(routes);
         }
         let mut changes = self.parts.snapshots.changes();
-        self.parts.reporter.hint(Report::UnknownService { service: service.clone() });
+        self.parts.reporter.try_report(Report::UnknownService { service: service.clone() });
         let waiting = async {
             while known().filter(lead_somewhere).is_none() && changes.changed().await.is_ok() {}
         };
@@ -310,17 +315,17 @@
         service: destination.service.clone(),
         key_hash,
         id,
-        content: head.content,
+        fingerprint: head.fingerprint,
         class: class.clone(),
         idempotent,
         remaining: head.deadline.map_or(timeout, |named| named.min(timeout)),
         age: head.age,
-        held: Duration::ZERO,
-        attempts,
+        time_at_ingress: Duration::ZERO,
+        upstream_attempts_max: attempts,
         kind: host_route.map(kind_of),
-        has_come_back: false,
+        is_caller_retry: false,
         objective: host_route.map(|it| it.objective),
-        config: routes.version,
+        config_version: routes.version,
         method: parts.method.clone(),
         path: path.clone(),
         headers: Arc::new(head.headers),
@@ -329,9 +334,9 @@
 }
 
 /// What a request asks for, once its body is there.
-fn content(request: &GateRequest) -> Fingerprint {
+fn request_fingerprint(request: &GateRequest) -> Fingerprint {
     Fingerprint::of([
-        &request.content.0.to_le_bytes()[..],
+        &request.fingerprint.0.to_le_bytes()[..],
         request.method.as_str().as_bytes(),
         request.path.as_str().as_bytes(),
         &request.body,
@@ -348,7 +353,7 @@
 }
 
 /// Takes out what is about one connection only.
-pub fn strip_connection(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod links;
 mod metrics;
 mod plane;
-mod port;
+mod adapters;
 mod quarantine;
 mod ready;
 mod reload;
@@ -22,17 +22,17 @@
 pub mod snapshot;
 mod zones;
 
+pub use adapters::Adapters;
 pub use forward::FinalReply;
 pub use gate::Connect;
 pub use ingress::{
-    AnnounceForm, CallHead, CallId, CallerForm, Heard, Refusal, answered, status_of,
-    strip_connection,
+    AnnounceProtocol, CallHead, CallId, CallerProtocol, Refusal, UpstreamMessage, answer_response,
+    status_of, strip_hop_by_hop_headers,
 };
-pub use port::Ports;
 pub use reload::SettingsFile;
 pub use request::GateReply;
 pub use run::{ListenError, run, run_with};
-pub use zones::{ClosedZones, ClosedZonesSource, ZoneNews, follow_zones};
+pub use zones::{ClosedZones, ClosedZonesSource, ZoneChange, follow_zones};
 
 #[cfg(test)]
 mod tests;
--- a/crates/agent/src/plane.rs
+++ b/crates/agent/src/plane.rs
@@ -23,7 +23,7 @@
     control::DocumentSource,
     forward::{ForwardParts, Forwarder},
     gate::{Connect, Gate, GateHandle, GateParts, GateTask, UpstreamClock},
-    ingress::{self, AnnounceForm, Announcements, CallerForm, Ingress, IngressParts},
+    ingress::{self, AnnounceProtocol, Announcements, CallerProtocol, Ingress, IngressParts},
     links::{LinkKey, traffic::TrafficLinks},
     metrics::{self, Metrics},
     quarantine::SharedQuarantine,
@@ -61,8 +61,8 @@
     pub(crate) metrics: TcpListener,
     /// What control asks of the platform, for the metrics.
     pub(crate) platform_calls: Arc<CallCounts>,
-    pub(crate) form: Arc<dyn CallerForm>,
-    pub(crate) announce_form: Arc<dyn AnnounceForm>,
+    pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
+    pub(crate) announce_protocol: Arc<dyn AnnounceProtocol>,
     /// Where the upstream announces itself, if not at the callers' address.
     pub(crate) announcements: Option<TcpListener>,
     pub(crate) ready: Option<TcpListener>,
@@ -116,7 +116,7 @@
             quarantine,
         });
         let announcements = Announcements {
-            form: parts.announce_form,
+            protocol: parts.announce_protocol,
             clock: parts.clock,
             upstream_clock,
             reporter: parts.reporter.clone(),
@@ -139,7 +139,7 @@
         }
         let ingress = Arc::new(Ingress::new(IngressParts {
             announcements: announced_here,
-            form: parts.form,
+            protocol: parts.caller_protocol,
             clock: parts.clock,
             snapshots: Arc::clone(&parts.snapshots),
             forwarder,
@@ -152,7 +152,7 @@
         let server = ingress::serve(parts.callers, closed, Arc::clone(&ingress), hook);
         let server = tokio::spawn(server);
         tokio::spawn(metrics::serve(parts.metrics, metrics, Arc::clone(&gate)));
-        tokio::spawn(warm_links(parts.snapshots, links));
+        tokio::spawn(preconnect_links(parts.snapshots, links));
         Ok(Plane { gate, ingress, readiness, closing, drained, server })
     }
 
@@ -202,12 +202,12 @@
 }
 
 /// Makes links to owners and members before the first request needs them.
-async fn warm_links(snapshots: Arc<SnapshotCell>, links: TrafficLinks) {
+async fn preconnect_links(snapshots: Arc<SnapshotCell>, links: TrafficLinks) {
     let mut changes = snapshots.changes();
     loop {
         let snapshot = snapshots.load().clone();
         for service in snapshot.services.values() {
-            service.routes.instances().for_each(|it| links.warm(it));
+            service.routes.instances().for_each(|it| links.preconnect(it));
         }
         if changes.changed().await.is_err() {
             return;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -20,12 +20,12 @@
 };
 
 use crate::{
+    adapters::Adapters,
     clock::Clock,
     control::{self, CentralConfigSource, ControlParts, DocumentSource, Phase},
     gate::GateHandle,
     links::LinkKey,
     plane::{Plane, PlaneParts},
-    port::Ports,
     reload::SettingsFile,
     report::{self, Report},
     snapshot::SnapshotCell,
@@ -69,14 +69,14 @@
 
 /// Runs an agent that speaks the product's own forms, until a signal has ended it gracefully.
 pub fn run(file: SettingsFile) -> anyhow::Result<()> {
-    run_with(file, Ports::own)
+    run_with(file, Adapters::own)
 }
 
 /// Runs an agent with other adapters, until a signal has ended it gracefully. They are made on the
 /// runtime of the traffic threads.
 pub fn run_with(
     file: SettingsFile,
-    ports: impl FnOnce(&AgentSettings, &Arc<CallCounts>) -> anyhow::Result<Ports>,
+    ports: impl FnOnce(&AgentSettings, &Arc<CallCounts>) -> anyhow::Result<Adapters>,
 ) -> anyhow::Result<()> {
     let settings = file.settings.clone();
     let runtime = Builder::new_multi_thread()
@@ -91,7 +91,7 @@
     let listeners = runtime.block_on(async { Listeners::bind(&settings) })?;
     let platform_calls: Arc<CallCounts> = Arc::default();
     let ports = runtime.block_on(async { ports(&settings, &platform_calls) });
-    let Ports {
+    let Adapters {
         store,
         traffic_store,
         callers,
@@ -149,8 +149,8 @@
             handle,
             tasks,
             connect,
-            form: callers,
-            announce_form: announcements,
+            caller_protocol: callers,
+            announce_protocol: announcements,
             announcements: listeners.announcements.map(TcpListener::from_std).transpose()?,
             ready: listeners.ready.map(TcpListener::from_std).transpose()?,
             documents_from,
@@ -182,7 +182,7 @@
     log::info!(target: "agent", "A signal asks to stop: handing over.");
     plane.leave();
     let handed_over = async {
-        sleep(serve_on(stop_max)).await;
+        sleep(serving_time_on_stop(stop_max)).await;
         phase.send_replace(Phase::Stopping);
         if timeout_at(began + stop_max.mul_f64(HANDOVER_SHARE), handed_over).await.is_err() {
             log::warn!(target: "agent", "Not everything was handed over in time.");
@@ -207,7 +207,7 @@
 }
 
 /// How long an instance that stops goes on as before.
-pub(crate) fn serve_on(stop_max: Duration) -> Duration {
+pub(crate) fn serving_time_on_stop(stop_max: Duration) -> Duration {
     SERVE_ON_MAX.min(stop_max.mul_f64(SERVE_ON_SHARE))
 }
 
