--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -295,7 +295,7 @@
 ) -> Result<Option<(ObjectVersion, T)>, StoreError> {
     let read = match consistency {
         Consistency::Latest => platform.read(path),
-        Consistency::Stale => platform.read_aged(path),
+        Consistency::Stale => platform.read_maybe_stale(path),
     };
     let Some(object) = read.await? else { return Ok(None) };
     match serde_json::from_slice(&object.body) {
--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -23,10 +23,10 @@
 /// crash must be known to all agents before the request is sent again, so delays after failures are
 /// short.
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
-    wait: Duration::from_secs(29),
-    call_every_min: Duration::from_millis(10),
-    pause: Duration::from_millis(100),
-    pause_max: Duration::from_millis(1_000),
+    watch_wait: Duration::from_secs(29),
+    call_interval_min: Duration::from_millis(10),
+    retry_delay_min: Duration::from_millis(100),
+    retry_delay_max: Duration::from_millis(1_000),
 };
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 const WRITE_RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
@@ -110,10 +110,11 @@
 }
 
 async fn follow(store: Arc<dyn ObjectStore>, quarantine: std::sync::Weak<SharedQuarantine>) {
-    let mut follower = Follower::new(store, ENDS_PREFIX, FOLLOWER_TIMES).from_an_aged_list();
+    let mut follower =
+        Follower::new(store, ENDS_PREFIX, FOLLOWER_TIMES).with_maybe_stale_first_list();
     let mut era = None;
     loop {
-        let changes = follower.next_after_failures("Crash records").await;
+        let changes = follower.next_with_retries("Crash records").await;
         let Some(quarantine) = quarantine.upgrade() else { return };
         if era.replace(follower.era()).is_some_and(|it| it != follower.era()) {
             quarantine.request_write(PendingWrite::StoreRolledBack);
--- a/crates/agent/src/zones/mod.rs
+++ b/crates/agent/src/zones/mod.rs
@@ -22,10 +22,10 @@
 /// Zones are closed a few times a year, so that most watches end without news: they are long. A closing has to
 /// act within seconds, also when the store has just come back, so the pauses after failures are short.
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
-    wait: Duration::from_secs(29),
-    call_every_min: Duration::from_millis(50),
-    pause: Duration::from_millis(100),
-    pause_max: Duration::from_millis(1_000),
+    watch_wait: Duration::from_secs(29),
+    call_interval_min: Duration::from_millis(50),
+    retry_delay_min: Duration::from_millis(100),
+    retry_delay_max: Duration::from_millis(1_000),
 };
 
 /// What a change of the store says of a zone.
@@ -42,9 +42,9 @@
     read: impl Fn(&Change) -> Option<ZoneNews>,
     closed: watch::Sender<ClosedZones>,
 ) {
-    let mut follower = Follower::new(store, prefix, FOLLOWER_TIMES).from_an_aged_list();
+    let mut follower = Follower::new(store, prefix, FOLLOWER_TIMES).with_maybe_stale_first_list();
     loop {
-        let changes = follower.next_after_failures("Which zones are closed").await;
+        let changes = follower.next_with_retries("Which zones are closed").await;
         changes.iter().filter_map(&read).for_each(|it| take(it, &closed));
     }
 }
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -20,10 +20,10 @@
     Timeouts { call: Duration::from_secs(2), watch_margin: Duration::from_secs(2) };
 
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
-    wait: Duration::from_secs(20),
-    call_every_min: Duration::from_millis(100),
-    pause: Duration::from_millis(200),
-    pause_max: Duration::from_secs(1),
+    watch_wait: Duration::from_secs(20),
+    call_interval_min: Duration::from_millis(100),
+    retry_delay_min: Duration::from_millis(200),
+    retry_delay_max: Duration::from_secs(1),
 };
 
 /// The platform, with retries.
--- a/crates/object-store/src/api.rs
+++ b/crates/object-store/src/api.rs
@@ -53,7 +53,7 @@
     /// Reads the latest acknowledged state of an object.
     fn read(&self, path: &str) -> StoreResult<'_, Option<Object>>;
     /// Reads some acknowledged state of an object, perhaps seconds old, where a store has a cheaper way for that.
-    fn read_aged(&self, path: &str) -> StoreResult<'_, Option<Object>> {
+    fn read_maybe_stale(&self, path: &str) -> StoreResult<'_, Option<Object>> {
         self.read(path)
     }
     /// Updates on condition of the version; one without a revision: that it does not exist.
@@ -71,7 +71,7 @@
     fn list(&self, prefix: &str) -> StoreResult<'_, Changes>;
     /// Lists some acknowledged state, perhaps seconds old, where a store has a cheaper way for that. A watch from
     /// its revision makes up for the rest.
-    fn list_aged(&self, prefix: &str) -> StoreResult<'_, Changes> {
+    fn list_maybe_stale(&self, prefix: &str) -> StoreResult<'_, Changes> {
         self.list(prefix)
     }
     /// Waits at most `wait` for changes after a revision; an empty answer means none came.
--- a/crates/object-store/src/counted.rs
+++ b/crates/object-store/src/counted.rs
@@ -18,21 +18,26 @@
 pub enum CallKind {
     Read,
     /// A read that may show an older state.
-    AgedRead,
+    MaybeStaleRead,
     Update,
     List,
     Watch,
 }
 
 impl CallKind {
-    pub const ALL: [CallKind; 5] =
-        [CallKind::Read, CallKind::AgedRead, CallKind::Update, CallKind::List, CallKind::Watch];
+    pub const ALL: [CallKind; 5] = [
+        CallKind::Read,
+        CallKind::MaybeStaleRead,
+        CallKind::Update,
+        CallKind::List,
+        CallKind::Watch,
+    ];
 
     /// The value of the `kind` label in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             CallKind::Read => "read",
-            CallKind::AgedRead => "aged_read",
+            CallKind::MaybeStaleRead => "aged_read",
             CallKind::Update => "update",
             CallKind::List => "list",
             CallKind::Watch => "watch",
@@ -72,8 +77,8 @@
         self.count(CallKind::Read).read(path)
     }
 
-    fn read_aged(&self, path: &str) -> StoreResult<'_, Option<Object>> {
-        self.count(CallKind::AgedRead).read_aged(path)
+    fn read_maybe_stale(&self, path: &str) -> StoreResult<'_, Option<Object>> {
+        self.count(CallKind::MaybeStaleRead).read_maybe_stale(path)
     }
 
     fn update(
@@ -93,8 +98,8 @@
         self.count(CallKind::List).list(prefix)
     }
 
-    fn list_aged(&self, prefix: &str) -> StoreResult<'_, Changes> {
-        self.count(CallKind::AgedRead).list_aged(prefix)
+    fn list_maybe_stale(&self, prefix: &str) -> StoreResult<'_, Changes> {
+        self.count(CallKind::MaybeStaleRead).list_maybe_stale(prefix)
     }
 
     fn watch(
--- a/crates/object-store/src/eras.rs
+++ b/crates/object-store/src/eras.rs
@@ -14,11 +14,11 @@
 
 /// The latest era of one store that one client has heard of: one more than it, and 0 before the first answer.
 #[derive(Debug, Default)]
-pub struct Eras(AtomicU64);
+pub struct EraTracker(AtomicU64);
 
-impl Eras {
+impl EraTracker {
     /// Takes in the era that an answer names. True if the store has come back from an older copy since the last answer.
-    pub fn hear(&self, era: u64) -> bool {
+    pub fn observe(&self, era: u64) -> bool {
         let known = self.0.fetch_max(era + 1, Ordering::SeqCst).checked_sub(1);
         let Some(known) = known.filter(|it| era > *it) else { return false };
         log::warn!(target: "platform", "The store has come back from an older copy: era {era} after {known}.");
@@ -35,7 +35,11 @@
     /// # Errors
     ///
     /// `Conflict`, if the store has come back from an older copy since.
-    pub fn condition(&self, step: &str, expected: ObjectVersion) -> Result<u64, StoreError> {
+    pub fn revision_for_update(
+        &self,
+        step: &str,
+        expected: ObjectVersion,
+    ) -> Result<u64, StoreError> {
         let latest = self.latest();
         if expected != ObjectVersion(0) && expected.era() < latest {
             let current = ObjectVersion::of(latest, 0);
@@ -49,7 +53,7 @@
     /// # Errors
     ///
     /// `Unavailable`, if its condition was of an earlier era: what it has replaced is not known.
-    pub fn updated(
+    pub fn confirm_update(
         &self,
         step: String,
         peer: SocketAddr,
@@ -68,7 +72,7 @@
     /// # Errors
     ///
     /// `HistoryGone`, if the store has come back from an older copy since.
-    pub fn watched_from(&self, step: &str, after: ObjectVersion) -> Result<u64, StoreError> {
+    pub fn revision_for_watch(&self, step: &str, after: ObjectVersion) -> Result<u64, StoreError> {
         if after.era() < self.latest() {
             return Err(StoreError::HistoryGone { step: step.to_owned() });
         }
--- a/crates/object-store/src/follower.rs
+++ b/crates/object-store/src/follower.rs
@@ -14,21 +14,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerTimes {
     /// How long one watch waits. A watch that has gone stale is renewed after this time.
-    pub wait: Duration,
+    pub watch_wait: Duration,
     /// The least time between the starts of two calls.
-    pub call_every_min: Duration,
+    pub call_interval_min: Duration,
     /// The first pause after a failure; it doubles with each further one.
-    pub pause: Duration,
-    pub pause_max: Duration,
+    pub retry_delay_min: Duration,
+    pub retry_delay_max: Duration,
 }
 
 impl Default for FollowerTimes {
     fn default() -> FollowerTimes {
         FollowerTimes {
-            wait: Duration::from_secs(20),
-            call_every_min: Duration::from_millis(100),
-            pause: Duration::from_millis(200),
-            pause_max: Duration::from_secs(5),
+            watch_wait: Duration::from_secs(20),
+            call_interval_min: Duration::from_millis(100),
+            retry_delay_min: Duration::from_millis(200),
+            retry_delay_max: Duration::from_secs(5),
         }
     }
 }
@@ -71,14 +71,14 @@
             aged_first: false,
             known: BTreeSet::new(),
             lists_in_a_row: 0,
-            pause: times.pause,
+            pause: times.retry_delay_min,
             next_call: None,
             is_in_reach: true,
         }
     }
 
     /// Begins with a list that may be seconds old, which some stores answer at a lower price.
-    pub fn from_an_aged_list(self) -> Follower {
+    pub fn with_maybe_stale_first_list(self) -> Follower {
         Follower { aged_first: true, ..self }
     }
 
@@ -89,12 +89,12 @@
             if let Some(at) = self.next_call {
                 sleep_until(at).await;
             }
-            self.next_call = Some(Instant::now() + self.times.call_every_min);
+            self.next_call = Some(Instant::now() + self.times.call_interval_min);
             let first = self.revision.is_none();
             let era = self.era();
             match self.call().await {
                 Ok(changes) => {
-                    self.pause = self.times.pause;
+                    self.pause = self.times.retry_delay_min;
                     let newer = self.advance(changes);
                     if first || era != self.era() || !newer.is_empty() {
                         return Ok(newer);
@@ -105,7 +105,7 @@
                         self.history_is_gone();
                     }
                     self.next_call = Some(Instant::now() + self.pause);
-                    self.pause = (self.pause * 2).min(self.times.pause_max);
+                    self.pause = (self.pause * 2).min(self.times.retry_delay_max);
                     return Err(error);
                 }
             }
@@ -114,7 +114,7 @@
 
     /// The next changes, however many calls fail before. `what` is followed, and begins a sentence: the log tells
     /// of the first failure in a row, and of its end.
-    pub async fn next_after_failures(&mut self, what: &str) -> Vec<Change> {
+    pub async fn next_with_retries(&mut self, what: &str) -> Vec<Change> {
         loop {
             match self.next().await {
                 Ok(changes) => {
@@ -139,10 +139,10 @@
     async fn call(&self) -> Result<Changes, StoreError> {
         match self.revision.filter(|_| !self.lists) {
             None if self.aged_first && self.revision.is_none() => {
-                self.platform.list_aged(&self.prefix).await
+                self.platform.list_maybe_stale(&self.prefix).await
             }
             None => self.platform.list(&self.prefix).await,
-            Some(after) => self.platform.watch(&self.prefix, after, self.times.wait).await,
+            Some(after) => self.platform.watch(&self.prefix, after, self.times.watch_wait).await,
         }
     }
 
--- a/crates/object-store/src/http.rs
+++ b/crates/object-store/src/http.rs
@@ -15,7 +15,7 @@
     response::Response,
 };
 
-use crate::{Change, Changes, Eras, Object, ObjectStore, StoreError, StoreResult};
+use crate::{Change, Changes, EraTracker, Object, ObjectStore, StoreError, StoreResult};
 
 const VERSION_HEADER: &str = "x-object-version";
 const CONDITION_HEADER: &str = "if-object-version";
@@ -47,7 +47,7 @@
     client: Client,
     peer: SocketAddr,
     timeouts: Timeouts,
-    eras: Arc<Eras>,
+    eras: Arc<EraTracker>,
 }
 
 /// One call, before it is sent.
@@ -101,7 +101,7 @@
         };
         match timeout(limit, exchange).await {
             Ok(Ok(answer)) => {
-                self.eras.hear(era(&answer));
+                self.eras.observe(era(&answer));
                 self.judge(step, answer, absent_is_an_answer)
             }
             Ok(Err(reason)) => Err(self.unavailable(step, reason)),
@@ -210,7 +210,7 @@
         let step = format!("update {path}");
         let target = format!("/objects/{path}");
         Box::pin(async move {
-            let revision = self.eras.condition(&step, expected)?;
+            let revision = self.eras.revision_for_update(&step, expected)?;
             let call = Call {
                 step: step.clone(),
                 method: Method::PUT,
@@ -221,7 +221,7 @@
             };
             let answer = self.send(call).await?;
             let version = self.number(&step, &answer, VERSION_HEADER)?;
-            self.eras.updated(step, self.peer, expected, version)
+            self.eras.confirm_update(step, self.peer, expected, version)
         })
     }
 
@@ -247,7 +247,7 @@
         let step = format!("watch {prefix}");
         let prefix = prefix.to_owned();
         Box::pin(async move {
-            let revision = self.eras.watched_from(&step, after)?;
+            let revision = self.eras.revision_for_watch(&step, after)?;
             let target = format!("/watch/{prefix}?after={revision}&wait_ms={}", wait.as_millis());
             let call = self.get(step.clone(), target, wait + self.timeouts.watch_margin);
             let answer = self.send(call).await?;
--- a/crates/object-store/src/lib.rs
+++ b/crates/object-store/src/lib.rs
@@ -25,6 +25,6 @@
 
 pub use api::{Change, Changes, Object, ObjectStore, StoreError, StoreResult};
 pub use counted::{CallCounts, CallKind, CountedStore};
-pub use eras::Eras;
+pub use eras::EraTracker;
 pub use follower::{Follower, FollowerTimes};
 pub use http::{HttpObjectStore, Timeouts};
--- a/crates/object-store/src/tests/restored.rs
+++ b/crates/object-store/src/tests/restored.rs
@@ -169,7 +169,7 @@
     let mut follower = Follower::new(Arc::clone(store) as _, "ends/", FollowerTimes::default());
     let following = async {
         loop {
-            for change in follower.next_after_failures("The test").await {
+            for change in follower.next_with_retries("The test").await {
                 let mut seen = seen.lock().unwrap();
                 match change.body {
                     Some(body) => seen.insert(change.path, body[0]),
@@ -217,8 +217,7 @@
     store.take(restore, 0);
     store.take(write, 1);
     let found = async {
-        while !follower.next_after_failures("The test").await.iter().any(|it| it.path == PATHS[1]) {
-        }
+        while !follower.next_with_retries("The test").await.iter().any(|it| it.path == PATHS[1]) {}
     };
     timeout(SETTLES, found).await.expect("what is written after the copy");
 }
--- a/crates/ownership/src/sim/platform.rs
+++ b/crates/ownership/src/sim/platform.rs
@@ -2,7 +2,7 @@
 //!
 //! It may come back from an older copy: what was written since is lost, and revisions are given out again in the next
 //! era. A client that has not heard of that yet sends conditions of an earlier era; what it makes of the answer is
-//! what `object_store::Eras` makes of it.
+//! what `object_store::EraTracker` makes of it.
 
 use std::collections::VecDeque;
 
