--- a/crates/http-pool/src/pool.rs
+++ b/crates/http-pool/src/pool.rs
@@ -42,12 +42,12 @@
 pub struct PoolConfig {
     pub connect_timeout: Duration,
     /// How long a connection is kept unused, if its peer does not name a shorter time.
-    pub unused_for: Duration,
+    pub idle_timeout: Duration,
     /// How many connections are kept unused.
-    pub unused_max: usize,
+    pub idle_max: usize,
     /// A connection whose peer shows no sign of life for three times this long is given up, also while
     /// it waits for an answer.
-    pub probe_every: Option<Duration>,
+    pub probe_interval: Option<Duration>,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -58,7 +58,7 @@
     address: SocketAddr,
     config: PoolConfig,
     unused: Mutex<Vec<Unused>>,
-    opened: AtomicU64,
+    connections_opened: AtomicU64,
 }
 
 /// Calls whose answers can't be told apart. A peer may send an answer twice, the second one in place of the
@@ -102,7 +102,7 @@
 impl Pool {
     /// Connects with the first request.
     pub fn new(address: SocketAddr, config: PoolConfig) -> Pool {
-        Pool { address, config, unused: Mutex::default(), opened: AtomicU64::new(0) }
+        Pool { address, config, unused: Mutex::default(), connections_opened: AtomicU64::new(0) }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -110,16 +110,16 @@
     }
 
     /// Connections opened since the start.
-    pub fn opened(&self) -> u64 {
-        self.opened.load(Ordering::Relaxed)
+    pub fn connections_opened(&self) -> u64 {
+        self.connections_opened.load(Ordering::Relaxed)
     }
 
     /// Whether nobody listens at the address. A connection that is made for this is kept for the next request.
-    pub async fn is_refused(&self) -> bool {
+    pub async fn refuses_connections(&self) -> bool {
         match self.open().await {
             Ok(stream) => {
                 if let Ok(sender) = self.prepared(stream).await {
-                    let until = Instant::now() + self.config.unused_for;
+                    let until = Instant::now() + self.config.idle_timeout;
                     self.keep_until(until, sender, None);
                 }
                 false
@@ -128,15 +128,15 @@
         }
     }
 
-    /// Sends a request and reads the whole answer. The connection is used again only if `is_sound`
+    /// Sends a request and reads the whole answer. The connection is used again only if `is_reusable`
     /// says so of the answer. Dropping the future closes the connection.
     pub async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
         bytes_max: usize,
-        is_sound: impl FnOnce(&Parts) -> bool,
+        is_reusable: impl FnOnce(&Parts) -> bool,
     ) -> Result<Reply, ExchangeError> {
-        self.carry(None, request, bytes_max, is_sound).await
+        self.carry(None, request, bytes_max, is_reusable).await
     }
 
     /// As [`Pool::exchange`], for a call of a kind.
@@ -145,9 +145,9 @@
         kind: CallKind,
         request: Request<Full<Bytes>>,
         bytes_max: usize,
-        is_sound: impl FnOnce(&Parts) -> bool,
+        is_reusable: impl FnOnce(&Parts) -> bool,
     ) -> Result<Reply, ExchangeError> {
-        self.carry(Some(kind), request, bytes_max, is_sound).await
+        self.carry(Some(kind), request, bytes_max, is_reusable).await
     }
 
     async fn carry(
@@ -155,12 +155,12 @@
         kind: Option<CallKind>,
         request: Request<Full<Bytes>>,
         bytes_max: usize,
-        is_sound: impl FnOnce(&Parts) -> bool,
+        is_reusable: impl FnOnce(&Parts) -> bool,
     ) -> Result<Reply, ExchangeError> {
         let (sender, response) = self.send(kind, request).await?;
         let (parts, body) = response.into_parts();
         let body = read(body, bytes_max).await?;
-        if is_sound(&parts) {
+        if is_reusable(&parts) {
             self.keep(sender, kind, &parts);
         }
         Ok(Reply { parts, body })
@@ -222,8 +222,8 @@
 
     fn keep(&self, sender: Sender, last: Option<CallKind>, parts: &Parts) {
         let kept_for = match keep_alive(&parts.headers) {
-            Some(named) => named.saturating_sub(KEEP_ALIVE_MARGIN).min(self.config.unused_for),
-            None => self.config.unused_for,
+            Some(named) => named.saturating_sub(KEEP_ALIVE_MARGIN).min(self.config.idle_timeout),
+            None => self.config.idle_timeout,
         };
         if closes(parts) || sender.is_closed() || kept_for.is_zero() {
             return;
@@ -235,14 +235,14 @@
         let now = Instant::now();
         let mut unused = self.unused();
         unused.retain(|it| now < it.until && !it.sender.is_closed());
-        if unused.len() < self.config.unused_max {
+        if unused.len() < self.config.idle_max {
             unused.push(Unused { sender, until, last });
         }
     }
 
     fn prepare(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let Some(every) = self.config.probe_every else { return Ok(()) };
+        let Some(every) = self.config.probe_interval else { return Ok(()) };
         let probes = TcpKeepalive::new().with_time(every).with_interval(every).with_retries(PROBES);
         let socket = SockRef::from(stream);
         socket.set_tcp_keepalive(&probes)?;
@@ -263,14 +263,14 @@
     /// A new connection; an error of none: it took too long.
     async fn open(&self) -> Result<TcpStream, Option<io::Error>> {
         match timeout(self.config.connect_timeout, TcpStream::connect(self.address)).await {
-            Ok(opened) => opened.map_err(Some),
+            Ok(result) => result.map_err(Some),
             Err(_) => Err(None),
         }
     }
 
     async fn prepared(&self, stream: TcpStream) -> Result<Sender, ExchangeError> {
         let closed = |reason: String| ExchangeError::Closed(reason);
-        self.opened.fetch_add(1, Ordering::Relaxed);
+        self.connections_opened.fetch_add(1, Ordering::Relaxed);
         self.prepare(&stream).map_err(|error| closed(error.to_string()))?;
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
--- a/crates/http-pool/src/tests/mod.rs
+++ b/crates/http-pool/src/tests/mod.rs
@@ -23,9 +23,9 @@
 
 const CONFIG: PoolConfig = PoolConfig {
     connect_timeout: Duration::from_secs(5),
-    unused_for: Duration::from_secs(60),
-    unused_max: 4,
-    probe_every: Some(Duration::from_secs(1)),
+    idle_timeout: Duration::from_secs(60),
+    idle_max: 4,
+    probe_interval: Some(Duration::from_secs(1)),
 };
 
 /// A peer that gives each request on a connection the next of these texts, and closes after the last.
@@ -67,7 +67,7 @@
     for _ in 0..3 {
         assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
     }
-    assert_eq!(pool.opened(), 1);
+    assert_eq!(pool.connections_opened(), 1);
 }
 
 #[tokio::test]
@@ -78,7 +78,7 @@
     for _ in 0..3 {
         assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
     }
-    assert_eq!(pool.opened(), 3);
+    assert_eq!(pool.connections_opened(), 3);
 }
 
 #[tokio::test]
@@ -89,10 +89,10 @@
     ask_of_kind(&pool, CallKind("other")).await.unwrap();
     ask_of_kind(&pool, KIND).await.unwrap();
     ask(&pool).await.unwrap();
-    assert_eq!(pool.opened(), 1, "something else came between");
+    assert_eq!(pool.connections_opened(), 1, "something else came between");
     ask_of_kind(&pool, KIND).await.unwrap();
     ask_of_kind(&pool, KIND).await.unwrap();
-    assert_eq!(pool.opened(), 2);
+    assert_eq!(pool.connections_opened(), 2);
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
     let pool = peer(&[&[TWICE], &[OK]]).await;
     assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
     assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
-    assert_eq!(pool.opened(), 2);
+    assert_eq!(pool.connections_opened(), 2);
 }
 
 #[tokio::test]
@@ -167,7 +167,7 @@
     // The resets are seen only by this, and what they wake runs later.
     yield_now().await;
     assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
-    assert_eq!(pool.opened(), 3);
+    assert_eq!(pool.connections_opened(), 3);
     peer.join().unwrap();
 }
 
@@ -189,7 +189,7 @@
     assert!(matches!(answer, Ok(Err(ExchangeError::Lost(_)))), "{answer:?}");
     let listener = peer.join().unwrap();
     assert!(listener.accept().is_err(), "no other connection");
-    assert_eq!(pool.opened(), 1);
+    assert_eq!(pool.connections_opened(), 1);
 }
 
 #[tokio::test]
@@ -214,7 +214,7 @@
     let answer = timeout(CONFIG.connect_timeout, ask(&pool)).await;
     assert!(matches!(answer, Ok(Err(ExchangeError::Lost(_)))), "{answer:?}");
     assert!(peer.join().unwrap().accept().is_err(), "no other connection");
-    assert_eq!(pool.opened(), 1);
+    assert_eq!(pool.connections_opened(), 1);
 }
 
 #[tokio::test]
