--- a/crates/agent/src/gate/crash/mod.rs
+++ b/crates/agent/src/gate/crash/mod.rs
@@ -75,7 +75,7 @@
         for delay in GONE_PROBE_DELAYS {
             sleep(delay).await;
             let Some(bound) = gate.bound.load_full() else { continue };
-            if matches!(timeout(GONE_PROBE_TIMEOUT, bound.upstream.is_gone()).await, Ok(true)) {
+            if matches!(timeout(GONE_PROBE_TIMEOUT, bound.upstream.has_exited()).await, Ok(true)) {
                 gate.record_upstream_crash("its address refuses connections");
                 break;
             }
--- a/crates/agent/src/gate/health.rs
+++ b/crates/agent/src/gate/health.rs
@@ -21,7 +21,7 @@
     loop {
         tick.tick().await;
         let Some(bound) = gate.bound.load_full() else { continue };
-        if !bound.upstream.is_asked_for_health() {
+        if !bound.upstream.needs_health_polling() {
             continue;
         }
         let probed_at = gate.clock.now();
--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -9,7 +9,7 @@
 use model::{KeyRange, OrderedKeys, Slot, SlotCount};
 use ownership::UpstreamState;
 use tokio::time::{sleep, timeout, timeout_at};
-use upstream::{GrantedKeys, HeldKeys, KeyGrant, KeyLeases, KeysToHold};
+use upstream::{AnnouncedKeys, AssignedKeys, GrantedKeys, KeyGrant, KeyLeaseMode};
 
 use crate::{
     gate::{
@@ -44,13 +44,13 @@
     pub(crate) async fn keys_to_hold(
         self: &Arc<Gate>,
         announcement: &Announcement,
-        held: &HeldKeys,
+        held: &AnnouncedKeys,
         ranges_max: usize,
-    ) -> Option<KeysToHold> {
+    ) -> Option<AssignedKeys> {
         let received_at = self.clock.now();
         let bound = timeout(NEW_INCARNATION_WAIT, self.wait_for_bound(announcement)).await.ok()?;
         let keys = bound.document.ordered_keys?;
-        if !matches!(bound.upstream.key_leases(), KeyLeases::ByAnnouncement) {
+        if !matches!(bound.upstream.key_lease_mode(), KeyLeaseMode::ByAnnouncement) {
             return None;
         }
         let slot_count = bound.document.slot_count;
@@ -143,7 +143,11 @@
 }
 
 /// Converts announced key ranges to slots.
-fn announced_slots(held: &HeldKeys, keys: OrderedKeys, slot_count: SlotCount) -> AnnouncedSlots {
+fn announced_slots(
+    held: &AnnouncedKeys,
+    keys: OrderedKeys,
+    slot_count: SlotCount,
+) -> AnnouncedSlots {
     let slots = |range: KeyRange| {
         Some((slot_of(range.first, keys, slot_count)?, slot_of(range.last, keys, slot_count)?))
     };
@@ -162,16 +166,16 @@
 }
 
 fn slot_of(key: u32, keys: OrderedKeys, slot_count: SlotCount) -> Option<Slot> {
-    keys.place(key).map(|it| slot_count.slot_of(it))
+    keys.hash_of(key).map(|it| slot_count.slot_of(it))
 }
 
-fn keys_of(answer: AnnouncementAnswer, keys: OrderedKeys, slot_count: SlotCount) -> KeysToHold {
+fn keys_of(answer: AnnouncementAnswer, keys: OrderedKeys, slot_count: SlotCount) -> AssignedKeys {
     let grant = |(range, handover): RangeGrant| KeyGrant {
         granted: GrantedKeys {
-            keys: keys.of_slots(slot_count, range.first, range.last),
+            keys: keys.range_of_slots(slot_count, range.first, range.last),
             token: range.token,
         },
         handover,
     };
-    KeysToHold { grants: answer.grants.into_iter().map(grant).collect(), hold: answer.hold }
+    AssignedKeys { grants: answer.grants.into_iter().map(grant).collect(), hold: answer.hold }
 }
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -4,7 +4,7 @@
 
 use model::{Instance, KeyRange, OrderedKeys, Slot, SlotCount, Timestamp, Token};
 use tokio::time::{sleep, timeout};
-use upstream::{GrantError, GrantedKeys, HandoverToken, KeyLeases, LeasedUpstream};
+use upstream::{GrantError, GrantedKeys, HandoverToken, KeyLeaseMode, LeaseEnforcingUpstream};
 use wire::traffic::Unit;
 
 use crate::{
@@ -56,10 +56,10 @@
             sleep(BATCH_WINDOW).await;
         }
         let Some(bound) = gate.bound.load_full() else { continue };
-        match bound.upstream.key_leases() {
-            KeyLeases::NotEnforced => {}
-            KeyLeases::ByCall(_) => reconcile_by_calls(&gate, &bound).await,
-            KeyLeases::ByAnnouncement => reconcile_announced(&gate, &bound).await,
+        match bound.upstream.key_lease_mode() {
+            KeyLeaseMode::NotEnforced => {}
+            KeyLeaseMode::ByCall(_) => reconcile_by_calls(&gate, &bound).await,
+            KeyLeaseMode::ByAnnouncement => reconcile_announced(&gate, &bound).await,
         }
     }
 }
@@ -252,17 +252,19 @@
 fn leased_keys(
     bound: &BoundUpstream,
     range: SlotRange,
-) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
+) -> Option<(&dyn LeaseEnforcingUpstream, GrantedKeys)> {
     let keys = bound.document.ordered_keys?;
     let keys = keys_of(keys, bound.document.slot_count, range);
-    match bound.upstream.key_leases() {
-        KeyLeases::ByCall(upstream) => Some((upstream, GrantedKeys { keys, token: range.token })),
-        KeyLeases::NotEnforced | KeyLeases::ByAnnouncement => None,
+    match bound.upstream.key_lease_mode() {
+        KeyLeaseMode::ByCall(upstream) => {
+            Some((upstream, GrantedKeys { keys, token: range.token }))
+        }
+        KeyLeaseMode::NotEnforced | KeyLeaseMode::ByAnnouncement => None,
     }
 }
 
 fn keys_of(keys: OrderedKeys, slot_count: SlotCount, range: SlotRange) -> KeyRange {
-    keys.of_slots(slot_count, range.first, range.last)
+    keys.range_of_slots(slot_count, range.first, range.last)
 }
 
 fn handover_message(bound: &BoundUpstream, range: SlotRange, handover: &HandoverToken) -> Handover {
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -29,7 +29,7 @@
 use model::{ClassName, Instance, Timestamp, UnknownReason};
 use settings::ServiceDocument;
 use tokio::sync::{Semaphore, mpsc, oneshot};
-use upstream::{HeldKeys, HttpUpstream, KeysToHold, Upstream};
+use upstream::{AnnouncedKeys, AssignedKeys, HttpUpstream, Upstream};
 use wire::traffic::GateLoad;
 
 use crate::{
@@ -248,9 +248,9 @@
     fn keys_to_hold(
         &self,
         announcement: Announcement,
-        held: HeldKeys,
+        held: AnnouncedKeys,
         ranges_max: usize,
-    ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>> {
+    ) -> Pin<Box<dyn Future<Output = Option<AssignedKeys>> + Send + '_>> {
         Box::pin(async move { Gate::keys_to_hold(self, &announcement, &held, ranges_max).await })
     }
 }
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -100,7 +100,7 @@
         if !self.handle.table.lease_holds(now) {
             return GateReply::not_run(NotRunReason::NoOwner);
         }
-        if bound.upstream.key_leases().are_enforced() {
+        if bound.upstream.key_lease_mode().is_enforced() {
             if bound.refuses_work(now) {
                 return GateReply::not_run(NotRunReason::Draining);
             }
@@ -183,7 +183,7 @@
     /// announcement makes it available again.
     fn report_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
         let is_unreachable = matches!(error, CallError::NotSent { .. });
-        if is_unreachable && !bound.upstream.is_asked_for_health() {
+        if is_unreachable && !bound.upstream.needs_health_polling() {
             self.reporter.hint(Report::Upstream(UpstreamState::Lost));
         }
     }
@@ -377,7 +377,7 @@
             return Err(Box::new(GateReply::not_run(NotRunReason::Draining)));
         }
         let Some(entry) = &self.entry else { return Ok(None) };
-        let enforces_leases = self.bound.upstream.key_leases().are_enforced();
+        let enforces_leases = self.bound.upstream.key_lease_mode().is_enforced();
         if enforces_leases && !self.gate.leases.is_usable(now, entry.slot()) {
             return Err(Box::new(GateReply::not_run(NotRunReason::NoOwner)));
         }
@@ -615,7 +615,7 @@
 
 fn fence_check(bound: &BoundUpstream) -> FenceCheck {
     // An upstream that enforces leases ends requests that outlast them by itself.
-    if bound.upstream.key_leases().are_enforced() {
+    if bound.upstream.key_lease_mode().is_enforced() {
         return FenceCheck::Checked;
     }
     // Both must declare the check: the announcement alone does not bind the team, which is
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -58,7 +58,7 @@
     let (mut prepared, mut closed) = (Vec::new(), Vec::new());
     let now = gate.clock.now();
     let enforces_leases =
-        gate.bound.load().as_ref().is_some_and(|it| it.upstream.key_leases().are_enforced());
+        gate.bound.load().as_ref().is_some_and(|it| it.upstream.key_lease_mode().is_enforced());
     for task in tasks {
         match task {
             GateTask::Prepare { slot, token } if enforces_leases => prepared.push((slot, token)),
--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode, request::Parts};
 use ownership::UpstreamState;
 use tokio::net::TcpListener;
-use upstream::{Announced, HealthState, HeldKeys, KeysToHold};
+use upstream::{AnnouncedKeys, AnnouncementBody, AssignedKeys, HealthState};
 use volo::{Service, net::incoming::DefaultIncoming};
 use volo_http::{
     body::Body, context::ServerContext, request::Request, response::Response, server::Server,
@@ -31,7 +31,7 @@
         /// What its monotonic clock shows, in milliseconds, if it says so.
         clock_ms: Option<u64>,
         /// What it says of its keys, where it is granted them by its announcements.
-        keys: Option<HeldKeys>,
+        keys: Option<AnnouncedKeys>,
     },
     /// It leaves for good.
     Leaves {
@@ -48,9 +48,9 @@
     fn keys_to_hold(
         &self,
         announcement: Announcement,
-        held: HeldKeys,
+        held: AnnouncedKeys,
         ranges_max: usize,
-    ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>>;
+    ) -> Pin<Box<dyn Future<Output = Option<AssignedKeys>> + Send + '_>>;
 }
 
 /// How the local upstream announces itself.
@@ -61,7 +61,7 @@
     fn read(&self, head: &Parts, body: &[u8]) -> Result<Heard, (StatusCode, String)>;
     /// The response to one that has been taken; with what the upstream is to hold, if there is something
     /// to say about that.
-    fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response;
+    fn acknowledge(&self, keys: Option<&AssignedKeys>) -> Response;
     /// The most runs of keys that fit into a response.
     fn ranges_max(&self) -> usize;
 }
@@ -103,7 +103,7 @@
     }
 
     /// Resolves to what the upstream is to hold, if there is something to say about that.
-    async fn pass_on(&self, heard: Heard) -> Option<KeysToHold> {
+    async fn pass_on(&self, heard: Heard) -> Option<AssignedKeys> {
         match heard {
             Heard::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.update(clock_ms, self.clock.now());
@@ -166,7 +166,7 @@
                 refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement is a POST")
             }
             _ => {
-                let announced: Announced = serde_json::from_slice(body)
+                let announced: AnnouncementBody = serde_json::from_slice(body)
                     .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
                 let clock_ms = announced.clock_ms;
                 Ok(Heard::Announced { announcement: announced.into(), clock_ms, keys: None })
@@ -174,7 +174,7 @@
         }
     }
 
-    fn acknowledge(&self, _keys: Option<&KeysToHold>) -> Response {
+    fn acknowledge(&self, _keys: Option<&AssignedKeys>) -> Response {
         Response::new(Body::from(String::new()))
     }
 
@@ -184,8 +184,8 @@
     }
 }
 
-impl From<Announced> for Announcement {
-    fn from(announced: Announced) -> Announcement {
+impl From<AnnouncementBody> for Announcement {
+    fn from(announced: AnnouncementBody) -> Announcement {
         Announcement {
             service: announced.service,
             address: announced.address,
--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -152,5 +152,5 @@
 }
 
 fn ordered_place(keys: OrderedKeys, key: &[u8]) -> Option<KeyHash> {
-    keys.place(std::str::from_utf8(key).ok()?.parse().ok()?)
+    keys.hash_of(std::str::from_utf8(key).ok()?.parse().ok()?)
 }
--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -12,7 +12,7 @@
     task::JoinHandle,
     time::timeout,
 };
-use upstream::{GrantedKeys, HeldKeys, KeysToHold, ReleasedKeys};
+use upstream::{AnnouncedKeys, AssignedKeys, GrantedKeys, ReleasedKeys};
 use volo_http::{body::Body, response::Response};
 
 use super::fakes::{Call, PATIENCE, TestAgent, check, get, token};
@@ -60,11 +60,11 @@
             keys: KeyRange { first, last },
             handover: handover.into(),
         });
-        let keys = HeldKeys { held: held.collect(), released: released.collect() };
+        let keys = AnnouncedKeys { held: held.collect(), released: released.collect() };
         Ok(Heard::Announced { announcement, clock_ms: None, keys: Some(keys) })
     }
 
-    fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response {
+    fn acknowledge(&self, keys: Option<&AssignedKeys>) -> Response {
         let rows = keys.map(|keys| {
             let row = |it: &upstream::KeyGrant| {
                 let KeyRange { first, last } = it.granted.keys;
--- a/crates/agent/src/tests/fakes.rs
+++ b/crates/agent/src/tests/fakes.rs
@@ -22,7 +22,7 @@
 };
 use upstream::{
     Answer, CallError, ControlError, GrantError, GrantedKeys, HandoverToken, Health, HealthState,
-    HttpUpstream, KeyLeases, LeasedUpstream, Load, Request, Upstream, UpstreamFuture,
+    HttpUpstream, KeyLeaseMode, LeaseEnforcingUpstream, Load, Request, Upstream, UpstreamFuture,
 };
 
 use crate::{
@@ -202,20 +202,20 @@
         Box::pin(async { Ok(()) })
     }
 
-    fn is_gone(&self) -> UpstreamFuture<'_, bool> {
+    fn has_exited(&self) -> UpstreamFuture<'_, bool> {
         Box::pin(async { self.has_ended() })
     }
 
-    fn key_leases(&self) -> KeyLeases<'_> {
+    fn key_lease_mode(&self) -> KeyLeaseMode<'_> {
         match self.key_grants {
-            None => KeyLeases::NotEnforced,
-            Some(KeyGrants::Calls) => KeyLeases::ByCall(self),
-            Some(KeyGrants::Announcements) => KeyLeases::ByAnnouncement,
+            None => KeyLeaseMode::NotEnforced,
+            Some(KeyGrants::Calls) => KeyLeaseMode::ByCall(self),
+            Some(KeyGrants::Announcements) => KeyLeaseMode::ByAnnouncement,
         }
     }
 }
 
-impl LeasedUpstream for FakeUpstream {
+impl LeaseEnforcingUpstream for FakeUpstream {
     fn grant_keys(
         &self,
         granted: GrantedKeys,
--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -45,13 +45,13 @@
 
     /// The place of a key among all hashes, such that the order of keys is that of their places.
     /// None: there is no such key.
-    pub fn place(self, key: u32) -> Option<KeyHash> {
+    pub fn hash_of(self, key: u32) -> Option<KeyHash> {
         let place = (u128::from(key) << 64).div_ceil(u128::from(self.0));
         (key < self.0).then_some(KeyHash(place as u64))
     }
 
     /// The keys of neighbouring slots, of which there are no more than keys.
-    pub fn of_slots(self, slot_count: SlotCount, first: Slot, last: Slot) -> KeyRange {
+    pub fn range_of_slots(self, slot_count: SlotCount, first: Slot, last: Slot) -> KeyRange {
         let begin =
             |slot: u64| (slot * u64::from(self.0)).div_ceil(u64::from(slot_count.count())) as u32;
         KeyRange { first: begin(first.0.into()), last: begin(u64::from(last.0) + 1) - 1 }
--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -43,14 +43,14 @@
         let slots = SlotCount::new(slots).unwrap();
         let mut next = 0;
         for slot in slots.iter() {
-            let range = keys.of_slots(slots, slot, slot);
+            let range = keys.range_of_slots(slots, slot, slot);
             assert_eq!(range.first, next, "{slots:?} leave no gap");
             for key in range.first..=range.last {
-                assert_eq!(slots.slot_of(keys.place(key).unwrap()), slot, "key {key}");
+                assert_eq!(slots.slot_of(keys.hash_of(key).unwrap()), slot, "key {key}");
             }
             next = range.last + 1;
         }
         assert_eq!(next, keys.count());
-        assert_eq!(keys.place(next), None);
+        assert_eq!(keys.hash_of(next), None);
     }
 }
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -203,7 +203,7 @@
         Box::pin(async move { self.tell("/control/prepare", &Prepare { slot }).await })
     }
 
-    fn is_gone(&self) -> UpstreamFuture<'_, bool> {
+    fn has_exited(&self) -> UpstreamFuture<'_, bool> {
         Box::pin(async {
             let refused = |error: io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
             TcpStream::connect(self.address).await.is_err_and(refused)
--- a/crates/upstream/src/control.rs
+++ b/crates/upstream/src/control.rs
@@ -34,7 +34,7 @@
 /// Body of `/upstream/announce`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Announced {
+pub struct AnnouncementBody {
     pub service: ServiceName,
     pub address: SocketAddr,
     pub state: HealthState,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -24,9 +24,9 @@
 mod tests;
 
 pub use client::HttpUpstream;
-pub use control::{Announced, ControlError, Health, HealthState, Load};
+pub use control::{AnnouncementBody, ControlError, Health, HealthState, Load};
 pub use request::{
-    Answer, CallError, ClockBounds, GrantError, GrantedKeys, HandoverToken, HeldKeys, KeyGrant,
-    KeyLeases, KeysToHold, LeasedUpstream, NOT_RUN_HEADER, ReleasedKeys, Request, Upstream,
-    UpstreamFuture,
+    AnnouncedKeys, Answer, AssignedKeys, CallError, ClockBounds, GrantError, GrantedKeys,
+    HandoverToken, KeyGrant, KeyLeaseMode, LeaseEnforcingUpstream, NOT_RUN_HEADER, ReleasedKeys,
+    Request, Upstream, UpstreamFuture,
 };
--- a/crates/upstream/src/request.rs
+++ b/crates/upstream/src/request.rs
@@ -81,35 +81,35 @@
     /// Resolves once it is warm for a slot.
     fn prepare(&self, slot: Slot) -> UpstreamFuture<'_, Result<(), ControlError>>;
     /// How it is granted keys, where it runs requests only for keys that it holds.
-    fn key_leases(&self) -> KeyLeases<'_> {
-        KeyLeases::NotEnforced
+    fn key_lease_mode(&self) -> KeyLeaseMode<'_> {
+        KeyLeaseMode::NotEnforced
     }
     /// Whether it is to be asked for its health all the time; if not, its announcements and the ends
     /// of requests have to do.
-    fn is_asked_for_health(&self) -> bool {
+    fn needs_health_polling(&self) -> bool {
         true
     }
     /// Whether nobody listens at its address: its process has ended.
-    fn is_gone(&self) -> UpstreamFuture<'_, bool>;
+    fn has_exited(&self) -> UpstreamFuture<'_, bool>;
     /// Ends a running request.
     fn cancel(&self, id: RequestId) -> UpstreamFuture<'_, Result<(), ControlError>>;
 }
 
 /// How an upstream is granted keys.
 #[derive(Clone, Copy)]
-pub enum KeyLeases<'a> {
+pub enum KeyLeaseMode<'a> {
     /// It runs requests for any key.
     NotEnforced,
     /// Each grant and each release is a call to it.
-    ByCall(&'a dyn LeasedUpstream),
+    ByCall(&'a dyn LeaseEnforcingUpstream),
     /// It announces what it holds, and the answer says what it is to hold from then on.
     ByAnnouncement,
 }
 
-impl KeyLeases<'_> {
+impl KeyLeaseMode<'_> {
     /// Whether it runs requests only for keys that it holds.
-    pub fn are_enforced(&self) -> bool {
-        !matches!(self, KeyLeases::NotEnforced)
+    pub fn is_enforced(&self) -> bool {
+        !matches!(self, KeyLeaseMode::NotEnforced)
     }
 }
 
@@ -126,7 +126,7 @@
 
 /// What an upstream that is granted keys by its announcements says of them.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct HeldKeys {
+pub struct AnnouncedKeys {
     /// What it holds or still works on.
     pub held: Vec<GrantedKeys>,
     /// What it has given up since the last announcement that it knows to have been taken.
@@ -142,7 +142,7 @@
 
 /// All that an upstream is to hold from now on; it gives up the rest.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeysToHold {
+pub struct AssignedKeys {
     pub grants: Vec<KeyGrant>,
     /// Counted from when the upstream sent its announcement.
     pub hold: Duration,
@@ -168,7 +168,7 @@
 }
 
 /// An upstream that enforces leases of keys itself.
-pub trait LeasedUpstream: Send + Sync {
+pub trait LeaseEnforcingUpstream: Send + Sync {
     /// Grants keys for a time that begins when the call arrives. The same call again renews it.
     fn grant_keys(
         &self,
