--- a/crates/agent/src/adapters.rs
+++ b/crates/agent/src/adapters.rs
@@ -28,7 +28,7 @@
 
 impl Adapters {
     /// The product's own forms. To be called on a runtime.
-    pub(crate) fn own(
+    pub(crate) fn from_settings(
         settings: &AgentSettings,
         calls: &Arc<CallCounts>,
     ) -> anyhow::Result<Adapters> {
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! The process: its addresses, threads and signals, and its graceful stop.
+//! Starts the agent process (listeners, runtimes, signals) and stops it gracefully.
 
 use std::{
     net::{SocketAddr, TcpListener as StdListener},
@@ -32,25 +32,24 @@
     zones::ClosedZonesSource,
 };
 
-/// Connections that may wait to be accepted: all callers arrive in the same second.
-const BACKLOG: u32 = 4096;
-/// The share of the time for a stop within which everything is to have been handed over.
-const HANDOVER_SHARE: f64 = 0.6;
-/// How long an instance that stops goes on with its keys and its share of the work. Callers come to it for
-/// up to two seconds more in any case, and most that stop are back within four: if it gives its keys up at
-/// once, its upstream stands idle for all that time, and the others get its work when several stop in turn.
-/// Over 10 to 15 days with rolling stops on three deployments worth rose by 0.008, 0.028 and -0.005; on eight
-/// days on which all stop in turn by 0.05.
-const SERVE_ON_MAX: Duration = Duration::from_millis(1_750);
-/// The same as a share of the time for the stop; handing over takes half a second to a second.
-const SERVE_ON_SHARE: f64 = 0.33;
-/// What is left of it for the end of the callers' connections.
-const END_SHARE: f64 = 0.05;
+/// Length of each listener's accept queue. All callers of an instance may connect within the same second.
+const ACCEPT_BACKLOG: u32 = 4096;
+/// Share of the stop time limit after which the agent no longer waits for the handover to finish.
+const HANDOVER_DEADLINE_SHARE: f64 = 0.6;
+/// Longest time for which a stopping instance keeps its keys and its share of the work before it hands them
+/// over. Callers keep sending to it for up to two seconds anyway, and most stopped instances restart within
+/// four. If it released its keys at once, its upstream would be idle meanwhile, and during a rolling restart
+/// its load would fall on the other instances.
+const SERVING_TIME_MAX: Duration = Duration::from_millis(1_750);
+/// The same limit as a share of the stop time limit. It leaves time for the handover, which takes 0.5 to 1 s.
+const SERVING_TIME_SHARE: f64 = 0.33;
+/// Share of the stop time limit reserved for closing the callers' connections.
+const CONNECTION_CLOSE_SHARE: f64 = 0.05;
 
-/// Why the process can't start.
+/// A failure to bind one of the configured addresses.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
-#[error("The {name} {address} can't be listened on: {source}.")]
+#[error("Cannot listen on the {name} {address}: {source}.")]
 pub struct ListenError {
     name: &'static str,
     address: SocketAddr,
@@ -67,16 +66,16 @@
     ready: Option<StdListener>,
 }
 
-/// Runs an agent that speaks the product's own forms, until a signal has ended it gracefully.
+/// Runs an agent with the default adapters until a signal stops it, gracefully.
 pub fn run(file: SettingsFile) -> anyhow::Result<()> {
-    run_with(file, Adapters::own)
+    run_with(file, Adapters::from_settings)
 }
 
-/// Runs an agent with other adapters, until a signal has ended it gracefully. They are made on the
-/// runtime of the traffic threads.
+/// Runs an agent with the adapters that `create_adapters` returns until a signal stops it, gracefully.
+/// `create_adapters` is called on the runtime of the traffic threads.
 pub fn run_with(
     file: SettingsFile,
-    ports: impl FnOnce(&AgentSettings, &Arc<CallCounts>) -> anyhow::Result<Adapters>,
+    create_adapters: impl FnOnce(&AgentSettings, &Arc<CallCounts>) -> anyhow::Result<Adapters>,
 ) -> anyhow::Result<()> {
     let settings = file.settings.clone();
     let runtime = Builder::new_multi_thread()
@@ -84,13 +83,15 @@
         .thread_name("traffic")
         .enable_all()
         .build()
-        .context("traffic runtime")?;
+        .context("build the traffic runtime")?;
     let signals = runtime.block_on(async { Signals::install() })?;
-    let hang_up = runtime.block_on(async { signal(SignalKind::hangup()) }).context("SIGHUP")?;
+    let hang_up = runtime
+        .block_on(async { signal(SignalKind::hangup()) })
+        .context("install the SIGHUP handler")?;
     runtime.spawn(file.watch(hang_up));
     let listeners = runtime.block_on(async { Listeners::bind(&settings) })?;
     let platform_calls: Arc<CallCounts> = Arc::default();
-    let ports = runtime.block_on(async { ports(&settings, &platform_calls) });
+    let adapters = runtime.block_on(async { create_adapters(&settings, &platform_calls) });
     let Adapters {
         store,
         traffic_store,
@@ -99,7 +100,7 @@
         connect,
         central_config,
         closed_zones,
-    } = ports.context("adapters")?;
+    } = adapters.context("create the adapters")?;
     let documents_from = match central_config {
         Some(_) => DocumentSource::CentralConfig,
         None => DocumentSource::ObjectStore,
@@ -111,7 +112,7 @@
         control: settings.control_address,
         traffic: settings.traffic_address,
     };
-    log::info!(target: "agent", "{own} starts for {} in {}.", settings.service, own.zone);
+    log::info!(target: "agent", "Starting agent {own} for service {} in zone {}.", settings.service, own.zone);
     let clock = Clock::start();
     let stop_max = settings.stop_max;
     let key = LinkKey::new(settings.link_key.as_bytes());
@@ -138,7 +139,7 @@
     let control = thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || setup.run())
-        .context("control thread")?;
+        .context("start the control thread")?;
     let plane = async {
         Plane::start(PlaneParts {
             own,
@@ -162,14 +163,15 @@
         })
     };
     let plane = runtime.block_on(plane)?;
-    let ended = runtime.block_on(stop(signals, plane, &phase, all_handed_over, stop_max));
+    let stopped = runtime.block_on(stop(signals, plane, &phase, all_handed_over, stop_max));
     phase.send_replace(Phase::Exiting);
     let control = control.join().map_err(|_| anyhow::anyhow!("the control thread panicked"))?;
     log::info!(target: "agent", "The agent has stopped.");
-    ended.and(control)
+    stopped.and(control)
 }
 
-/// Waits for a signal, hands over, drains, ends.
+/// Waits for a stop signal, then hands slots over, drains requests and closes the callers' connections,
+/// all within `stop_max`.
 async fn stop(
     signals: Signals,
     plane: Plane,
@@ -178,40 +180,43 @@
     stop_max: Duration,
 ) -> anyhow::Result<()> {
     signals.wait().await;
-    let began = Instant::now();
-    log::info!(target: "agent", "A signal asks to stop: handing over.");
+    let started = Instant::now();
+    log::info!(target: "agent", "Received a stop signal; starting the handover.");
     plane.leave();
     let handed_over = async {
-        sleep(serving_time_on_stop(stop_max)).await;
+        sleep(serving_time_before_handover(stop_max)).await;
         phase.send_replace(Phase::Stopping);
-        if timeout_at(began + stop_max.mul_f64(HANDOVER_SHARE), handed_over).await.is_err() {
-            log::warn!(target: "agent", "Not everything was handed over in time.");
+        if timeout_at(started + stop_max.mul_f64(HANDOVER_DEADLINE_SHARE), handed_over)
+            .await
+            .is_err()
+        {
+            log::warn!(target: "agent", "The handover did not finish in time; stopping without it.");
         }
     };
-    // Callers are served meanwhile.
+    // Requests are served during the handover.
     let drained = async { tokio::join!(handed_over, plane.drain()) };
-    match timeout_at(began + stop_max.mul_f64(1.0 - END_SHARE), drained).await {
-        Ok(_) => log::info!(target: "agent", "Nothing is in flight any more."),
+    match timeout_at(started + stop_max.mul_f64(1.0 - CONNECTION_CLOSE_SHARE), drained).await {
+        Ok(_) => log::info!(target: "agent", "All requests have finished."),
         Err(_) => {
-            let left = plane.in_flight();
-            log::warn!(target: "agent", "The time for the stop is over: {left} requests are cut off.");
+            let unfinished = plane.in_flight();
+            log::warn!(target: "agent", "The stop time limit is reached; aborting {unfinished} requests in flight.");
         }
     }
-    match timeout_at(began + stop_max, plane.end()).await {
-        Ok(ended) => ended,
+    match timeout_at(started + stop_max, plane.end()).await {
+        Ok(closed) => closed,
         Err(_) => {
-            log::info!(target: "agent", "Some callers keep their connections to the end.");
+            log::info!(target: "agent", "Some callers have not closed their connections; exiting anyway.");
             Ok(())
         }
     }
 }
 
-/// How long an instance that stops goes on as before.
-pub(crate) fn serving_time_on_stop(stop_max: Duration) -> Duration {
-    SERVE_ON_MAX.min(stop_max.mul_f64(SERVE_ON_SHARE))
+/// Returns how long a stopping instance serves as before, until it starts the handover.
+pub(crate) fn serving_time_before_handover(stop_max: Duration) -> Duration {
+    SERVING_TIME_MAX.min(stop_max.mul_f64(SERVING_TIME_SHARE))
 }
 
-/// The signals that ask to stop.
+/// The signals that stop the process.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -220,12 +225,12 @@
 impl Signals {
     fn install() -> anyhow::Result<Signals> {
         Ok(Signals {
-            terminate: signal(SignalKind::terminate()).context("SIGTERM")?,
-            interrupt: signal(SignalKind::interrupt()).context("SIGINT")?,
+            terminate: signal(SignalKind::terminate()).context("install the SIGTERM handler")?,
+            interrupt: signal(SignalKind::interrupt()).context("install the SIGINT handler")?,
         })
     }
 
-    /// Waits for one that asks to stop.
+    /// Waits for the first of these signals.
     async fn wait(mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -241,13 +246,13 @@
             traffic: bind("traffic address", settings.traffic_address)?,
             control: bind("control address", settings.control_address)?,
             metrics: bind("metrics address", settings.metrics_address)?,
-            announcements: optional("announce address", settings.announce_address)?,
-            ready: optional("ready address", settings.ready_address)?,
+            announcements: bind_optional("announce address", settings.announce_address)?,
+            ready: bind_optional("ready address", settings.ready_address)?,
         })
     }
 }
 
-fn optional(
+fn bind_optional(
     name: &'static str,
     address: Option<SocketAddr>,
 ) -> Result<Option<StdListener>, ListenError> {
@@ -262,12 +267,12 @@
         }?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)?.into_std()
+        socket.listen(ACCEPT_BACKLOG)?.into_std()
     };
     listen().map_err(|source| ListenError { name, address, source })
 }
 
-/// What the control thread starts with.
+/// The parts that the control thread takes over when it starts.
 struct ControlSetup {
     settings: AgentSettings,
     own: Instance,
@@ -285,16 +290,19 @@
 }
 
 impl ControlSetup {
-    /// Runs control on a runtime of its own, so that a rush of requests can't delay a lease.
+    /// Runs control on a separate runtime, so that a burst of requests cannot delay the renewal of a lease.
     fn run(self) -> anyhow::Result<()> {
-        let runtime: Runtime =
-            Builder::new_current_thread().enable_all().build().context("control runtime")?;
+        let runtime: Runtime = Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .context("build the control runtime")?;
         runtime.block_on(async {
             control::run(ControlParts {
                 settings: Arc::new(self.settings),
                 own: self.own,
                 clock: self.clock,
-                listener: TcpListener::from_std(self.listener).context("control listener")?,
+                listener: TcpListener::from_std(self.listener)
+                    .context("register the control listener")?,
                 key: self.key,
                 platform: self.store,
                 gate: self.gate,
--- a/crates/agent/src/tests/stop.rs
+++ b/crates/agent/src/tests/stop.rs
@@ -43,7 +43,7 @@
 #[test]
 fn an_instance_serves_on_for_a_part_of_its_stop() {
     let ms = Duration::from_millis;
-    assert_eq!(crate::run::serving_time_on_stop(ms(5_500)), ms(1_750));
-    assert_eq!(crate::run::serving_time_on_stop(ms(60_000)), ms(1_750));
-    assert_eq!(crate::run::serving_time_on_stop(ms(1_000)), ms(330));
+    assert_eq!(crate::run::serving_time_before_handover(ms(5_500)), ms(1_750));
+    assert_eq!(crate::run::serving_time_before_handover(ms(60_000)), ms(1_750));
+    assert_eq!(crate::run::serving_time_before_handover(ms(1_000)), ms(330));
 }
