--- a/crates/agent/src/plane.rs
+++ b/crates/agent/src/plane.rs
@@ -1,4 +1,4 @@
-//! The traffic plane: everything that runs on the traffic threads.
+//! The traffic plane: all tasks that run on the traffic threads.
 
 use std::{
     sync::{
@@ -33,20 +33,19 @@
     snapshot::SnapshotCell,
 };
 
-/// How often the stop looks whether everything in flight has ended.
+/// Interval at which a drain checks whether all requests in flight have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
 
-/// Once no request has come for this long, callers are taken to have left.
-const QUIET: Duration = Duration::from_secs(1);
-/// The longest wait for that: whoever sends callers here learns within 2 s that the instance is not
-/// ready, and a request that is taken later might not end before the process does. Each answer
-/// meanwhile closes its connection, so that the server's end finds none on which a request could just
-/// be on its way.
-const LINGER_MAX: Duration = Duration::from_millis(2_750);
-/// How long requests are refused before the server ends.
-const REFUSE_FOR: Duration = Duration::from_millis(100);
+/// Callers count as gone once no request has arrived for this long.
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
+/// Longest wait for the quiet period. Load balancers detect within 2 s that the instance is not ready, and a
+/// request accepted later might not end before the process does. Each response sent meanwhile closes its
+/// connection, so that no request is in transit on a connection when the server ends.
+const QUIET_WAIT_MAX: Duration = Duration::from_millis(2_750);
+/// Time for which requests are refused before the server ends.
+const REFUSE_PERIOD: Duration = Duration::from_millis(100);
 
-/// What the traffic plane is made from.
+/// Parts from which the traffic plane is built.
 pub(crate) struct PlaneParts {
     pub(crate) own: Instance,
     pub(crate) clock: Clock,
@@ -59,15 +58,16 @@
     pub(crate) callers: TcpListener,
     pub(crate) peers: TcpListener,
     pub(crate) metrics: TcpListener,
-    /// What control asks of the platform, for the metrics.
+    /// Counts of control's calls to the platform, for the metrics.
     pub(crate) platform_calls: Arc<CallCounts>,
     pub(crate) caller_protocol: Arc<dyn CallerProtocol>,
     pub(crate) announce_protocol: Arc<dyn AnnounceProtocol>,
-    /// Where the upstream announces itself, if not at the callers' address.
+    /// Listener for the upstream's announcements, unless they arrive at the callers' address.
     pub(crate) announcements: Option<TcpListener>,
     pub(crate) ready: Option<TcpListener>,
     pub(crate) documents_from: DocumentSource,
-    /// For what traffic itself keeps there; its connections live on the traffic threads.
+    /// Object store client for records that the traffic plane itself stores. Its connections belong to the
+    /// runtime of the traffic threads.
     pub(crate) store: Arc<dyn ObjectStore>,
 }
 
@@ -76,16 +76,17 @@
     gate: Arc<Gate>,
     ingress: Arc<Ingress>,
     readiness: Arc<Readiness>,
-    /// Closes the listener of callers.
+    /// Set to close the listener for callers.
     closing: watch::Sender<bool>,
+    /// Tells the server that all requests have ended, so that it closes its connections and ends.
     drained: oneshot::Sender<()>,
     server: JoinHandle<anyhow::Result<()>>,
 }
 
 impl Plane {
-    /// Starts it on the runtime that calls.
+    /// Starts the traffic plane on the current runtime.
     pub(crate) fn start(parts: PlaneParts) -> anyhow::Result<Plane> {
-        let metrics = Arc::new(Metrics::new(parts.platform_calls).context("metrics")?);
+        let metrics = Arc::new(Metrics::new(parts.platform_calls).context("register the metrics")?);
         let upstream_clock: Arc<UpstreamClock> = Arc::default();
         let log = Arc::new(RequestLog::new(parts.clock));
         let quarantine = SharedQuarantine::start(parts.store, parts.own.name.clone());
@@ -122,7 +123,7 @@
             reporter: parts.reporter.clone(),
             granter: Arc::new(Arc::clone(&gate)),
         };
-        let announced_here = match parts.announcements {
+        let ingress_announcements = match parts.announcements {
             None => Some(announcements),
             Some(listener) => {
                 tokio::spawn(ingress::serve_announcements(listener, announcements));
@@ -138,7 +139,7 @@
             tokio::spawn(ready::serve(listener, Arc::clone(&readiness)));
         }
         let ingress = Arc::new(Ingress::new(IngressParts {
-            announcements: announced_here,
+            announcements: ingress_announcements,
             protocol: parts.caller_protocol,
             clock: parts.clock,
             snapshots: Arc::clone(&parts.snapshots),
@@ -147,61 +148,60 @@
             metrics: Arc::clone(&metrics),
             log,
         }));
-        let (drained, hook) = oneshot::channel();
+        let (drained, drained_receiver) = oneshot::channel();
         let (closing, closed) = watch::channel(false);
-        let server = ingress::serve(parts.callers, closed, Arc::clone(&ingress), hook);
+        let server = ingress::serve(parts.callers, closed, Arc::clone(&ingress), drained_receiver);
         let server = tokio::spawn(server);
         tokio::spawn(metrics::serve(parts.metrics, metrics, Arc::clone(&gate)));
         tokio::spawn(preconnect_links(parts.snapshots, links));
         Ok(Plane { gate, ingress, readiness, closing, drained, server })
     }
 
-    /// Requests that wait for a slot of the local upstream.
+    /// Returns how many requests are queued for the local upstream.
     #[cfg(test)]
     pub(crate) fn queued(&self) -> usize {
         self.gate.load().1
     }
 
-    /// Waits until the gate has followed the snapshot.
+    /// Makes the gate apply the current snapshot.
     #[cfg(test)]
     pub(crate) async fn wait_bound(&self) {
         self.gate.rebind();
     }
 
-    /// The instance is about to leave: callers are asked to connect elsewhere.
+    /// Reports the instance as not ready and asks callers to connect elsewhere.
     pub(crate) fn leave(&self) {
         self.readiness.is_leaving.store(true, Ordering::SeqCst);
         self.ingress.leave();
     }
 
-    /// Serves callers until they have left, takes no more connections then, and waits for what is in
-    /// flight at the gate and at ingress. Cuts off nothing.
+    /// Serves callers until they are gone, then accepts no more connections, and waits until all requests at
+    /// the gate and at ingress have ended. Aborts none of them.
     pub(crate) async fn drain(&self) {
-        self.ingress.wait_quiet(QUIET, LINGER_MAX).await;
+        self.ingress.wait_quiet(QUIET_PERIOD, QUIET_WAIT_MAX).await;
         self.closing.send_replace(true);
         self.ingress.close();
-        sleep(REFUSE_FOR).await;
+        sleep(REFUSE_PERIOD).await;
         while !self.gate.refuses_work() || self.ingress.in_flight() > 0 || self.gate.in_flight() > 0
         {
             sleep(DRAIN_POLL).await;
         }
     }
 
-    /// Requests that callers wait for.
+    /// Returns how many callers' requests are in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.ingress.in_flight()
     }
 
-    /// Lets the HTTP server end, which closes its connections after their last answer. The server
-    /// must have seen a signal, for it waits for one.
+    /// Ends the HTTP server for callers, which closes each connection after its last response.
     pub(crate) async fn end(self) -> anyhow::Result<()> {
-        // The server may have ended by itself.
+        // Sending fails if the server has ended already.
         _ = self.drained.send(());
-        self.server.await.context("the server's task")?
+        self.server.await.context("join the task of the HTTP server for callers")?
     }
 }
 
-/// Makes links to owners and members before the first request needs them.
+/// Connects to the owners and members in each new snapshot before the first request needs a link.
 async fn preconnect_links(snapshots: Arc<SnapshotCell>, links: TrafficLinks) {
     let mut changes = snapshots.changes();
     loop {
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -1,4 +1,4 @@
-//! A request and its reply, as ingress, links and the gate pass them on.
+//! A request and its reply, as passed between ingress, links and the gate.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,48 +14,51 @@
     traffic::{self as frames, CorrelationId, GateLoad, Header, Reason},
 };
 
-/// A request on its way to a gate.
+/// A request to be run at a gate.
 #[derive(Debug, Clone)]
 pub(crate) struct GateRequest {
     pub(crate) service: ServiceName,
-    /// None where the service is not divided by key.
+    /// `None` if the service is not sharded by key.
     pub(crate) key_hash: Option<KeyHash>,
     pub(crate) id: RequestId,
-    /// What it asks for: the same for all attempts, whoever takes them in.
+    /// Fingerprint of the method, path, relevant headers and body: equal for all attempts of a request, at
+    /// whichever agents they arrive.
     pub(crate) fingerprint: Fingerprint,
     pub(crate) class: ClassName,
     pub(crate) idempotent: bool,
-    /// Time left to answer in.
+    /// Time left until the deadline.
     pub(crate) remaining: Duration,
-    /// Time since the first sending of this id, as its caller says; zero: this is it.
+    /// Time since the caller first sent this id, as the caller states it; zero for the first sending.
     pub(crate) age: Duration,
-    /// Time that ingress has held this sending; zero: this is the first try to place it.
+    /// Time that this sending has spent at ingress; zero for the first attempt.
     pub(crate) time_at_ingress: Duration,
-    /// Requests of one kind are expected to take alike; none: as the document's route says.
+    /// Requests of one kind are expected to have similar service times. `None` for a request that no host
+    /// route selected.
     pub(crate) kind: Option<u8>,
-    /// Time left in which an answer is of full use to the caller; none: all of it.
+    /// Time left in which an answer is of full use to the caller. `None` if that is the whole time until the
+    /// deadline.
     pub(crate) objective: Option<Duration>,
-    /// Its caller has come back with it after a refusal, as far as that can be seen.
+    /// Whether the caller appears to send the request again after a refusal.
     pub(crate) is_caller_retry: bool,
-    /// The most upstreams that it may be given to; the ingress sees to that.
+    /// The largest number of upstreams that the request may be sent to; enforced at ingress.
     pub(crate) upstream_attempts_max: u8,
-    /// The ingress's version of the document.
+    /// Version of the service's document that ingress used.
     pub(crate) config_version: ConfigVersion,
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
-    /// Shared: a request is cloned for each try.
+    /// Shared because a request is cloned for each attempt.
     pub(crate) headers: Arc<HeaderMap>,
     pub(crate) body: Bytes,
 }
 
-/// What a gate says to a request.
+/// A gate's reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GateReply {
-    /// The upstream's whole answer.
+    /// The upstream's complete answer.
     Answered(Answer),
-    /// The upstream gave no answer; [`Outcome::Answered`] never stands here.
+    /// The upstream gave no answer; the outcome is never [`Outcome::Answered`].
     Failed { outcome: Outcome, retry_after: Option<Duration> },
-    /// Not run: the key belongs elsewhere.
+    /// The request was not run because another instance owns the key.
     NotOwner { owner: Option<Instance>, route_version: u64 },
 }
 
@@ -68,7 +71,7 @@
         GateReply::Failed { outcome: Outcome::Unknown(reason), retry_after: None }
     }
 
-    /// The end that the reply stands for.
+    /// Returns the outcome that the reply amounts to.
     pub fn outcome(&self) -> Outcome {
         match self {
             GateReply::Answered(_) => Outcome::Answered,
@@ -78,11 +81,11 @@
     }
 }
 
-/// What comes back from a gate.
+/// A gate's reply together with its load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplyWithLoad {
     pub(crate) reply: GateReply,
-    /// How busy the gate is, if it says so.
+    /// The gate's load, if the gate reports it.
     pub(crate) load: Option<GateLoad>,
 }
 
@@ -92,7 +95,7 @@
     }
 }
 
-/// Headers in wire form.
+/// Converts headers to their wire form.
 pub(crate) fn headers_to_wire(headers: &HeaderMap) -> Vec<Header> {
     let header = |(name, value): (&HeaderName, &HeaderValue)| {
         Header(name.as_str().to_owned(), Bytes::copy_from_slice(value.as_bytes()))
@@ -100,7 +103,7 @@
     headers.iter().map(header).collect()
 }
 
-/// Headers of a wire form; refuses what HTTP has no place for.
+/// Converts headers from their wire form; fails on names and values that are not valid in HTTP.
 pub(crate) fn headers_from_wire(headers: &[Header]) -> Result<HeaderMap, CodecError> {
     let mut map = HeaderMap::with_capacity(headers.len());
     for Header(name, value) in headers {
@@ -122,7 +125,7 @@
 }
 
 impl GateRequest {
-    /// The head frame, with at most `first_len` bytes of the body.
+    /// Builds the head frame, with the first `first_len` bytes of the body.
     pub(crate) fn to_wire(&self, id: CorrelationId, first_len: usize) -> frames::Request {
         frames::Request {
             id,
@@ -133,7 +136,7 @@
             class: self.class.clone(),
             idempotent: self.idempotent,
             remaining_us: whole_us(self.remaining),
-            // A resend must not look like a first sending for its age being short.
+            // At least 1 for a resend, since zero would mark it as a first sending.
             age_us: whole_us(self.age).max(u64::from(!self.age.is_zero())),
             held_us: whole_us(self.time_at_ingress),
             kind: self.kind,
@@ -152,7 +155,7 @@
 impl TryFrom<frames::Request> for GateRequest {
     type Error = CodecError;
 
-    /// Takes the body as it stands in the head: whoever assembles it puts the whole there.
+    /// Converts a head frame whose body has been assembled in full.
     fn try_from(raw: frames::Request) -> Result<GateRequest, CodecError> {
         Ok(GateRequest {
             service: raw.service,
@@ -179,7 +182,7 @@
     }
 }
 
-/// An answer out of its wire parts.
+/// Builds an answer from its wire parts.
 pub(crate) fn answer_from_parts(
     status: u16,
     headers: &[Header],
