--- a/crates/agent/src/adapters.rs
+++ b/crates/agent/src/adapters.rs
@@ -1,4 +1,4 @@
-//! The borders of the agent: what it speaks with callers, its upstream and the object store.
+//! The adapters between the agent and its surroundings: callers, the local upstream and the object store.
 
 use std::sync::Arc;
 
@@ -10,38 +10,40 @@
     control::CentralConfigSource,
     gate::{Connect, connect_http},
     ingress::{AnnounceProtocol, CallerProtocol, DefaultAnnounceProtocol, DefaultCallerProtocol},
-    zones::{ClosedZones, ClosedZonesSource, follow_own_zones},
+    zones::{ClosedZones, ClosedZonesSource, follow_stored_zones},
 };
 
-/// One set of adapters.
+/// The adapters of one agent.
 pub struct Adapters {
     pub store: Arc<dyn ObjectStore>,
-    /// The same store, for the traffic threads: a client's connections live on the threads that made them.
+    /// The same store for the traffic threads: the connections of a client belong to the runtime that opened
+    /// them.
     pub traffic_store: Arc<dyn ObjectStore>,
     pub callers: Arc<dyn CallerProtocol>,
     pub announcements: Arc<dyn AnnounceProtocol>,
     pub connect: Connect,
-    /// Configurations of the whole fleet; none: teams write documents of their own.
+    /// Source of the central configuration. `None` if teams publish their own documents.
     pub central_config: Option<CentralConfigSource>,
     pub closed_zones: ClosedZonesSource,
 }
 
 impl Adapters {
-    /// The product's own forms. To be called on a runtime.
+    /// Creates the default adapters: HTTP towards callers, the upstream and the object store. Must be called
+    /// on a runtime.
     pub(crate) fn from_settings(
         settings: &AgentSettings,
         calls: &Arc<CallCounts>,
     ) -> anyhow::Result<Adapters> {
         let store = || HttpObjectStore::new(settings.platform_address, Timeouts::default());
-        let (closed, closed_zones) = watch::channel(ClosedZones::default());
-        let followed = || {
+        let (closed_sender, closed_zones) = watch::channel(ClosedZones::default());
+        let counted_store = || {
             let counted = CountedStore::new(Arc::new(store()?), Arc::clone(calls));
             anyhow::Ok(Arc::new(counted))
         };
-        tokio::spawn(follow_own_zones(followed()?, closed));
+        tokio::spawn(follow_stored_zones(counted_store()?, closed_sender));
         Ok(Adapters {
             store: Arc::new(store()?),
-            traffic_store: followed()?,
+            traffic_store: counted_store()?,
             callers: Arc::new(DefaultCallerProtocol),
             announcements: Arc::new(DefaultAnnounceProtocol),
             connect: Box::new(connect_http),
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -3,14 +3,14 @@
 use model::Timestamp;
 use tokio::time::Instant;
 
-/// Turns the runtime's clock into [`Timestamp`]s; copies share the origin.
+/// Converts between the runtime's clock and [`Timestamp`]s. Copies share the origin.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now; one is made for each process.
+    /// Creates a clock whose origin is now. Each process has one.
     pub fn start() -> Clock {
         Clock { origin: Instant::now() }
     }
@@ -19,7 +19,7 @@
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    /// The runtime's name for a point on this clock, for sleeping until it.
+    /// Converts a timestamp to the runtime's clock, as a sleep needs it.
     pub fn instant(self, at: Timestamp) -> Instant {
         self.origin + at.since(Timestamp::ZERO)
     }
--- a/crates/agent/src/control/tests/agent.rs
+++ b/crates/agent/src/control/tests/agent.rs
@@ -20,7 +20,7 @@
     links::LinkKey,
     report::{Announcement, Report, Reporter},
     snapshot::{Routes, SnapshotCell},
-    zones::{ClosedZones, follow_own_zones},
+    zones::{ClosedZones, follow_stored_zones},
 };
 
 /// The time limit of each wait, far above the duration of any step. Tests fail when it expires.
@@ -96,7 +96,7 @@
         let (sender, handed_over) = oneshot::channel();
         let (closed, closed_zones) = watch::channel(ClosedZones::default());
         let store = Arc::clone(platform) as Arc<dyn object_store::ObjectStore>;
-        tokio::spawn(follow_own_zones(store, closed));
+        tokio::spawn(follow_stored_zones(store, closed));
         let task = tokio::spawn(run(ControlParts {
             settings: Arc::new(settings(service_name, name, control, peers)),
             own: own.clone(),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,7 +1,7 @@
 //! The agent: ingress, gate, group member and coordinator in one small process.
 //!
-//! Control runs on one thread, traffic on others. Control publishes [`snapshot`]s and applies gate
-//! commands through [`gate::GateHandle`]; traffic answers with [`report`]s.
+//! Control runs on one thread, traffic on the others. Control publishes [`snapshot`]s and applies gate
+//! commands through [`gate::GateHandle`]; traffic sends [`report`]s to control.
 
 pub mod clock;
 pub mod control;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -24,34 +24,34 @@
     settings: PathBuf,
 }
 
-/// Why the agent ends: one sentence, and the exit code.
-struct Failure {
+/// A failure that ends the process: a message of one sentence, and the exit code.
+struct ExitError {
     code: u8,
-    sentence: String,
+    message: String,
 }
 
 fn main() -> ExitCode {
     match start() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure { code, sentence }) => {
-            say(&sentence);
+        Err(ExitError { code, message }) => {
+            print_error(&message);
             ExitCode::from(code)
         }
     }
 }
 
-#[expect(clippy::print_stdout, reason = "this is what was asked for")]
+#[expect(clippy::print_stdout, reason = "the user asked for the help text")]
 fn print_help() {
     println!("Usage: pomelohilld --settings FILE\n\n{}", Arguments::usage());
 }
 
-#[expect(clippy::print_stderr, reason = "there may be no log yet")]
-fn say(sentence: &str) {
-    eprintln!("pomelohilld: {sentence}");
+#[expect(clippy::print_stderr, reason = "logging may not be initialized yet")]
+fn print_error(message: &str) {
+    eprintln!("pomelohilld: {message}");
 }
 
-fn start() -> Result<(), Failure> {
-    let failure = |code, sentence| Failure { code, sentence };
+fn start() -> Result<(), ExitError> {
+    let failure = |code, message| ExitError { code, message };
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let arguments = Arguments::parse_args_default(&arguments)
         .map_err(|error| failure(EXIT_USAGE, format!("{error}; see --help.")))?;
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -1,80 +1,81 @@
-//! The settings file, should it change while the process runs: it is checked and what differs is told, so
-//! that a fault in it shows before the next start needs it. All settings take effect at a start.
+//! Watches the settings file while the process runs. A changed file is parsed and the differences are logged,
+//! so that errors in it show before the next start. All settings take effect at the next start only.
 
 use std::{fs, path::PathBuf, time::Duration};
 
 use settings::{AgentSettings, Problems};
 use tokio::{signal::unix::Signal, time::sleep};
 
-/// How often the file is looked at, for it may change without a signal. Nothing depends on how soon that
-/// is told; to read and check it takes less than a millisecond.
-const LOOK_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the file is read, since it may change without a signal. Nothing depends on how soon a
+/// change is logged; reading and checking the file takes less than a millisecond.
+const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The settings and where they were read from.
+/// The settings and the path that they were read from.
 #[derive(Debug, Clone)]
 pub struct SettingsFile {
     pub path: PathBuf,
     pub settings: AgentSettings,
 }
 
-/// What a text that is read again means.
+/// The result of comparing the file's current text with the settings in use.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Reread {
-    Same,
-    /// Other values of these fields.
-    Differs(Vec<&'static str>),
-    Faulty(Problems),
+pub(crate) enum ReloadResult {
+    Unchanged,
+    /// The fields whose values differ.
+    Changed(Vec<&'static str>),
+    Invalid(Problems),
 }
 
 impl SettingsFile {
-    pub(crate) fn reread(&self, text: &str) -> Reread {
+    /// Parses the file's current text and compares it with the settings in use.
+    pub(crate) fn compare(&self, text: &str) -> ReloadResult {
         match AgentSettings::parse(text).map(|it| self.settings.differences(&it)) {
-            Ok(fields) if fields.is_empty() => Reread::Same,
-            Ok(fields) => Reread::Differs(fields),
-            Err(problems) => Reread::Faulty(problems),
+            Ok(fields) if fields.is_empty() => ReloadResult::Unchanged,
+            Ok(fields) => ReloadResult::Changed(fields),
+            Err(problems) => ReloadResult::Invalid(problems),
         }
     }
 
-    /// Looks at the file at each signal, and now and then; tells of what it means when that has changed,
-    /// and at each signal.
+    /// Reads the file at each signal and each [`CHECK_INTERVAL`]. Logs the result at each signal and when it
+    /// differs from the one logged last.
     pub(crate) async fn watch(self, mut hang_up: Signal) {
-        let mut told = Reread::Same;
+        let mut logged = ReloadResult::Unchanged;
         loop {
-            let asked = tokio::select! {
+            let is_signalled = tokio::select! {
                 _ = hang_up.recv() => true,
-                () = sleep(LOOK_EVERY) => false,
+                () = sleep(CHECK_INTERVAL) => false,
             };
-            let found = match fs::read_to_string(&self.path) {
-                Ok(text) => self.reread(&text),
+            let result = match fs::read_to_string(&self.path) {
+                Ok(text) => self.compare(&text),
                 Err(error) => {
-                    log::warn!(target: "agent", "{}: {error}.", self.path.display());
+                    log::warn!(target: "agent", "Cannot read the settings file {}: {error}.", self.path.display());
                     continue;
                 }
             };
-            if asked || found != told {
-                self.tell(&found);
-                told = found;
+            if is_signalled || result != logged {
+                self.log_result(&result);
+                logged = result;
             }
         }
     }
 
-    fn tell(&self, reread: &Reread) {
+    fn log_result(&self, result: &ReloadResult) {
         let file = self.path.display();
-        match reread {
-            Reread::Same => {
-                log::info!(target: "agent", "{file} was read again: nothing has changed.");
+        match result {
+            ReloadResult::Unchanged => {
+                log::info!(target: "agent", "Settings file {file} was read again; no setting has changed.");
             }
-            Reread::Differs(fields) => {
+            ReloadResult::Changed(fields) => {
                 let fields = fields.join(", ");
                 log::warn!(
                     target: "agent",
-                    "{file} has changed: {fields}. This takes effect at the next start."
+                    "Settings file {file} has changed in {fields}; the changes take effect at the next start."
                 );
             }
-            Reread::Faulty(problems) => {
+            ReloadResult::Invalid(problems) => {
                 log::warn!(
                     target: "agent",
-                    "{file} has changed and can't be used; this process goes on without it: {problems}"
+                    "Settings file {file} has changed and is invalid; this process keeps its settings: {problems}"
                 );
             }
         }
--- a/crates/agent/src/tests/reload.rs
+++ b/crates/agent/src/tests/reload.rs
@@ -1,8 +1,8 @@
-//! A settings file that changes under a running agent.
+//! Tests of settings files that change while the agent runs.
 
 use settings::AgentSettings;
 
-use crate::reload::{Reread, SettingsFile};
+use crate::reload::{ReloadResult, SettingsFile};
 
 const SETTINGS: &str = r#"{
   "instance": "standings-1", "zone": "pitlane", "team": "karerang", "service": "standings",
@@ -18,20 +18,22 @@
 }
 
 #[test]
-fn comments_and_layout_are_no_change() {
+fn changed_comments_and_layout_are_ignored() {
     let text = SETTINGS.replace("{\n", "{ // another comment\n\n");
-    assert_eq!(file().reread(&text), Reread::Same);
+    assert_eq!(file().compare(&text), ReloadResult::Unchanged);
 }
 
 #[test]
-fn changed_fields_are_named() {
+fn changed_fields_are_listed() {
     let text = SETTINGS.replace("127.0.0.1:7000", "127.0.0.1:7100").replace("pitlane", "stand");
-    assert_eq!(file().reread(&text), Reread::Differs(vec!["zone", "platform_address"]));
+    assert_eq!(file().compare(&text), ReloadResult::Changed(vec!["zone", "platform_address"]));
 }
 
 #[test]
-fn a_fault_is_told_by_line_and_field() {
+fn invalid_field_is_reported_with_line_and_name() {
     let text = SETTINGS.replace("127.0.0.1:7003", "nowhere");
-    let Reread::Faulty(problems) = file().reread(&text) else { panic!("it was taken") };
+    let ReloadResult::Invalid(problems) = file().compare(&text) else {
+        panic!("an invalid settings file was accepted")
+    };
     assert!(problems.to_string().contains("line 4, column 3: control_address"), "{problems}");
 }
--- a/crates/agent/src/zones/mod.rs
+++ b/crates/agent/src/zones/mod.rs
@@ -1,7 +1,9 @@
-//! Which availability zones are closed: an operator asks that nothing more be sent to their upstreams.
+//! Follows the availability zones that an operator has closed, which means that no new requests may go to
+//! their upstreams.
 //!
-//! Each agent follows this by itself, for it is the one way to its upstream: no other has to be heard for
-//! the zone to be emptied, and an outage of the store or of a coordinator delays it by its own length.
+//! Each agent reads this from the store itself and guards the only way to its upstream. So emptying a zone
+//! needs no other agent, and an outage of the store or of a coordinator delays it by no more than the outage
+//! lasts.
 
 #[cfg(test)]
 mod tests;
@@ -13,14 +15,14 @@
 use settings::{ZONES_PREFIX, ZoneObject, zone_of_path};
 use tokio::sync::watch;
 
-/// Zones whose upstreams are to be given nothing.
+/// Zones whose upstreams must get no new requests.
 pub type ClosedZones = Arc<BTreeSet<Zone>>;
 
-/// The zones that are closed now, as far as is known.
+/// A receiver of the zones that are closed according to the last read.
 pub type ClosedZonesSource = watch::Receiver<ClosedZones>;
 
-/// Zones are closed a few times a year, so that most watches end without news: they are long. A closing has to
-/// act within seconds, also when the store has just come back, so the pauses after failures are short.
+/// Zones are closed a few times a year, so most watches end without a change, and they are long. A closed zone
+/// must take effect within seconds even after an outage of the store, so the pauses after failures are short.
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
     wait: Duration::from_secs(29),
     call_every_min: Duration::from_millis(50),
@@ -28,14 +30,14 @@
     pause_max: Duration::from_millis(1_000),
 };
 
-/// What a change of the store says of a zone.
+/// A zone that a change in the store closes or opens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneChange {
     Closed(Zone),
     Open(Zone),
 }
 
-/// Follows for ever the objects below a prefix that close zones.
+/// Follows the objects below a prefix that close zones, and publishes the closed zones. Never returns.
 pub async fn follow_zones(
     store: Arc<dyn ObjectStore>,
     prefix: &str,
@@ -44,34 +46,34 @@
 ) {
     let mut follower = Follower::new(store, prefix, FOLLOWER_TIMES).from_an_aged_list();
     loop {
-        let changes = follower.next_after_failures("Which zones are closed").await;
-        changes.iter().filter_map(&read).for_each(|it| take(it, &closed));
+        let changes = follower.next_after_failures("The list of closed zones").await;
+        changes.iter().filter_map(&read).for_each(|it| apply(it, &closed));
     }
 }
 
-fn take(news: ZoneChange, closed: &watch::Sender<ClosedZones>) {
-    closed.send_if_modified(|known| match news {
+fn apply(change: ZoneChange, closed: &watch::Sender<ClosedZones>) {
+    closed.send_if_modified(|known| match change {
         ZoneChange::Closed(zone) => Arc::make_mut(known).insert(zone),
         ZoneChange::Open(zone) => Arc::make_mut(known).remove(&zone),
     });
 }
 
-/// Follows the product's own objects, which `pomelohill zone` writes.
-pub(crate) async fn follow_own_zones(
+/// Follows the zone objects that `pomelohill zone` writes. Never returns.
+pub(crate) async fn follow_stored_zones(
     store: Arc<dyn ObjectStore>,
     closed: watch::Sender<ClosedZones>,
 ) {
-    follow_zones(store, ZONES_PREFIX, read_own, closed).await;
+    follow_zones(store, ZONES_PREFIX, read_zone_change, closed).await;
 }
 
-fn read_own(change: &Change) -> Option<ZoneChange> {
+fn read_zone_change(change: &Change) -> Option<ZoneChange> {
     let zone = zone_of_path(&change.path)?;
     let Some(body) = &change.body else { return Some(ZoneChange::Open(zone)) };
     match serde_json::from_slice(body) {
         Ok(ZoneObject { closed: true }) => Some(ZoneChange::Closed(zone)),
         Ok(ZoneObject { closed: false }) => Some(ZoneChange::Open(zone)),
         Err(error) => {
-            log::error!(target: "zones", "{} is passed over: {error}.", change.path);
+            log::error!(target: "zones", "Ignoring the invalid zone object {}: {error}.", change.path);
             None
         }
     }
--- a/crates/agent/src/zones/tests.rs
+++ b/crates/agent/src/zones/tests.rs
@@ -1,4 +1,4 @@
-//! What is read of zones.
+//! Tests of reading and following zone objects.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,10 +7,10 @@
 use object_store::Change;
 use tokio::{sync::watch, time::timeout};
 
-use super::{ClosedZones, ClosedZonesSource, ZoneChange, follow_own_zones, read_own};
+use super::{ClosedZones, ClosedZonesSource, ZoneChange, follow_stored_zones, read_zone_change};
 use crate::control::tests::platform::FakeStore;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn zone(name: &str) -> Zone {
     Zone::new(name).unwrap()
@@ -24,16 +24,19 @@
 async fn wait_for(source: &mut ClosedZonesSource, zones: &[&str]) {
     let expected: ClosedZones = Arc::new(zones.iter().map(|it| zone(it)).collect());
     let waiting = source.wait_for(|it| *it == expected);
-    timeout(PATIENCE, waiting).await.expect("the zones in time").unwrap();
+    timeout(WAIT_TIMEOUT, waiting).await.expect("the closed zones did not change in time").unwrap();
 }
 
 #[test]
-fn what_is_no_zone_changes_nothing() {
+fn only_valid_zone_objects_are_read() {
     let closed = change("zones/pitlane", Some(r#"{"closed": true}"#));
-    assert_eq!(read_own(&closed), Some(ZoneChange::Closed(zone("pitlane"))));
+    assert_eq!(read_zone_change(&closed), Some(ZoneChange::Closed(zone("pitlane"))));
     let open = change("zones/pitlane", Some(r#"{"closed": false}"#));
-    assert_eq!(read_own(&open), Some(ZoneChange::Open(zone("pitlane"))));
-    assert_eq!(read_own(&change("zones/pitlane", None)), Some(ZoneChange::Open(zone("pitlane"))));
+    assert_eq!(read_zone_change(&open), Some(ZoneChange::Open(zone("pitlane"))));
+    assert_eq!(
+        read_zone_change(&change("zones/pitlane", None)),
+        Some(ZoneChange::Open(zone("pitlane")))
+    );
     for (path, body) in [
         ("zones/pitlane", "{}"),
         ("zones/pitlane", "nonsense"),
@@ -41,22 +44,22 @@
         ("zones/a/b", r#"{"closed": true}"#),
         ("services/pitlane", r#"{"closed": true}"#),
     ] {
-        assert_eq!(read_own(&change(path, Some(body))), None, "{path} {body}");
+        assert_eq!(read_zone_change(&change(path, Some(body))), None, "{path} {body}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn zones_are_closed_and_opened_through_outages() {
+async fn changes_during_a_store_outage_take_effect_after_it() {
     let store = Arc::new(FakeStore::new());
     store.put("zones/pitlane", r#"{"closed": true}"#);
     let (sender, mut source) = watch::channel(ClosedZones::default());
-    let following = tokio::spawn(follow_own_zones(Arc::clone(&store) as _, sender));
+    let following = tokio::spawn(follow_stored_zones(Arc::clone(&store) as _, sender));
     wait_for(&mut source, &["pitlane"]).await;
     store.is_down.store(true, std::sync::atomic::Ordering::SeqCst);
     store.put("zones/drivers-stand", r#"{"closed": true}"#);
     store.put("zones/pitlane", r#"{"closed": false}"#);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert_eq!(source.borrow().len(), 1, "an outage opens nothing");
+    assert_eq!(source.borrow().len(), 1, "the zone stays closed during the outage");
     store.is_down.store(false, std::sync::atomic::Ordering::SeqCst);
     wait_for(&mut source, &["drivers-stand"]).await;
     following.abort();
