--- a/crates/ownership/src/node/messages.rs
+++ b/crates/ownership/src/node/messages.rs
@@ -61,7 +61,7 @@
             Message::Released { .. } => self.mark_vacant(),
             Message::Renewed(answer) => {
                 self.known.last_contact_at = ctx.now;
-                let own = self.coordination.as_mut().and_then(|it| it.renew_own_lease(ctx));
+                let own = self.coordination.as_mut().and_then(|it| it.renew_coordinator_lease(ctx));
                 self.member.handle_renewed(ctx, &answer, own);
             }
             Message::SessionEnded { session, .. } => self.member.handle_session_ended(ctx, session),
