--- a/crates/agent/src/control/central_config.rs
+++ b/crates/agent/src/control/central_config.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 
 use model::ConfigVersion;
-use settings::FleetConfig;
+use settings::CentralConfig;
 
 use crate::control::state::Control;
 
 impl Control {
     /// Puts a configuration in force. The source only supplies increasing versions.
-    pub(super) fn on_central_config(&mut self, config: &FleetConfig) {
+    pub(super) fn on_central_config(&mut self, config: &CentralConfig) {
         log::info!(
             target: "config",
             "Version {} of the central configuration is in force: {} services, {} host routes.",
--- a/crates/agent/src/control/mod.rs
+++ b/crates/agent/src/control/mod.rs
@@ -25,7 +25,7 @@
 
 use model::Instance;
 use object_store::ObjectStore;
-use settings::{AgentSettings, FleetConfig};
+use settings::{AgentSettings, CentralConfig};
 use tokio::{
     net::TcpListener,
     sync::{mpsc, oneshot, watch as watch_channel},
@@ -80,7 +80,7 @@
 }
 
 /// The newest central configuration, or `None` until the first is received.
-pub type CentralConfigSource = watch_channel::Receiver<Option<Arc<FleetConfig>>>;
+pub type CentralConfigSource = watch_channel::Receiver<Option<Arc<CentralConfig>>>;
 
 /// Runs control until [`Phase::Exiting`]. Must be called on a separate current-thread runtime.
 pub async fn run(parts: ControlParts) {
@@ -135,7 +135,9 @@
 }
 
 /// Waits for the next central configuration.
-async fn next_central_config(config: &mut Option<CentralConfigSource>) -> Option<Arc<FleetConfig>> {
+async fn next_central_config(
+    config: &mut Option<CentralConfigSource>,
+) -> Option<Arc<CentralConfig>> {
     let Some(source) = config else { return std::future::pending().await };
     if source.changed().await.is_err() {
         log::error!(target: "config", "No more central configurations can be received, since their source has ended; the current one stays in force.");
--- a/crates/settings/src/agent_settings.rs
+++ b/crates/settings/src/agent_settings.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    fleet::{DocumentDefaults, RawDocumentDefaults},
+    central::{DocumentDefaults, RawDocumentDefaults},
     parse::{Parsed, parse, schema_of},
     problem::Problems,
 };
--- a/crates/settings/src/fleet/defaults.rs
+++ b/crates/settings/src/central/defaults.rs
@@ -46,7 +46,7 @@
 
 /// What a fleet's configuration says of one service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FleetService {
+pub struct CentralServiceConfig {
     pub service: ServiceName,
     pub team: TeamName,
     /// Set where each key is owned by one instance alone, which its upstream enforces.
@@ -69,7 +69,7 @@
 /// An upstream that enforces leases ends a request with the grant under which it began, also when the
 /// grant was renewed meanwhile. So a lease lasts as long as the longest request and two renewals, in
 /// whole steps: a small change of a route leaves the leases as they are.
-fn lease_ms(default_ms: u64, service: &FleetService) -> u64 {
+fn lease_ms(default_ms: u64, service: &CentralServiceConfig) -> u64 {
     if service.keys.is_none() {
         return default_ms;
     }
@@ -92,7 +92,7 @@
 
 impl DocumentDefaults {
     /// The document of a service, as text.
-    pub fn document(&self, service: &FleetService) -> String {
+    pub fn document(&self, service: &CentralServiceConfig) -> String {
         let defaults = self.0.clone();
         let class = |it: &Class| RawClass {
             name: it.name.as_str().to_owned(),
--- a/crates/settings/src/fleet/mod.rs
+++ b/crates/settings/src/central/mod.rs
@@ -8,14 +8,14 @@
 
 use model::{ConfigVersion, ServiceName};
 
-pub use defaults::{DocumentDefaults, FleetService};
+pub use defaults::{CentralServiceConfig, DocumentDefaults};
 pub use routing::{Backend, HostRoute, RoutingTable};
 
 pub(crate) use defaults::RawDocumentDefaults;
 
 /// One version of everything that a fleet goes by.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FleetConfig {
+pub struct CentralConfig {
     pub version: ConfigVersion,
     /// The document of each service, as text.
     pub documents: Vec<(ServiceName, Arc<str>)>,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod agent_settings;
 mod document;
-mod fleet;
+mod central;
 mod objects;
 mod parse;
 mod problem;
@@ -18,11 +18,13 @@
 mod tests;
 
 pub use agent_settings::AgentSettings;
+pub use central::{
+    Backend, CentralConfig, CentralServiceConfig, DocumentDefaults, HostRoute, RoutingTable,
+};
 pub use document::{
     Class, DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, Route, RouteError,
     RouteMatch, ServiceDocument, TrafficLimits, UpstreamTraits,
 };
-pub use fleet::{Backend, DocumentDefaults, FleetConfig, FleetService, HostRoute, RoutingTable};
 pub use objects::{
     Accepted, CoordinatorStatus, ENDS_PREFIX, EndRecord, EndsObject, GRANTS_MAX, GrantStatus,
     HotKeyStatus, InForce, Measures, MoveStatus, OwnerStatus, Refused, Status, UpstreamStateName,
--- a/crates/settings/src/tests/fleet.rs
+++ b/crates/settings/src/tests/central.rs
@@ -5,7 +5,7 @@
 use model::{ClassName, OrderedKeys, ServiceName, TeamName};
 
 use crate::{
-    AgentSettings, Backend, Class, FleetService, HostRoute, KeyGrants, RoutingTable,
+    AgentSettings, Backend, CentralServiceConfig, Class, HostRoute, KeyGrants, RoutingTable,
     ServiceDocument,
 };
 
@@ -55,7 +55,7 @@
 fn documents_are_made_from_the_defaults_and_pass_the_check() {
     let settings = AgentSettings::parse(SETTINGS).unwrap();
     assert_eq!(settings.ready_address, Some("127.0.0.1:7005".parse().unwrap()));
-    let service = FleetService {
+    let service = CentralServiceConfig {
         service: ServiceName::new("standings").unwrap(),
         team: TeamName::new("karerang").unwrap(),
         keys: OrderedKeys::new(65_536),
--- a/crates/settings/src/tests/mod.rs
+++ b/crates/settings/src/tests/mod.rs
@@ -3,7 +3,7 @@
 mod agent_settings;
 mod document;
 mod examples;
-mod fleet;
+mod central;
 mod fuzz;
 mod objects;
 mod problems;
