--- a/crates/agent/src/quarantine/mod.rs
+++ b/crates/agent/src/quarantine/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use model::{Fingerprint, InstanceName, ObjectVersion};
 use object_store::{Change, Follower, FollowerTimes, ObjectStore, StoreError};
-use settings::{ENDS_PREFIX, EndRecord, EndsObject, ends_path};
+use settings::{CRASHES_PREFIX, CrashRecord, CrashesObject, crashes_path};
 use tokio::{sync::mpsc, time::sleep};
 use traffic::{CrashId, Quarantine, QuarantineStatus};
 
@@ -45,7 +45,7 @@
 /// Reason for a write to the object of this instance.
 #[derive(Debug)]
 enum PendingWrite {
-    Crash(EndRecord),
+    Crash(CrashRecord),
     /// The store was rolled back (restored from an older snapshot), which may lack some of the
     /// crashes.
     StoreRolledBack,
@@ -56,7 +56,7 @@
     pub(crate) fn start(store: Arc<dyn ObjectStore>, own: InstanceName) -> Arc<SharedQuarantine> {
         let (pending_writes, writes) = mpsc::unbounded_channel();
         let quarantine = Arc::new(SharedQuarantine { table: Mutex::default(), pending_writes });
-        let (path, stored) = (ends_path(&own), None);
+        let (path, stored) = (crashes_path(&own), None);
         let writer = Writer { store: Arc::clone(&store), path, stored, crashes: Vec::new() };
         tokio::spawn(writer.run(writes));
         tokio::spawn(follow(store, Arc::downgrade(&quarantine)));
@@ -90,7 +90,7 @@
             log::warn!(target: "quarantine", "The upstream crashed with {} requests in flight; only {REQUESTS_PER_CRASH_MAX} of them are recorded.", requests.len());
             requests.truncate(REQUESTS_PER_CRASH_MAX);
         }
-        let crash = EndRecord { id: rand::random(), requests };
+        let crash = CrashRecord { id: rand::random(), requests };
         self.apply(&crash);
         self.request_write(PendingWrite::Crash(crash));
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    fn apply(&self, crash: &EndRecord) {
+    fn apply(&self, crash: &CrashRecord) {
         let quarantined = self.table().record_crash(CrashId(crash.id), &crash.requests);
         for it in quarantined {
             log::warn!(target: "quarantine", "Request {it} is quarantined: several upstreams crashed while running it.");
@@ -110,7 +110,7 @@
 }
 
 async fn follow(store: Arc<dyn ObjectStore>, quarantine: std::sync::Weak<SharedQuarantine>) {
-    let mut follower = Follower::new(store, ENDS_PREFIX, FOLLOWER_TIMES).from_an_aged_list();
+    let mut follower = Follower::new(store, CRASHES_PREFIX, FOLLOWER_TIMES).from_an_aged_list();
     let mut era = None;
     loop {
         let changes = follower.next_after_failures("Crash records").await;
@@ -118,13 +118,13 @@
         if era.replace(follower.era()).is_some_and(|it| it != follower.era()) {
             quarantine.request_write(PendingWrite::StoreRolledBack);
         }
-        for crash in changes.iter().filter_map(read).flat_map(|it| it.ends) {
+        for crash in changes.iter().filter_map(read).flat_map(|it| it.crashes) {
             quarantine.apply(&crash);
         }
     }
 }
 
-fn read(change: &Change) -> Option<EndsObject> {
+fn read(change: &Change) -> Option<CrashesObject> {
     let body = change.body.as_ref()?;
     let object = serde_json::from_slice(body);
     object
@@ -140,9 +140,9 @@
     store: Arc<dyn ObjectStore>,
     path: String,
     /// The object as last read or written, with its version; `None` if it has to be read first.
-    stored: Option<(ObjectVersion, EndsObject)>,
+    stored: Option<(ObjectVersion, CrashesObject)>,
     /// The crashes that the object should contain, as far as this incarnation of the agent knows.
-    crashes: Vec<EndRecord>,
+    crashes: Vec<CrashRecord>,
 }
 
 impl Writer {
@@ -177,29 +177,29 @@
             Some(stored) => stored,
             None => self.read().await?,
         };
-        let missing: Vec<EndRecord> =
-            self.crashes.iter().filter(|it| !object.ends.contains(it)).cloned().collect();
+        let missing: Vec<CrashRecord> =
+            self.crashes.iter().filter(|it| !object.crashes.contains(it)).cloned().collect();
         if missing.is_empty() {
             self.stored = Some((version, object));
             return Ok(());
         }
-        object.ends.extend(missing);
-        let surplus = object.ends.len().saturating_sub(CRASHES_KEPT);
-        object.ends.drain(..surplus);
+        object.crashes.extend(missing);
+        let surplus = object.crashes.len().saturating_sub(CRASHES_KEPT);
+        object.crashes.drain(..surplus);
         let body = serde_json::to_vec(&object).expect("crash records must serialize to JSON");
         let version = self.store.update(&self.path, version, Bytes::from(body)).await?;
-        self.crashes.clone_from(&object.ends);
+        self.crashes.clone_from(&object.crashes);
         self.stored = Some((version, object));
         Ok(())
     }
 
-    async fn read(&self) -> Result<(ObjectVersion, EndsObject), StoreError> {
+    async fn read(&self) -> Result<(ObjectVersion, CrashesObject), StoreError> {
         let Some(object) = self.store.read(&self.path).await? else {
             return Ok(Default::default());
         };
         let ends = serde_json::from_slice(&object.body).unwrap_or_else(|error| {
             log::error!(target: "quarantine", "Replacing {}, which is not a valid crash record: {error}.", self.path);
-            EndsObject::default()
+            CrashesObject::default()
         });
         Ok((object.version, ends))
     }
--- a/crates/agent/src/quarantine/tests.rs
+++ b/crates/agent/src/quarantine/tests.rs
@@ -65,10 +65,10 @@
         a.record_crash(vec![Fingerprint(it)]);
         sleep(Duration::from_millis(200)).await;
     }
-    let object: settings::EndsObject =
+    let object: settings::CrashesObject =
         serde_json::from_str(&store.text("ends/a").unwrap()).unwrap();
-    assert_eq!(object.ends.len(), CRASHES_KEPT);
-    assert_eq!(object.ends.last().unwrap().requests, [Fingerprint(3 * CRASHES_KEPT as u64 - 1)]);
+    assert_eq!(object.crashes.len(), CRASHES_KEPT);
+    assert_eq!(object.crashes.last().unwrap().requests, [Fingerprint(3 * CRASHES_KEPT as u64 - 1)]);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -26,10 +26,10 @@
     RouteMatch, ServiceDocument, TrafficLimits, UpstreamTraits,
 };
 pub use objects::{
-    Accepted, CoordinatorStatus, ENDS_PREFIX, EndRecord, EndsObject, GRANTS_MAX, GrantStatus,
-    HotKeyStatus, InForce, Measures, MoveStatus, OwnerStatus, Refused, Status, UpstreamStateName,
-    UpstreamStatus, ZONES_PREFIX, ZoneObject, accepted_path, ends_path, service_path, status_path,
-    status_prefix, zone_of_path, zone_path,
+    Accepted, CRASHES_PREFIX, CoordinatorStatus, CrashRecord, CrashesObject, GRANTS_MAX,
+    GrantStatus, HotKeyStatus, InForce, Measures, MoveStatus, OwnerStatus, Refused, Status,
+    UpstreamStateName, UpstreamStatus, ZONES_PREFIX, ZoneObject, accepted_path, crashes_path,
+    service_path, status_path, status_prefix, zone_of_path, zone_path,
 };
 pub use problem::{Position, Problem, Problems};
 pub use versions::{DocumentTable, Judgement, VersionedDocument, judge};
--- a/crates/settings/src/objects.rs
+++ b/crates/settings/src/objects.rs
@@ -3,7 +3,7 @@
 //! - `services/S`: the document as its team wrote it, the text as it is.
 //! - `accepted/S`: [`Accepted`], the version in force; only rises.
 //! - `status/S/G`: [`Status`] of one group, written by its coordinator.
-//! - `ends/I`: [`EndsObject`], under which requests the upstream beside an instance has ended.
+//! - `ends/I`: [`CrashesObject`], under which requests the upstream beside an instance has ended.
 //! - `zones/Z`: [`ZoneObject`], whether an operator has closed an availability zone.
 
 use std::num::ParseIntError;
@@ -56,26 +56,27 @@
 }
 
 /// What the objects begin with that tell of ended upstreams.
-pub const ENDS_PREFIX: &str = "ends/";
+pub const CRASHES_PREFIX: &str = "ends/";
 
 /// Where it is said when the upstreams beside an instance have ended.
-pub fn ends_path(instance: &InstanceName) -> String {
-    format!("{ENDS_PREFIX}{instance}")
+pub fn crashes_path(instance: &InstanceName) -> String {
+    format!("{CRASHES_PREFIX}{instance}")
 }
 
 /// The ends of upstreams beside one instance, the latest last.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EndsObject {
-    pub ends: Vec<EndRecord>,
+pub struct CrashesObject {
+    #[serde(rename = "ends")]
+    pub crashes: Vec<CrashRecord>,
 }
 
 /// One end of an upstream, and what it had at work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "WireEnd", into = "WireEnd")]
-pub struct EndRecord {
+pub struct CrashRecord {
     /// Drawn at random; tells one end from another.
     pub id: u64,
     pub requests: Vec<Fingerprint>,
@@ -89,20 +90,20 @@
     requests: Vec<String>,
 }
 
-impl From<EndRecord> for WireEnd {
-    fn from(end: EndRecord) -> WireEnd {
+impl From<CrashRecord> for WireEnd {
+    fn from(end: CrashRecord) -> WireEnd {
         let requests = end.requests.iter().map(ToString::to_string).collect();
         WireEnd { id: format!("{:016x}", end.id), requests }
     }
 }
 
-impl TryFrom<WireEnd> for EndRecord {
+impl TryFrom<WireEnd> for CrashRecord {
     type Error = ParseIntError;
 
-    fn try_from(wire: WireEnd) -> Result<EndRecord, ParseIntError> {
+    fn try_from(wire: WireEnd) -> Result<CrashRecord, ParseIntError> {
         let number = |text: &String| u64::from_str_radix(text, 16);
         let requests = wire.requests.iter().map(|it| number(it).map(Fingerprint));
-        Ok(EndRecord { id: number(&wire.id)?, requests: requests.collect::<Result<_, _>>()? })
+        Ok(CrashRecord { id: number(&wire.id)?, requests: requests.collect::<Result<_, _>>()? })
     }
 }
 
