--- a/crates/agent/src/control/accept.rs
+++ b/crates/agent/src/control/accept.rs
@@ -10,7 +10,7 @@
 use model::{ConfigVersion, ObjectVersion, ServiceName, Timestamp};
 use object_store::StoreError;
 use rand::RngExt;
-use settings::{Accepted, Judgement, Refused, judge};
+use settings::{AcceptedDocument, DocumentDecision, RefusedDocument, decide_document};
 
 use crate::control::{documents::RaiseOutcome, state::Control};
 
@@ -31,7 +31,7 @@
     looked_up_at: Option<Timestamp>,
     read_at: Option<Timestamp>,
     /// The last refused version, until it is superseded.
-    pub(crate) refused: Option<Refused>,
+    pub(crate) refused: Option<RefusedDocument>,
 }
 
 /// The stored object `accepted/S`.
@@ -39,7 +39,7 @@
 struct AcceptedState {
     /// The object's version, or 0 if the object does not exist.
     object_version: ObjectVersion,
-    accepted: Option<Accepted>,
+    accepted: Option<AcceptedDocument>,
 }
 
 impl Control {
@@ -76,7 +76,7 @@
     pub(super) fn on_accepted_read(
         &mut self,
         service: ServiceName,
-        result: Result<Option<(ObjectVersion, Accepted)>, StoreError>,
+        result: Result<Option<(ObjectVersion, AcceptedDocument)>, StoreError>,
     ) {
         let read = match result {
             Ok(read) => read,
@@ -127,13 +127,18 @@
         let Some(state) = self.acceptor.accepted.clone() else { return };
         let Some((version, text)) = self.acceptor.pending_document.take() else { return };
         let service = self.service().clone();
-        let accepted = match judge(&service, state.accepted.as_ref(), version, text.as_bytes()) {
-            Judgement::Keep => {
+        let accepted = match decide_document(
+            &service,
+            state.accepted.as_ref(),
+            version,
+            text.as_bytes(),
+        ) {
+            DocumentDecision::Keep => {
                 // The refused version is superseded by an equal or later one in force.
                 self.acceptor.refused.take_if(|it| it.version <= self.documents.version(&service));
                 return;
             }
-            Judgement::Refuse(refused) => {
+            DocumentDecision::Refuse(refused) => {
                 let reasons = refused.reasons.join("; ");
                 if self.acceptor.refused.as_ref() != Some(&refused) {
                     log::warn!(target: "config", "Refused version {version} of {service}: {reasons}");
@@ -141,7 +146,7 @@
                 }
                 return;
             }
-            Judgement::Raise(accepted) => accepted,
+            DocumentDecision::Raise(accepted) => accepted,
         };
         self.acceptor.refused = None;
         self.acceptor.is_updating = true;
@@ -151,7 +156,7 @@
     /// Handles the result of an update of `accepted/S`.
     pub(super) fn on_accept_result(
         &mut self,
-        accepted: Accepted,
+        accepted: AcceptedDocument,
         result: Result<ObjectVersion, StoreError>,
     ) {
         self.acceptor.is_updating = false;
--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -8,7 +8,7 @@
 use object_store::{Changes, Object, ObjectStore, StoreError};
 use ownership::{CallId, Coordinator, Plan, PlatformReply, PlatformRequest};
 use serde::{Serialize, de::DeserializeOwned};
-use settings::{Accepted, Status, accepted_path, service_path, status_path};
+use settings::{AcceptedDocument, GroupStatus, accepted_path, service_path, status_path};
 use tokio::sync::mpsc;
 
 /// How long the platform holds a watch without changes before it answers.
@@ -24,14 +24,14 @@
     },
     AcceptedRead {
         service: ServiceName,
-        result: Result<Option<(ObjectVersion, Accepted)>, StoreError>,
+        result: Result<Option<(ObjectVersion, AcceptedDocument)>, StoreError>,
     },
     DocumentRead {
         result: Result<Option<(ObjectVersion, String)>, StoreError>,
     },
     /// The result of an update of `accepted/S` to `accepted`: the object's new version.
     AcceptedUpdated {
-        accepted: Accepted,
+        accepted: AcceptedDocument,
         result: Result<ObjectVersion, StoreError>,
     },
     /// The stored state of another service's group.
@@ -161,7 +161,7 @@
         });
     }
 
-    pub(crate) fn update_accepted(&self, expected: ObjectVersion, accepted: Accepted) {
+    pub(crate) fn update_accepted(&self, expected: ObjectVersion, accepted: AcceptedDocument) {
         self.spawn(move |platform| async move {
             let path = accepted_path(&accepted.service);
             let result = platform.update(&path, expected, to_json(&accepted)).await;
@@ -207,7 +207,7 @@
         });
     }
 
-    pub(crate) fn write_status(&self, expected: ObjectVersion, status: &Status) {
+    pub(crate) fn write_status(&self, expected: ObjectVersion, status: &GroupStatus) {
         let path = status_path(&status.service, status.group);
         let body = to_json(status);
         self.spawn(move |platform| async move {
--- a/crates/agent/src/control/status.rs
+++ b/crates/agent/src/control/status.rs
@@ -10,8 +10,8 @@
 use ownership::{MemberView, NodeView, OwnerView, UpstreamState};
 use rand::RngExt;
 use settings::{
-    CoordinatorStatus, GRANTS_MAX, GrantStatus, HotKeyStatus, InForce, Measures, OwnerStatus,
-    Status, UpstreamStateName, UpstreamStatus,
+    CoordinatorStatus, GRANTS_MAX, GrantStatus, GroupStatus, HotKeyStatus, InForceStatus, Measures,
+    OwnerStatus, UpstreamStateName, UpstreamStatus,
 };
 
 use crate::control::{
@@ -142,14 +142,14 @@
         self.status.schedule.record_failure(now);
     }
 
-    fn build_status(&mut self) -> Status {
+    fn build_status(&mut self) -> GroupStatus {
         let in_force = self.count_in_force();
         let Some(group) = &self.group else {
             unreachable!("only a member of a group is its coordinator")
         };
         let view = &group.view;
         let accepted = self.documents.version(self.service());
-        Status {
+        GroupStatus {
             service: self.service().clone(),
             group: ONLY_GROUP,
             written_at_unix_ms: unix_ms(),
@@ -173,7 +173,7 @@
 
     /// Counts the members on which the accepted version is in force, and keeps the time since when
     /// it is in force on all.
-    fn count_in_force(&mut self) -> InForce {
+    fn count_in_force(&mut self) -> InForceStatus {
         let accepted = self.documents.version(self.service());
         let members = self.group.as_ref().map_or(&[][..], |it| &it.view.members);
         let instances = members.iter().filter(|it| it.config >= accepted).count() as u32;
@@ -184,7 +184,7 @@
         } else if since.is_none() {
             *since = Some(unix_ms());
         }
-        InForce { instances, of, since_unix_ms: *since }
+        InForceStatus { instances, of, since_unix_ms: *since }
     }
 
     /// Computes imbalance, churn and unavailability over [`MEASURE_WINDOW`].
--- a/crates/agent/src/control/status_schedule.rs
+++ b/crates/agent/src/control/status_schedule.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use model::Timestamp;
-use settings::Status;
+use settings::GroupStatus;
 
 /// The shortest interval between two writes about documents.
 const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(250);
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct StatusSchedule {
     /// The last written status and when it was written, or `None` if a write is due at once.
-    written: Option<(Timestamp, Status)>,
+    written: Option<(Timestamp, GroupStatus)>,
     failed_at: Option<Timestamp>,
     /// When the status first differed from the written one.
     changed_since: Option<Timestamp>,
@@ -48,7 +48,7 @@
 
 impl StatusSchedule {
     /// Returns whether a write of `status` is due.
-    pub(crate) fn is_due(&mut self, now: Timestamp, status: &Status) -> bool {
+    pub(crate) fn is_due(&mut self, now: Timestamp, status: &GroupStatus) -> bool {
         if self.failed_at.is_some_and(|it| now.since(it) < RETRY_PAUSE) {
             return false;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Records the write of a status. `jitter` is a random number from 0 to 1.
-    pub(crate) fn record_write(&mut self, now: Timestamp, status: Status, jitter: f64) {
+    pub(crate) fn record_write(&mut self, now: Timestamp, status: GroupStatus, jitter: f64) {
         let [least, most] = OWNERSHIP_INTERVALS;
         self.ownership_interval = match &self.written {
             Some((at, former)) if now.since(*at) < REFRESH_AFTER => match diff(former, &status) {
@@ -91,15 +91,16 @@
 }
 
 /// Returns whether the accepted version is not yet in force on all members.
-fn is_rolling_out(status: &Status) -> bool {
+fn is_rolling_out(status: &GroupStatus) -> bool {
     status.in_force.instances < status.in_force.of
 }
 
 /// Returns the kind of change from the written status to the current one.
-fn diff(written: &Status, status: &Status) -> StatusChange {
-    let documents =
-        |it: &Status| (it.accepted, is_rolling_out(it), it.refused.as_ref().map(|it| it.version));
-    let slots = |it: &Status| -> Vec<_> {
+fn diff(written: &GroupStatus, status: &GroupStatus) -> StatusChange {
+    let documents = |it: &GroupStatus| {
+        (it.accepted, is_rolling_out(it), it.refused.as_ref().map(|it| it.version))
+    };
+    let slots = |it: &GroupStatus| -> Vec<_> {
         it.owners.iter().map(|it| (it.instance.clone(), it.slots)).collect()
     };
     match () {
--- a/crates/agent/src/control/tests/config.rs
+++ b/crates/agent/src/control/tests/config.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, atomic::Ordering};
 
 use model::ConfigVersion;
-use settings::{Accepted, Status};
+use settings::{AcceptedDocument, GroupStatus};
 
 use crate::control::tests::{
     agent::{Agent, wait_until},
@@ -56,7 +56,7 @@
         version
     }
 
-    fn accepted(&self) -> Accepted {
+    fn accepted(&self) -> AcceptedDocument {
         serde_json::from_str(&self.platform.text("accepted/standings").unwrap()).unwrap()
     }
 
@@ -68,7 +68,7 @@
         self.agents.iter().position(|it| it.own.name == name).unwrap()
     }
 
-    fn status(&self) -> Option<Status> {
+    fn status(&self) -> Option<GroupStatus> {
         let text = self.platform.text("status/standings/0")?;
         Some(serde_json::from_str(&text).unwrap())
     }
--- a/crates/agent/src/control/tests/status_schedule.rs
+++ b/crates/agent/src/control/tests/status_schedule.rs
@@ -1,14 +1,14 @@
 //! The times at which a status is written.
 
 use model::{ConfigVersion, GroupId, InstanceName, ServiceName, Term, Timestamp, Zone};
-use settings::{CoordinatorStatus, InForce, Measures, MoveStatus, Status};
+use settings::{CoordinatorStatus, GroupStatus, InForceStatus, Measures, MoveStatus};
 
 use crate::control::status_schedule::StatusSchedule;
 
 const TICK_MS: u64 = 25;
 
 /// Returns a status of a group of 25 members, whose version `accepted` is in force on `instances`.
-fn status(accepted: u64, instances: u32, last_move: u64) -> Status {
+fn status(accepted: u64, instances: u32, last_move: u64) -> GroupStatus {
     let name = |it: &str| InstanceName::new(it).unwrap();
     let moved = MoveStatus {
         slot: model::Slot(0),
@@ -17,12 +17,12 @@
         reason: "loss".to_owned(),
         at_unix_ms: 0,
     };
-    Status {
+    GroupStatus {
         service: ServiceName::new("standings").unwrap(),
         group: GroupId(0),
         written_at_unix_ms: 0,
         accepted: Some(ConfigVersion(accepted)),
-        in_force: InForce { instances, of: 25, since_unix_ms: None },
+        in_force: InForceStatus { instances, of: 25, since_unix_ms: None },
         refused: None,
         coordinator: CoordinatorStatus {
             instance: name("s-1"),
@@ -41,7 +41,7 @@
 
 /// Checks the times in milliseconds at which the status is written. `status_at` returns the status
 /// of each tick.
-fn check(end_ms: u64, jitter: f64, status_at: impl Fn(u64) -> Status, expected: &[u64]) {
+fn check(end_ms: u64, jitter: f64, status_at: impl Fn(u64) -> GroupStatus, expected: &[u64]) {
     let mut schedule = StatusSchedule::default();
     let mut writes = Vec::new();
     for at_ms in (0..end_ms).step_by(TICK_MS as usize) {
--- a/crates/agent/src/control/watch.rs
+++ b/crates/agent/src/control/watch.rs
@@ -8,7 +8,7 @@
 use model::{ConfigVersion, ObjectVersion, ServiceName, Timestamp};
 use object_store::{Changes, StoreError};
 use rand::RngExt;
-use settings::{Accepted, service_path};
+use settings::{AcceptedDocument, service_path};
 
 use crate::control::{
     calls::{ACCEPTED_PREFIX, WATCH_WAIT, WatchPrefix},
@@ -141,7 +141,7 @@
     fn on_accepted_changes(&mut self, changes: &Changes) {
         for change in &changes.changes {
             let Some(body) = &change.body else { continue };
-            match serde_json::from_slice::<Accepted>(body) {
+            match serde_json::from_slice::<AcceptedDocument>(body) {
                 Ok(it)
                     if change.path.strip_prefix(ACCEPTED_PREFIX) == Some(it.service.as_str()) =>
                 {
--- a/crates/agent/src/gate/admission_queue.rs
+++ b/crates/agent/src/gate/admission_queue.rs
@@ -84,7 +84,7 @@
         warmup: SharedWarmup,
         seed: u64,
     ) -> Arc<AdmissionQueue> {
-        let class = |it: &settings::Class| ClassConfig {
+        let class = |it: &settings::RequestClass| ClassConfig {
             name: it.name.clone(),
             weight: f64::from(it.weight),
             initial_service_time: INITIAL_SERVICE_TIME,
--- a/crates/client/src/commands/apply.rs
+++ b/crates/client/src/commands/apply.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use model::ObjectVersion;
 use object_store::{Object, StoreError};
-use settings::{Accepted, ServiceDocument, accepted_path, service_path};
+use settings::{AcceptedDocument, ServiceDocument, accepted_path, service_path};
 
 use crate::{
     args::ApplyArgs,
@@ -25,7 +25,7 @@
     text: &'a str,
     base: ObjectVersion,
     current: Option<Object>,
-    accepted: Option<Accepted>,
+    accepted: Option<AcceptedDocument>,
 }
 
 pub(crate) async fn run(
@@ -144,7 +144,7 @@
             );
             return Failure::Conflict(message);
         }
-        let of_base = |it: &&Accepted| it.version.0 == self.base.0;
+        let of_base = |it: &&AcceptedDocument| it.version.0 == self.base.0;
         let conflict = Conflict {
             service,
             file: &self.args.file,
@@ -170,7 +170,7 @@
     }
 }
 
-async fn accepted(store: &Store, path: &str) -> Result<Option<Accepted>, Failure> {
+async fn accepted(store: &Store, path: &str) -> Result<Option<AcceptedDocument>, Failure> {
     let object = store.read(path).await?;
     object.map(|it| decode(path, &it.body)).transpose()
 }
--- a/crates/client/src/commands/explain.rs
+++ b/crates/client/src/commands/explain.rs
@@ -4,7 +4,8 @@
 use ownership::{Confirmation, Coordinator, Plan};
 use serde::de::DeserializeOwned;
 use settings::{
-    Accepted, GrantStatus, MoveStatus, ServiceDocument, Status, accepted_path, status_path,
+    AcceptedDocument, GrantStatus, GroupStatus, MoveStatus, ServiceDocument, accepted_path,
+    status_path,
 };
 
 use crate::{
@@ -23,7 +24,7 @@
     hash: KeyHash,
     plan: Plan,
     coordinator: Option<Coordinator>,
-    status: Option<Status>,
+    status: Option<GroupStatus>,
     document: Option<(u64, ServiceDocument)>,
 }
 
@@ -50,7 +51,7 @@
     store: &Store,
     service: &ServiceName,
 ) -> Result<Option<(u64, ServiceDocument)>, Failure> {
-    let accepted: Option<Accepted> = object(store, &accepted_path(service)).await?;
+    let accepted: Option<AcceptedDocument> = object(store, &accepted_path(service)).await?;
     let parsed = accepted.map(|it| (it.version.0, ServiceDocument::parse(&it.document)));
     Ok(parsed.and_then(|(version, it)| Some((version, it.ok()?))))
 }
--- a/crates/client/src/commands/status.rs
+++ b/crates/client/src/commands/status.rs
@@ -1,7 +1,7 @@
 //! `status`: what is in force, who owns what, and how it goes.
 
 use serde::Serialize;
-use settings::{Status, UpstreamStateName, status_prefix};
+use settings::{GroupStatus, UpstreamStateName, status_prefix};
 
 use crate::{
     args::StatusArgs,
@@ -20,7 +20,7 @@
 /// What `--json` prints.
 #[derive(Serialize)]
 struct Report<'a> {
-    groups: Vec<&'a Status>,
+    groups: Vec<&'a GroupStatus>,
 }
 
 pub(crate) async fn run(
@@ -35,7 +35,7 @@
     let mut statuses = Vec::new();
     merge(&mut statuses, store.list(&prefix).await?.changes)?;
     statuses.sort_by(|a, b| a.0.cmp(&b.0));
-    let groups: Vec<&Status> = statuses.iter().map(|it| &it.1).collect();
+    let groups: Vec<&GroupStatus> = statuses.iter().map(|it| &it.1).collect();
     match &args.service {
         Some(service) if groups.is_empty() => {
             let message = format!("no coordinator has written a status of {service}");
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-fn overview(groups: &[&Status]) -> String {
+fn overview(groups: &[&GroupStatus]) -> String {
     let mut table = Table::new(&[
         "SERVICE",
         "GROUP",
@@ -84,11 +84,11 @@
     table.render()
 }
 
-fn accepted(status: &Status) -> String {
+fn accepted(status: &GroupStatus) -> String {
     status.accepted.map_or("none".to_owned(), |it| it.to_string())
 }
 
-fn in_force(status: &Status) -> String {
+fn in_force(status: &GroupStatus) -> String {
     let it = status.in_force;
     match it.since_unix_ms {
         Some(since) => format!("{} of {}, {}", it.instances, it.of, ago(since, now_unix_ms())),
@@ -96,7 +96,7 @@
     }
 }
 
-fn details(status: &Status) -> String {
+fn details(status: &GroupStatus) -> String {
     let coordinator = &status.coordinator;
     let settled = if coordinator.settled { "settled" } else { "not settled yet" };
     let mut parts = vec![format!(
@@ -117,7 +117,7 @@
     parts.join("\n")
 }
 
-fn instances(status: &Status) -> String {
+fn instances(status: &GroupStatus) -> String {
     let mut table = Table::new(&["INSTANCE", "ZONE", "UPSTREAM", "SLOTS", "LOAD", "VERSION"]);
     for upstream in &status.upstreams {
         let owner = status.owners.iter().find(|it| it.instance == upstream.instance);
@@ -133,7 +133,7 @@
     table.render()
 }
 
-fn hot_keys(status: &Status) -> String {
+fn hot_keys(status: &GroupStatus) -> String {
     let mut table = Table::new(&["HOT KEY", "OWNER"]);
     for key in &status.hot_keys {
         let owner = key.owner.as_ref();
@@ -145,7 +145,7 @@
     table.render()
 }
 
-fn moves(status: &Status) -> String {
+fn moves(status: &GroupStatus) -> String {
     let mut table = Table::new(&["MOVED", "SLOT", "TO", "TOKEN", "WHY"]);
     let now = now_unix_ms();
     for it in status.moves.iter().take(MOVES_SHOWN) {
--- a/crates/client/src/commands/wait.rs
+++ b/crates/client/src/commands/wait.rs
@@ -4,7 +4,7 @@
 
 use model::{ConfigVersion, ObjectVersion, ServiceName};
 use object_store::{Change, StoreError};
-use settings::{Status, status_prefix};
+use settings::{GroupStatus, status_prefix};
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
@@ -101,7 +101,7 @@
 
 /// Takes what has changed into the statuses that are known.
 pub(crate) fn merge(
-    statuses: &mut Vec<(String, Status)>,
+    statuses: &mut Vec<(String, GroupStatus)>,
     changes: Vec<Change>,
 ) -> Result<(), Failure> {
     for change in changes {
@@ -116,10 +116,10 @@
 
 /// How far a version has come, by the statuses of all groups.
 pub(crate) fn reached<'a>(
-    statuses: impl Iterator<Item = &'a Status>,
+    statuses: impl Iterator<Item = &'a GroupStatus>,
     version: ConfigVersion,
 ) -> Reached {
-    let statuses: Vec<&Status> = statuses.collect();
+    let statuses: Vec<&GroupStatus> = statuses.collect();
     let refused = statuses.iter().filter_map(|it| it.refused.as_ref());
     if let Some(refused) = refused.clone().find(|it| it.version == version) {
         return Reached::Refused { reasons: refused.reasons.clone() };
@@ -131,7 +131,7 @@
         return Reached::NotAccepted;
     }
     let of = statuses.iter().map(|it| it.in_force.of).sum();
-    let has_it = |it: &&&Status| it.accepted.is_some_and(|it| it >= version);
+    let has_it = |it: &&&GroupStatus| it.accepted.is_some_and(|it| it >= version);
     let instances = statuses.iter().filter(has_it).map(|it| it.in_force.instances).sum();
     match of > 0 && instances == of {
         true => Reached::Everywhere { of },
--- a/crates/client/src/commands/watch.rs
+++ b/crates/client/src/commands/watch.rs
@@ -1,7 +1,7 @@
 //! `watch`: one line for each status that a coordinator writes.
 
 use object_store::StoreError;
-use settings::{Status, status_prefix};
+use settings::{GroupStatus, status_prefix};
 
 use crate::{
     args::WatchArgs,
@@ -37,8 +37,8 @@
     Ok(())
 }
 
-fn line(status: &Status) -> String {
-    let Status { service, group, in_force, coordinator, measures, .. } = status;
+fn line(status: &GroupStatus) -> String {
+    let GroupStatus { service, group, in_force, coordinator, measures, .. } = status;
     let accepted = status.accepted.map_or("none".to_owned(), |it| it.to_string());
     let refused = status.refused.as_ref();
     let refused = refused.map_or(String::new(), |it| format!(", refused {}", it.version));
--- a/crates/settings/src/central/defaults.rs
+++ b/crates/settings/src/central/defaults.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::{
-    BODY_BYTES, COLD_RATES, CONNECTIONS, Class, HEADER_BYTES, KeyGrants, RawClass, RawDocument,
-    RawDrain, RawKey, RawLimits, RawOwnership, RawRoute, RawUpstream,
+    BODY_BYTES, COLD_RATES, CONNECTIONS, HEADER_BYTES, KeyGrants, RawClass, RawDocument, RawDrain,
+    RawKey, RawLimits, RawOwnership, RawRoute, RawUpstream, RequestClass,
 };
 
 /// How long a request may take at most: as long as documents allow. The routes of hosts say less.
@@ -56,7 +56,7 @@
     /// The header that carries the key, in lower case.
     pub key_header: &'static str,
     /// At least one.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     pub connections_max: u32,
     /// How many requests a second an upstream bears while it is cold; none: as many as its slots take.
     pub cold_requests_per_s: Option<f64>,
@@ -94,7 +94,7 @@
     /// The document of a service, as text.
     pub fn document(&self, service: &CentralServiceConfig) -> String {
         let defaults = self.0.clone();
-        let class = |it: &Class| RawClass {
+        let class = |it: &RequestClass| RawClass {
             name: it.name.as_str().to_owned(),
             weight: it.weight,
             queues_past_objective: it.queues_past_objective,
--- a/crates/settings/src/document/mod.rs
+++ b/crates/settings/src/document/mod.rs
@@ -37,8 +37,8 @@
     pub ordered_keys: Option<OrderedKeys>,
     /// Whether a request may come again under the id of its first sending.
     pub resends: bool,
-    pub upstream: UpstreamTraits,
-    pub classes: Vec<Class>,
+    pub upstream: UpstreamProperties,
+    pub classes: Vec<RequestClass>,
     /// In the order in which they are tried.
     pub routes: Vec<Route>,
     pub limits: TrafficLimits,
@@ -48,7 +48,7 @@
 
 /// What each upstream of a service can do.
 #[derive(Debug, Clone, PartialEq)]
-pub struct UpstreamTraits {
+pub struct UpstreamProperties {
     /// Requests that it runs at once.
     pub slots: u32,
     pub connections_max: u32,
@@ -66,7 +66,7 @@
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Class {
+pub struct RequestClass {
     pub name: ClassName,
     /// Its share of a full target against the other classes; at least 1.
     pub weight: u32,
@@ -185,9 +185,9 @@
     }
 }
 
-impl From<&raw::RawUpstream> for UpstreamTraits {
-    fn from(raw: &raw::RawUpstream) -> UpstreamTraits {
-        UpstreamTraits {
+impl From<&raw::RawUpstream> for UpstreamProperties {
+    fn from(raw: &raw::RawUpstream) -> UpstreamProperties {
+        UpstreamProperties {
             slots: raw.slots,
             connections_max: raw.connections_max,
             checks_fence: raw.checks_fence,
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -5,8 +5,8 @@
 use model::{ClassName, NameError, OrderedKeys, ServiceName, SlotCount};
 
 use super::{
-    Class, DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, Route, ServiceDocument,
-    TrafficLimits, UpstreamTraits,
+    DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, RequestClass, Route,
+    ServiceDocument, TrafficLimits, UpstreamProperties,
     raw::{RawDocument, RawMethod, RawRoute},
     route::PathPattern,
 };
@@ -37,7 +37,7 @@
         slot_count: SlotCount::new(raw.slot_count).ok()?,
         ordered_keys: raw.ordered_keys.and_then(OrderedKeys::new),
         resends: raw.resends,
-        upstream: UpstreamTraits::from(&raw.upstream),
+        upstream: UpstreamProperties::from(&raw.upstream),
         classes: classes?,
         routes: routes?,
         limits: TrafficLimits::from(&raw.limits),
@@ -191,7 +191,7 @@
         });
     }
 
-    fn classes(&mut self, raw: &RawDocument) -> Option<Vec<Class>> {
+    fn classes(&mut self, raw: &RawDocument) -> Option<Vec<RequestClass>> {
         let mut seen = HashMap::new();
         let mut classes = Vec::new();
         for (index, class) in raw.classes.iter().enumerate() {
@@ -201,7 +201,7 @@
             }
             let name = self.name(&field, ClassName::new(&class.name));
             let queues_past_objective = class.queues_past_objective;
-            classes.push(name.map(|name| Class {
+            classes.push(name.map(|name| RequestClass {
                 name,
                 weight: class.weight,
                 queues_past_objective,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,14 +22,14 @@
     Backend, CentralConfig, CentralServiceConfig, DocumentDefaults, HostRoute, RoutingTable,
 };
 pub use document::{
-    Class, DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, Route, RouteError,
-    RouteMatch, ServiceDocument, TrafficLimits, UpstreamTraits,
+    DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, RequestClass, Route, RouteError,
+    RouteMatch, ServiceDocument, TrafficLimits, UpstreamProperties,
 };
 pub use objects::{
-    Accepted, CRASHES_PREFIX, CoordinatorStatus, CrashRecord, CrashesObject, GRANTS_MAX,
-    GrantStatus, HotKeyStatus, InForce, Measures, MoveStatus, OwnerStatus, Refused, Status,
-    UpstreamStateName, UpstreamStatus, ZONES_PREFIX, ZoneObject, accepted_path, crashes_path,
-    service_path, status_path, status_prefix, zone_of_path, zone_path,
+    AcceptedDocument, CRASHES_PREFIX, CoordinatorStatus, CrashRecord, CrashesObject, GRANTS_MAX,
+    GrantStatus, GroupStatus, HotKeyStatus, InForceStatus, Measures, MoveStatus, OwnerStatus,
+    RefusedDocument, UpstreamStateName, UpstreamStatus, ZONES_PREFIX, ZoneObject, accepted_path,
+    crashes_path, service_path, status_path, status_prefix, zone_of_path, zone_path,
 };
 pub use problem::{Position, Problem, Problems};
-pub use versions::{DocumentTable, Judgement, VersionedDocument, judge};
+pub use versions::{DocumentDecision, DocumentTable, VersionedDocument, decide_document};
--- a/crates/settings/src/objects.rs
+++ b/crates/settings/src/objects.rs
@@ -1,8 +1,8 @@
 //! Objects of the platform that agents and the operators' client share.
 //!
 //! - `services/S`: the document as its team wrote it, the text as it is.
-//! - `accepted/S`: [`Accepted`], the version in force; only rises.
-//! - `status/S/G`: [`Status`] of one group, written by its coordinator.
+//! - `accepted/S`: [`AcceptedDocument`], the version in force; only rises.
+//! - `status/S/G`: [`GroupStatus`] of one group, written by its coordinator.
 //! - `ends/I`: [`CrashesObject`], under which requests the upstream beside an instance has ended.
 //! - `zones/Z`: [`ZoneObject`], whether an operator has closed an availability zone.
 
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Accepted {
+pub struct AcceptedDocument {
     pub service: ServiceName,
     /// The object version of `services/S` from which it was accepted.
     pub version: ConfigVersion,
@@ -119,18 +119,18 @@
     pub document: String,
 }
 
-impl Accepted {
+impl AcceptedDocument {
     /// What `accepted/S` becomes when `services/S` has this version and text; none if that would
     /// not raise the version.
     pub fn raised(
-        current: Option<&Accepted>,
+        current: Option<&AcceptedDocument>,
         service: ServiceName,
         version: ObjectVersion,
         document: String,
-    ) -> Option<Accepted> {
+    ) -> Option<AcceptedDocument> {
         let version = ConfigVersion(version.0);
         let rises = current.is_none_or(|it| it.version < version);
-        rises.then_some(Accepted { service, version, document })
+        rises.then_some(AcceptedDocument { service, version, document })
     }
 }
 
@@ -138,16 +138,16 @@
 /// and the client may be of different versions.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Status {
+pub struct GroupStatus {
     pub service: ServiceName,
     pub group: GroupId,
     /// When it was written, by the writer's wall clock, in milliseconds since 1970; for people only.
     pub written_at_unix_ms: u64,
     /// None until a document has been accepted.
     pub accepted: Option<ConfigVersion>,
-    pub in_force: InForce,
+    pub in_force: InForceStatus,
     /// The newest document that was not accepted; none if the newest was.
-    pub refused: Option<Refused>,
+    pub refused: Option<RefusedDocument>,
     pub coordinator: CoordinatorStatus,
     pub owners: Vec<OwnerStatus>,
     pub upstreams: Vec<UpstreamStatus>,
@@ -164,7 +164,7 @@
 /// On how many instances of the group the accepted version is in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct InForce {
+pub struct InForceStatus {
     pub instances: u32,
     pub of: u32,
     /// Since when it is in force on all of them; none while it is not.
@@ -174,7 +174,7 @@
 /// A document that was not accepted; the former one stays in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Refused {
+pub struct RefusedDocument {
     /// The object version of `services/S`.
     pub version: ConfigVersion,
     /// One sentence each, with line and field.
@@ -235,7 +235,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(from = "RawGrant", into = "RawGrant")]
 pub struct GrantStatus {
-    /// Index into [`Status::owners`]; none while nobody owns the slot.
+    /// Index into [`GroupStatus::owners`]; none while nobody owns the slot.
     pub owner: Option<u16>,
     pub token: Token,
 }
--- a/crates/settings/src/tests/central.rs
+++ b/crates/settings/src/tests/central.rs
@@ -5,7 +5,7 @@
 use model::{ClassName, OrderedKeys, ServiceName, TeamName};
 
 use crate::{
-    AgentSettings, Backend, CentralServiceConfig, Class, HostRoute, KeyGrants, RoutingTable,
+    AgentSettings, Backend, CentralServiceConfig, HostRoute, KeyGrants, RequestClass, RoutingTable,
     ServiceDocument,
 };
 
@@ -61,7 +61,7 @@
         keys: OrderedKeys::new(65_536),
         key_grants: KeyGrants::Announcements,
         key_header: "x-place",
-        classes: vec![Class {
+        classes: vec![RequestClass {
             name: ClassName::new("rank-1").unwrap(),
             weight: 4,
             queues_past_objective: false,
--- a/crates/settings/src/tests/objects.rs
+++ b/crates/settings/src/tests/objects.rs
@@ -2,12 +2,12 @@
 
 use model::{ObjectVersion, ServiceName};
 
-use crate::Accepted;
+use crate::AcceptedDocument;
 
 fn check(current: Option<u64>, offered: u64, expected: Option<u64>) {
-    let raise = |current: Option<&Accepted>, version: u64| {
+    let raise = |current: Option<&AcceptedDocument>, version: u64| {
         let service = ServiceName::new("standings").unwrap();
-        Accepted::raised(current, service, ObjectVersion(version), "{}".to_owned())
+        AcceptedDocument::raised(current, service, ObjectVersion(version), "{}".to_owned())
     };
     let current = current.map(|it| raise(None, it).unwrap());
     assert_eq!(raise(current.as_ref(), offered).map(|it| it.version.0), expected);
--- a/crates/settings/src/tests/spread.rs
+++ b/crates/settings/src/tests/spread.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::document::MINIMAL;
-use crate::{Accepted, DocumentTable, Judgement, ServiceDocument, judge};
+use crate::{AcceptedDocument, DocumentDecision, DocumentTable, ServiceDocument, decide_document};
 
 const RUNS: u64 = 300;
 const STEPS: usize = 400;
@@ -21,7 +21,7 @@
 struct Store {
     revision: u64,
     document: (ObjectVersion, String),
-    accepted: (ObjectVersion, Option<Accepted>),
+    accepted: (ObjectVersion, Option<AcceptedDocument>),
     /// Every text that was ever written, by its version.
     written: BTreeMap<u64, String>,
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Default)]
 struct Read {
     document: (ObjectVersion, String),
-    accepted: (ObjectVersion, Option<Accepted>),
+    accepted: (ObjectVersion, Option<AcceptedDocument>),
 }
 
 struct World {
@@ -90,8 +90,9 @@
     fn accept(&mut self) {
         let read = self.reads.choose(&mut self.rng).unwrap().clone();
         let (version, text) = &read.document;
-        let verdict = judge(&self.service, read.accepted.1.as_ref(), *version, text.as_bytes());
-        let Judgement::Raise(raised) = verdict else { return };
+        let verdict =
+            decide_document(&self.service, read.accepted.1.as_ref(), *version, text.as_bytes());
+        let DocumentDecision::Raise(raised) = verdict else { return };
         if read.accepted.0 != self.store.accepted.0 {
             return;
         }
@@ -148,7 +149,7 @@
             self.accept();
         }
         let Some(accepted) = self.store.accepted.1.clone() else { return };
-        let Accepted { service, version, document } = accepted;
+        let AcceptedDocument { service, version, document } = accepted;
         self.agents.iter_mut().for_each(|it| _ = it.take(&service, version, &document));
     }
 
--- a/crates/settings/src/tests/versions.rs
+++ b/crates/settings/src/tests/versions.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::document::MINIMAL;
-use crate::{Accepted, DocumentTable, Judgement, judge};
+use crate::{AcceptedDocument, DocumentDecision, DocumentTable, decide_document};
 
 const RUNS: u64 = 200;
 const STEPS: usize = 60;
@@ -16,12 +16,12 @@
 }
 
 /// Every version has a text of its own; one in four can't be read.
-fn accepted(version: u64) -> Accepted {
+fn accepted(version: u64) -> AcceptedDocument {
     let text = match version % 4 {
         3 => format!("{{ {version}"),
         _ => MINIMAL.replace("karerang", &format!("team-{version}")),
     };
-    Accepted { service: service(), version: ConfigVersion(version), document: text }
+    AcceptedDocument { service: service(), version: ConfigVersion(version), document: text }
 }
 
 fn take(table: &mut DocumentTable, version: u64) -> Option<bool> {
@@ -86,11 +86,15 @@
     expected: Result<Option<u64>, &str>,
 ) {
     let current = current.map(accepted);
-    let actual = match judge(&service(), current.as_ref(), ObjectVersion(offered), text.as_bytes())
-    {
-        Judgement::Keep => Ok(None),
-        Judgement::Raise(it) => Ok(Some(it.version.0)),
-        Judgement::Refuse(it) => {
+    let actual = match decide_document(
+        &service(),
+        current.as_ref(),
+        ObjectVersion(offered),
+        text.as_bytes(),
+    ) {
+        DocumentDecision::Keep => Ok(None),
+        DocumentDecision::Raise(it) => Ok(Some(it.version.0)),
+        DocumentDecision::Refuse(it) => {
             assert_eq!(it.version.0, offered);
             Err(it.reasons.join(" "))
         }
--- a/crates/settings/src/versions.rs
+++ b/crates/settings/src/versions.rs
@@ -4,34 +4,34 @@
 
 use model::{ConfigVersion, ObjectVersion, ServiceName};
 
-use crate::{Accepted, Problems, Refused, ServiceDocument};
+use crate::{AcceptedDocument, Problems, RefusedDocument, ServiceDocument};
 
 /// What a coordinator does about the state of `services/S`.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Judgement {
+pub enum DocumentDecision {
     /// It is accepted already, or older than what is.
     Keep,
     /// `accepted/S` becomes this, on condition that it is still as it was read.
-    Raise(Accepted),
+    Raise(AcceptedDocument),
     /// The former version stays in force.
-    Refuse(Refused),
+    Refuse(RefusedDocument),
 }
 
 /// Judges a document against the accepted one; the same on every coordinator at any time.
-pub fn judge(
+pub fn decide_document(
     service: &ServiceName,
-    accepted: Option<&Accepted>,
+    accepted: Option<&AcceptedDocument>,
     version: ObjectVersion,
     body: &[u8],
-) -> Judgement {
+) -> DocumentDecision {
     let refuse = |reasons: Vec<String>| {
-        Judgement::Refuse(Refused { version: ConfigVersion(version.0), reasons })
+        DocumentDecision::Refuse(RefusedDocument { version: ConfigVersion(version.0), reasons })
     };
     let Ok(text) = std::str::from_utf8(body) else {
         return refuse(vec!["the document is not UTF-8.".to_owned()]);
     };
-    let raised = Accepted::raised(accepted, service.clone(), version, text.to_owned());
-    let Some(raised) = raised else { return Judgement::Keep };
+    let raised = AcceptedDocument::raised(accepted, service.clone(), version, text.to_owned());
+    let Some(raised) = raised else { return DocumentDecision::Keep };
     let former = accepted.map(|it| (it.version, ServiceDocument::parse(&it.document)));
     let parsed = match &former {
         None => ServiceDocument::parse_for(service, text),
@@ -43,7 +43,7 @@
         }
     };
     match parsed {
-        Ok(_) => Judgement::Raise(raised),
+        Ok(_) => DocumentDecision::Raise(raised),
         Err(problems) => refuse(problems.iter().map(ToString::to_string).collect()),
     }
 }
