--- a/crates/agent/src/control/documents.rs
+++ b/crates/agent/src/control/documents.rs
@@ -32,7 +32,7 @@
         text: &str,
     ) -> RaiseOutcome {
         let former = self.version(service);
-        let raised = match self.table.take(service, version, text) {
+        let raised = match self.table.raise(service, version, text) {
             Ok(true) => RaiseOutcome::Raised,
             Ok(false) => return RaiseOutcome::Unchanged,
             Err(problems) => {
@@ -48,12 +48,12 @@
     /// Returns whether a version that a peer announced is newer than the one in force and all invalid
     /// ones received so far.
     pub(crate) fn should_fetch(&self, service: &ServiceName, version: ConfigVersion) -> bool {
-        self.table.wants(service, version)
+        self.table.should_fetch(service, version)
     }
 
     /// Returns the document in force of a service.
     pub(crate) fn in_force(&self, service: &ServiceName) -> Option<&InForce> {
-        self.table.of(service)
+        self.table.in_force(service)
     }
 
     /// Returns the version in force, or 0 if there is none.
--- a/crates/agent/src/control/upstream.rs
+++ b/crates/agent/src/control/upstream.rs
@@ -118,11 +118,11 @@
 }
 
 /// Returns the time since the last announcement after which an upstream counts as lost.
-pub(super) fn announcement_timeout(key_grants: KeyGrants, announced_every: Duration) -> Duration {
+pub(super) fn announcement_timeout(key_grants: KeyGrants, announce_interval: Duration) -> Duration {
     match key_grants {
         KeyGrants::Calls => ANNOUNCEMENT_TIMEOUT,
         KeyGrants::Announcements => {
-            ANNOUNCEMENT_TIMEOUT.min(announced_every.mul_f64(ANNOUNCEMENT_TIMEOUT_INTERVALS))
+            ANNOUNCEMENT_TIMEOUT.min(announce_interval.mul_f64(ANNOUNCEMENT_TIMEOUT_INTERVALS))
         }
     }
 }
@@ -139,7 +139,7 @@
             return;
         }
         let now = self.now();
-        match self.upstream.classify(now, self.parts.settings.announced_every, &announcement) {
+        match self.upstream.classify(now, self.parts.settings.announce_interval, &announcement) {
             AnnouncementKind::Stale => {
                 log::debug!(target: "control", "Ignored a stale announcement of the upstream.");
                 return;
@@ -227,7 +227,7 @@
     pub(super) fn check_upstream_timeout(&mut self, now: Timestamp) {
         let document = self.documents.in_force(self.service()).map(|it| &it.document.upstream);
         let key_grants = document.map_or(KeyGrants::Calls, |it| it.key_grants);
-        let timeout = announcement_timeout(key_grants, self.parts.settings.announced_every);
+        let timeout = announcement_timeout(key_grants, self.parts.settings.announce_interval);
         let has_timed_out = now.since(self.upstream.announced_at) > timeout;
         match &mut self.upstream.announcement {
             Some(announcement) if has_timed_out && announcement.state != UpstreamState::Lost => {
--- a/crates/agent/src/gate/bound.rs
+++ b/crates/agent/src/gate/bound.rs
@@ -214,7 +214,7 @@
     };
     let config = RecordsConfig {
         bytes_max: (document.limits.records_bytes_max / units).max(UNIT_RECORDS_BYTES_MIN),
-        retention: document.limits.records_for,
+        retention: document.limits.records_retention,
         age_margin: AGE_MARGIN,
     };
     RequestRecords::new(config, document.ownership.lease / 2)
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -303,7 +303,7 @@
     let path = parts.uri.path_and_query().ok_or(Refusal::NoService)?;
     let host_route = destination.route.as_deref();
     let (class, idempotent, timeout, attempts) = match host_route {
-        Some(it) => (&it.class, it.idempotent, it.timeout, it.attempts),
+        Some(it) => (&it.class, it.idempotent, it.timeout, it.attempts_max),
         None => (&found.route.class, found.route.idempotent, found.route.deadline, u8::MAX),
     };
     Ok(GateRequest {
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -28,7 +28,7 @@
 
 impl SettingsFile {
     pub(crate) fn reread(&self, text: &str) -> Reread {
-        match AgentSettings::parse(text).map(|it| self.settings.differences(&it)) {
+        match AgentSettings::parse(text).map(|it| self.settings.changed_fields(&it)) {
             Ok(fields) if fields.is_empty() => Reread::Same,
             Ok(fields) => Reread::Differs(fields),
             Err(problems) => Reread::Faulty(problems),
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -113,7 +113,7 @@
     };
     log::info!(target: "agent", "{own} starts for {} in {}.", settings.service, own.zone);
     let clock = Clock::start();
-    let stop_max = settings.stop_max;
+    let stop_max = settings.stop_duration_max;
     let key = LinkKey::new(settings.link_key.as_bytes());
     let snapshots: Arc<SnapshotCell> = Arc::default();
     let (reporter, reports) = report::channel();
--- a/crates/client/src/failure.rs
+++ b/crates/client/src/failure.rs
@@ -58,7 +58,7 @@
         .map(|it| {
             let at = it.position;
             let field = if it.field.is_empty() { String::new() } else { format!("{}: ", it.field) };
-            format!("{file}:{}:{}: {field}{}", at.line, at.column, it.sentence)
+            format!("{file}:{}:{}: {field}{}", at.line, at.column, it.message)
         })
         .collect();
     lines.push(match problems.len() {
--- a/crates/settings/src/agent_settings.rs
+++ b/crates/settings/src/agent_settings.rs
@@ -44,9 +44,9 @@
     pub upstream_address: Option<SocketAddr>,
     pub traffic_threads: usize,
     /// How often the local upstream announces itself.
-    pub announced_every: Duration,
+    pub announce_interval: Duration,
     /// How long a graceful stop may take until what still runs is cut off.
-    pub stop_max: Duration,
+    pub stop_duration_max: Duration,
     /// What the service documents of a fleet's configuration have in common.
     pub document_defaults: DocumentDefaults,
     /// A filter for log lines, such as `info` or `info,gate=debug`.
@@ -154,7 +154,7 @@
     }
 
     /// The fields in which other settings differ, by their names in the text.
-    pub fn differences(&self, other: &AgentSettings) -> Vec<&'static str> {
+    pub fn changed_fields(&self, other: &AgentSettings) -> Vec<&'static str> {
         let fields = [
             ("instance", self.instance == other.instance),
             ("zone", self.zone == other.zone),
@@ -171,8 +171,8 @@
             ("announce_address", self.announce_address == other.announce_address),
             ("upstream_address", self.upstream_address == other.upstream_address),
             ("traffic_threads", self.traffic_threads == other.traffic_threads),
-            ("announced_every_ms", self.announced_every == other.announced_every),
-            ("stop_ms_max", self.stop_max == other.stop_max),
+            ("announced_every_ms", self.announce_interval == other.announce_interval),
+            ("stop_ms_max", self.stop_duration_max == other.stop_duration_max),
             ("document_defaults", self.document_defaults == other.document_defaults),
             ("log", self.log == other.log),
         ];
@@ -230,8 +230,8 @@
         announce_address: announce?,
         upstream_address: upstream?,
         traffic_threads: raw.traffic_threads,
-        announced_every: Duration::from_millis(raw.announced_every_ms),
-        stop_max: Duration::from_millis(raw.stop_ms_max),
+        announce_interval: Duration::from_millis(raw.announced_every_ms),
+        stop_duration_max: Duration::from_millis(raw.stop_ms_max),
         document_defaults: raw.document_defaults.clone().into(),
         log: raw.log.clone(),
     })
@@ -243,8 +243,8 @@
 }
 
 impl Rules<'_> {
-    fn report(&mut self, field: &str, sentence: impl Into<String>) {
-        self.problems.push(self.parsed.source.position(field), field, sentence);
+    fn report(&mut self, field: &str, message: impl Into<String>) {
+        self.problems.push(self.parsed.source.position(field), field, message);
     }
 
     fn taken<T>(&mut self, field: &str, value: Result<T, model::NameError>) -> Option<T> {
@@ -254,9 +254,9 @@
     fn link_key(&mut self) {
         let len = self.parsed.raw.link_key.len();
         if len < LINK_KEY_MIN_BYTES {
-            let sentence =
+            let message =
                 format!("{len} bytes are too few, at least {LINK_KEY_MIN_BYTES} are needed.");
-            self.report("link_key", sentence);
+            self.report("link_key", message);
         }
     }
 
--- a/crates/settings/src/central/defaults.rs
+++ b/crates/settings/src/central/defaults.rs
@@ -61,7 +61,7 @@
     /// How many requests a second an upstream bears while it is cold; none: as many as its slots take.
     pub cold_requests_per_s: Option<f64>,
     /// The longest time that any route to the service gives a request.
-    pub request_max: Duration,
+    pub timeout_max: Duration,
     pub header_bytes_max: u64,
     pub body_bytes_max: u64,
 }
@@ -73,7 +73,7 @@
     if service.keys.is_none() {
         return default_ms;
     }
-    let longest_ms = u64::try_from(service.request_max.as_millis()).unwrap_or(u64::MAX);
+    let longest_ms = u64::try_from(service.timeout_max.as_millis()).unwrap_or(u64::MAX);
     let needed_ms = longest_ms.min(LEASE_MS_MAX) + RENEWALS_MS;
     let needed_ms = needed_ms.next_multiple_of(LEASE_STEP_MS);
     needed_ms.clamp(default_ms, LEASE_MS_MAX)
@@ -92,7 +92,7 @@
 
 impl DocumentDefaults {
     /// The document of a service, as text.
-    pub fn document(&self, service: &CentralServiceConfig) -> String {
+    pub fn build_document(&self, service: &CentralServiceConfig) -> String {
         let defaults = self.0.clone();
         let class = |it: &RequestClass| RawClass {
             name: it.name.as_str().to_owned(),
--- a/crates/settings/src/central/routing.rs
+++ b/crates/settings/src/central/routing.rs
@@ -28,7 +28,7 @@
     /// How long an answer may take to be of full use to the caller.
     pub objective: Duration,
     /// The most upstreams that one request may be given to.
-    pub attempts: u8,
+    pub attempts_max: u8,
 }
 
 /// The routes of all hosts.
--- a/crates/settings/src/document/mod.rs
+++ b/crates/settings/src/document/mod.rs
@@ -95,7 +95,7 @@
     /// What kept answers to requests that are not idempotent may take up in memory.
     pub records_bytes_max: usize,
     /// How long such an answer is kept.
-    pub records_for: Duration,
+    pub records_retention: Duration,
 }
 
 /// Times and targets of ownership; the same fields as in the crate that decides on ownership.
@@ -212,7 +212,7 @@
             body_bytes_max: raw.body_bytes_max as usize,
             header_bytes_max: raw.header_bytes_max as usize,
             records_bytes_max: raw.records_bytes_max as usize,
-            records_for: Duration::from_millis(raw.records_ms),
+            records_retention: Duration::from_millis(raw.records_ms),
         }
     }
 }
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -87,13 +87,13 @@
 }
 
 impl Rules<'_> {
-    fn report(&mut self, field: &str, sentence: impl Into<String>) {
-        self.problems.push(self.source.position(field), field, sentence);
+    fn report(&mut self, field: &str, message: impl Into<String>) {
+        self.problems.push(self.source.position(field), field, message);
     }
 
-    fn require(&mut self, holds: bool, field: &str, sentence: impl FnOnce() -> String) {
+    fn require(&mut self, holds: bool, field: &str, message: impl FnOnce() -> String) {
         if !holds {
-            self.report(field, sentence());
+            self.report(field, message());
         }
     }
 
@@ -226,8 +226,8 @@
     fn route(&mut self, raw: &RawDocument, route: &RawRoute, field: &str) -> Option<Route> {
         let path = match PathPattern::parse(&route.path) {
             Ok(path) => Some(path),
-            Err(sentence) => {
-                self.report(&format!("{field}.path"), sentence);
+            Err(message) => {
+                self.report(&format!("{field}.path"), message);
                 None
             }
         };
@@ -251,8 +251,8 @@
             })
         };
         if let Some(first) = earlier.iter().position(hides) {
-            let sentence = format!("no request gets here: routes[{first}] takes all that would.");
-            self.report(field, sentence);
+            let message = format!("no request gets here: routes[{first}] takes all that would.");
+            self.report(field, message);
         }
     }
 
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -17,15 +17,15 @@
     /// The field, such as `routes[2].deadline_ms`; empty for the text as a whole.
     pub field: String,
     /// What is wrong, as a sentence without the field's name.
-    pub sentence: String,
+    pub message: String,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Position { line, column } = self.position;
         match self.field.as_str() {
-            "" => write!(f, "line {line}, column {column}: {}", self.sentence),
-            field => write!(f, "line {line}, column {column}: {field}: {}", self.sentence),
+            "" => write!(f, "line {line}, column {column}: {}", self.message),
+            field => write!(f, "line {line}, column {column}: {field}: {}", self.message),
         }
     }
 }
@@ -51,9 +51,9 @@
         &mut self,
         position: Position,
         field: impl Into<String>,
-        sentence: impl Into<String>,
+        message: impl Into<String>,
     ) {
-        self.0.push(Problem { position, field: field.into(), sentence: sentence.into() });
+        self.0.push(Problem { position, field: field.into(), message: message.into() });
     }
 
     /// `value` if nothing is wrong; otherwise the problems in the order of the text.
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -33,8 +33,8 @@
 }
 
 impl<'a> Checker<'a> {
-    fn report(&mut self, field: &str, sentence: impl Into<String>) {
-        self.problems.push(self.source.position(field), field, sentence);
+    fn report(&mut self, field: &str, message: impl Into<String>) {
+        self.problems.push(self.source.position(field), field, message);
     }
 
     fn resolve(&self, schema: &'a Value) -> &'a Value {
@@ -57,8 +57,8 @@
         let types = types(schema);
         if !types.iter().any(|it| is_a(value, it)) {
             let expected: Vec<&str> = types.iter().map(|it| described(it)).collect();
-            let sentence = format!("expected {}, not {}.", expected.join(" or "), found(value));
-            return self.report(field, sentence);
+            let message = format!("expected {}, not {}.", expected.join(" or "), found(value));
+            return self.report(field, message);
         }
         match value {
             Value::Object(it) => self.object(it, schema, field),
@@ -71,8 +71,8 @@
 
     fn choice(&mut self, value: &Value, choices: &[&str], field: &str) {
         let Some(text) = value.as_str() else {
-            let sentence = format!("expected one of {}, not {}.", list(choices), found(value));
-            return self.report(field, sentence);
+            let message = format!("expected one of {}, not {}.", list(choices), found(value));
+            return self.report(field, message);
         };
         if choices.contains(&text) {
             return;
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -28,9 +28,9 @@
     /// Parses the text; a problem of syntax is reported alone, doubled fields all together.
     pub(crate) fn parse(text: &str, problems: &mut Problems) -> Option<Source> {
         if text.len() > TEXT_MAX_BYTES {
-            let sentence =
+            let message =
                 format!("the text has {} bytes, at most {TEXT_MAX_BYTES} are taken.", text.len());
-            problems.push(START, "", sentence);
+            problems.push(START, "", message);
             return None;
         }
         let ast = match parse_to_ast(text, &Default::default(), &options()) {
--- a/crates/settings/src/tests/agent_settings.rs
+++ b/crates/settings/src/tests/agent_settings.rs
@@ -59,7 +59,7 @@
 #[test]
 fn differences_are_named_as_in_the_text() {
     let settings = AgentSettings::parse(SETTINGS).unwrap();
-    assert!(settings.differences(&settings).is_empty());
+    assert!(settings.changed_fields(&settings).is_empty());
     for (from, to, name) in [
         ("standings-1", "standings-2", "instance"),
         ("pitlane", "drivers-stand", "zone"),
@@ -94,6 +94,6 @@
         ("\"link_key\"", "\"log\": \"warn\", \"link_key\"", "log"),
     ] {
         let other = AgentSettings::parse(&SETTINGS.replacen(from, to, 1)).unwrap();
-        assert_eq!(settings.differences(&other), [name]);
+        assert_eq!(settings.changed_fields(&other), [name]);
     }
 }
--- a/crates/settings/src/tests/central.rs
+++ b/crates/settings/src/tests/central.rs
@@ -18,7 +18,7 @@
         idempotent: true,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(600),
-        attempts: 2,
+        attempts_max: 2,
     }
 }
 
@@ -68,11 +68,11 @@
         }],
         cold_requests_per_s: Some(12.0),
         connections_max: 120,
-        request_max: Duration::from_millis(2_900),
+        timeout_max: Duration::from_millis(2_900),
         header_bytes_max: 16_384,
         body_bytes_max: 1 << 20,
     };
-    let text = settings.document_defaults.document(&service);
+    let text = settings.document_defaults.build_document(&service);
     let document = ServiceDocument::parse_for(&service.service, &text).unwrap();
     assert!(document.keyed && document.upstream.enforces_leases && !document.resends);
     assert_eq!(document.upstream.key_grants, KeyGrants::Announcements);
--- a/crates/settings/src/tests/document.rs
+++ b/crates/settings/src/tests/document.rs
@@ -20,7 +20,7 @@
     let problems = match ServiceDocument::parse(&text) {
         Ok(_) => Vec::new(),
         Err(problems) => {
-            problems.iter().map(|it| format!("{}: {}", it.field, it.sentence)).collect()
+            problems.iter().map(|it| format!("{}: {}", it.field, it.message)).collect()
         }
     };
     assert_eq!(problems, expected, "{text}");
--- a/crates/settings/src/tests/fuzz.rs
+++ b/crates/settings/src/tests/fuzz.rs
@@ -60,7 +60,7 @@
         let columns = line.expect("a line of the text").chars().count() + 1;
         let column = problem.position.column as usize;
         assert!((1..=columns).contains(&column), "seed {seed}: {problem}\n{text}");
-        assert!(!problem.sentence.is_empty(), "seed {seed}: {problem}");
+        assert!(!problem.message.is_empty(), "seed {seed}: {problem}");
     }
     problems.len()
 }
--- a/crates/settings/src/tests/route.rs
+++ b/crates/settings/src/tests/route.rs
@@ -62,7 +62,7 @@
     ]"#;
     let problems = ServiceDocument::parse(&document(routes)).unwrap_err();
     let found: Vec<String> =
-        problems.iter().map(|it| format!("{}: {}", it.field, it.sentence)).collect();
+        problems.iter().map(|it| format!("{}: {}", it.field, it.message)).collect();
     assert_eq!(
         found,
         [
--- a/crates/settings/src/tests/spread.rs
+++ b/crates/settings/src/tests/spread.rs
@@ -105,7 +105,7 @@
     fn spread(&mut self) {
         let (agent, peer) = (self.rng.random_range(0..AGENTS), self.rng.random_range(0..AGENTS));
         let of_peer = || {
-            let it = self.agents[peer].of(&self.service)?;
+            let it = self.agents[peer].in_force(&self.service)?;
             Some((it.version, it.text.to_string()))
         };
         let offered = match self.rng.random_range(0..10) {
@@ -121,9 +121,9 @@
         };
         let Some((version, text)) = offered else { return };
         let before = self.agents[agent].version(&self.service);
-        let taken = self.agents[agent].take(&self.service, version, &text);
-        assert_eq!(taken, Ok(version > before), "an accepted document can be read");
-        let after = self.agents[agent].of(&self.service).expect("a document");
+        let raised = self.agents[agent].raise(&self.service, version, &text);
+        assert_eq!(raised, Ok(version > before), "an accepted document can be read");
+        let after = self.agents[agent].in_force(&self.service).expect("a document");
         assert_eq!(after.version, before.max(version), "an agent went back");
         assert_eq!(*self.store.written[&after.version.0], *after.text, "text of another version");
     }
@@ -150,7 +150,7 @@
         }
         let Some(accepted) = self.store.accepted.1.clone() else { return };
         let AcceptedDocument { service, version, document } = accepted;
-        self.agents.iter_mut().for_each(|it| _ = it.take(&service, version, &document));
+        self.agents.iter_mut().for_each(|it| _ = it.raise(&service, version, &document));
     }
 
     /// The highest version that is sound.
@@ -168,7 +168,7 @@
     let newest = world.store.written.keys().next_back().copied();
     let refused = newest != world.last_sound();
     for agent in &world.agents {
-        let version = agent.of(&world.service).map(|it| it.version.0);
+        let version = agent.in_force(&world.service).map(|it| it.version.0);
         match refused {
             // What was overwritten before a coordinator read it is never accepted.
             true => assert!(version <= world.last_sound(), "seed {seed}"),
--- a/crates/settings/src/tests/versions.rs
+++ b/crates/settings/src/tests/versions.rs
@@ -24,13 +24,13 @@
     AcceptedDocument { service: service(), version: ConfigVersion(version), document: text }
 }
 
-fn take(table: &mut DocumentTable, version: u64) -> Option<bool> {
+fn raise(table: &mut DocumentTable, version: u64) -> Option<bool> {
     let it = accepted(version);
-    table.take(&it.service, it.version, &it.document).ok()
+    table.raise(&it.service, it.version, &it.document).ok()
 }
 
 fn in_force(table: &DocumentTable) -> u64 {
-    let Some(it) = table.of(&service()) else { return 0 };
+    let Some(it) = table.in_force(&service()) else { return 0 };
     assert_eq!(it.document.team.as_str(), format!("team-{}", it.version), "text and version agree");
     it.version.0
 }
@@ -41,9 +41,9 @@
     let (mut highest, mut unreadable) = (0, 0);
     for _ in 0..STEPS {
         let version = rng.random_range(1..=VERSION_MAX);
-        match take(&mut table, version) {
-            Some(taken) => {
-                assert_eq!(taken, version > highest, "seed {seed}");
+        match raise(&mut table, version) {
+            Some(raised) => {
+                assert_eq!(raised, version > highest, "seed {seed}");
                 highest = highest.max(version);
             }
             None => {
@@ -52,8 +52,8 @@
             }
         }
         assert_eq!(in_force(&table), highest, "seed {seed}: a version went back");
-        let wanted = table.wants(&service(), ConfigVersion(version + 1));
-        assert_eq!(wanted, version + 1 > highest.max(unreadable), "seed {seed}");
+        let should_fetch = table.should_fetch(&service(), ConfigVersion(version + 1));
+        assert_eq!(should_fetch, version + 1 > highest.max(unreadable), "seed {seed}");
     }
 }
 
@@ -65,16 +65,16 @@
 #[test]
 fn what_cannot_be_read_is_not_fetched_for_ever() {
     let mut table = DocumentTable::default();
-    assert!(table.wants(&service(), ConfigVersion(4)));
-    assert_eq!(take(&mut table, 4), Some(true));
-    assert_eq!(take(&mut table, 7), None);
-    assert!(!table.wants(&service(), ConfigVersion(7)));
-    assert!(table.wants(&service(), ConfigVersion(8)));
+    assert!(table.should_fetch(&service(), ConfigVersion(4)));
+    assert_eq!(raise(&mut table, 4), Some(true));
+    assert_eq!(raise(&mut table, 7), None);
+    assert!(!table.should_fetch(&service(), ConfigVersion(7)));
+    assert!(table.should_fetch(&service(), ConfigVersion(8)));
     let versions: Vec<u64> = table.iter().map(|it| it.1.version.0).collect();
     assert_eq!(versions, [4]);
     let other = ServiceName::new("lapboard").unwrap();
     assert!(
-        table.take(&other, ConfigVersion(9), MINIMAL).is_err(),
+        table.raise(&other, ConfigVersion(9), MINIMAL).is_err(),
         "a document of another service"
     );
 }
--- a/crates/settings/src/versions.rs
+++ b/crates/settings/src/versions.rs
@@ -79,7 +79,7 @@
 impl DocumentTable {
     /// Takes an accepted version; true if it is in force here from now on. One that does not hold,
     /// because this agent is older than the program that accepted it, leaves the former in force.
-    pub fn take(
+    pub fn raise(
         &mut self,
         service: &ServiceName,
         version: ConfigVersion,
@@ -101,12 +101,12 @@
     }
 
     /// Whether the text of a version that a peer knows of is worth fetching.
-    pub fn wants(&self, service: &ServiceName, version: ConfigVersion) -> bool {
+    pub fn should_fetch(&self, service: &ServiceName, version: ConfigVersion) -> bool {
         self.entries.get(service).is_none_or(|it| version > it.version().max(it.unreadable))
     }
 
     /// The document in force here.
-    pub fn of(&self, service: &ServiceName) -> Option<&VersionedDocument> {
+    pub fn in_force(&self, service: &ServiceName) -> Option<&VersionedDocument> {
         self.entries.get(service)?.in_force.as_ref()
     }
 
