--- a/crates/agent/src/control/foreign.rs
+++ b/crates/agent/src/control/foreign.rs
@@ -270,7 +270,7 @@
         let routes = self.foreign.table.get(service).and_then(|it| it.routes.as_ref());
         let known = routes.map_or(0, |it| it.version);
         for target in targets {
-            let envelope = Envelope::FetchRoutes { service: service.clone(), known };
+            let envelope = Envelope::FetchRoutes { service: service.clone(), known_version: known };
             // Sent to the address, since the known incarnation may be older than the running one.
             self.parts.links.send_to_address(target.control, envelope.encode());
         }
@@ -370,7 +370,7 @@
                     .map(|it| member_index(&mut members, it))
                     .collect(),
             };
-            if !owners.last_mut().is_some_and(|it: &mut RouteOwner| it.extend(&next)) {
+            if !owners.last_mut().is_some_and(|it: &mut RouteOwner| it.try_extend(&next)) {
                 owners.push(next);
             }
         }
--- a/crates/agent/src/control/peers.rs
+++ b/crates/agent/src/control/peers.rs
@@ -52,7 +52,9 @@
                     self.on_version_announced(&from, service, version);
                 });
             }
-            Envelope::FetchRoutes { service, known } => self.send_routes(&from, &service, known),
+            Envelope::FetchRoutes { service, known_version } => {
+                self.send_routes(&from, &service, known_version)
+            }
             Envelope::Routes(table) => self.on_routes(from, table),
             Envelope::RoutesUnchanged { service, version, config } => {
                 self.on_routes_unchanged(&from, service, version, config);
@@ -105,7 +107,7 @@
         for address in &self.parts.settings.peers {
             // Routes are queried first: the document creates the group, which needs the members that
             // the routes list.
-            let routes = Envelope::FetchRoutes { service: service.clone(), known: 0 };
+            let routes = Envelope::FetchRoutes { service: service.clone(), known_version: 0 };
             self.parts.links.send_to_address(*address, routes.encode());
             let document = Envelope::FetchDocument { service: service.clone() };
             self.parts.links.send_to_address(*address, document.encode());
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -5,7 +5,7 @@
 use model::{Instance, KeyRange, OrderedKeys, Slot, SlotCount, Timestamp, Token};
 use tokio::time::{sleep, timeout};
 use upstream::{GrantError, GrantedKeys, HandoverToken, KeyLeases, LeasedUpstream};
-use wire::traffic::Unit;
+use wire::traffic::TransferUnit;
 
 use crate::{
     gate::{
@@ -268,7 +268,7 @@
 fn handover_message(bound: &BoundUpstream, range: SlotRange, handover: &HandoverToken) -> Handover {
     Handover {
         service: bound.service.clone(),
-        unit: Unit::Slots { first: range.first, last: range.last },
+        unit: TransferUnit::Slots { first: range.first, last: range.last },
         token: range.token,
         records: bytes::Bytes::copy_from_slice(handover.as_bytes()),
     }
--- a/crates/agent/src/gate/records.rs
+++ b/crates/agent/src/gate/records.rs
@@ -14,7 +14,7 @@
     BeginResult, Record, RecordUnit, RecordedOutcome, Records, RecordsConfig, UnitRecords,
 };
 use upstream::Answer;
-use wire::{CodecError, traffic::KeptAnswer};
+use wire::{CodecError, traffic::RecordedAnswer};
 
 use crate::{
     gate::table::{Admittance, GateTable},
@@ -173,7 +173,7 @@
             (None, RecordUnit::Slot(_)) => None,
         }?;
         let records = map_answers(records, |SharedAnswer(answer)| {
-            Ok(KeptAnswer {
+            Ok(RecordedAnswer {
                 status: answer.status.as_u16(),
                 headers: headers_to_wire(&answer.headers),
                 body: answer.body.clone(),
@@ -189,7 +189,7 @@
         unit: RecordUnit,
         records: &[u8],
     ) -> Result<(), CodecError> {
-        let records: UnitRecords<KeptAnswer> = wire::decode(records)?;
+        let records: UnitRecords<RecordedAnswer> = wire::decode(records)?;
         let records = map_answers(records, |it| {
             let answer = answer_from_parts(it.status, &it.headers, it.body)?;
             Ok(SharedAnswer(Arc::new(answer)))
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -319,7 +319,7 @@
         let now = self.gate.clock.now();
         let remaining = self.deadline.since(now);
         let expected = || self.bound.queue.expected_service_time(&self.request.class, self.route());
-        let (queue_time, timeliness) = match self.request.has_come_back {
+        let (queue_time, timeliness) = match self.request.is_retry_after_refusal {
             _ if objective.is_zero() => {
                 (remaining.mul_f64(LATE_QUEUE_TIME_SHARE), Timeliness::Late)
             }
--- a/crates/agent/src/gate/worker.rs
+++ b/crates/agent/src/gate/worker.rs
@@ -9,7 +9,7 @@
     time::{MissedTickBehavior, interval, sleep, timeout},
 };
 use traffic::RecordUnit;
-use wire::traffic::Unit;
+use wire::traffic::TransferUnit;
 
 use crate::{
     gate::{Gate, GateTask},
@@ -196,8 +196,8 @@
         };
         let service = bound.service.clone();
         let unit = match unit {
-            RecordUnit::Slot(slot) => Unit::Slot(slot),
-            RecordUnit::Key(key_hash) => Unit::Key(key_hash),
+            RecordUnit::Slot(slot) => TransferUnit::Slot(slot),
+            RecordUnit::Key(key_hash) => TransferUnit::Key(key_hash),
         };
         let handover = Handover { service, unit, token, records };
         for _ in 0..RECORDS_TRANSFER_ATTEMPTS {
@@ -217,13 +217,13 @@
             return false;
         }
         let unit = match handover.unit {
-            Unit::Slots { first, last } => {
+            TransferUnit::Slots { first, last } => {
                 let handover_token = String::from_utf8_lossy(&handover.records).as_ref().into();
                 self.leases.store_handover_token(self.clock.now(), (first, last), handover_token);
                 return true;
             }
-            Unit::Slot(slot) => RecordUnit::Slot(slot),
-            Unit::Key(key_hash) => RecordUnit::Key(key_hash),
+            TransferUnit::Slot(slot) => RecordUnit::Slot(slot),
+            TransferUnit::Key(key_hash) => RecordUnit::Key(key_hash),
         };
         match records.import(self.clock.now(), unit, &handover.records) {
             Ok(()) => true,
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -217,7 +217,7 @@
         request.content = content(&request);
         if let (Some(route), Some(left)) = (&destination.route, left) {
             let waited = self.waits.waited(route, left);
-            request.has_come_back = waited.is_some();
+            request.is_retry_after_refusal = waited.is_some();
             let waited = waited.unwrap_or_default();
             request.objective = request.objective.map(|it| it.saturating_sub(waited));
         }
@@ -318,7 +318,7 @@
         held: Duration::ZERO,
         attempts,
         kind: host_route.map(kind_of),
-        has_come_back: false,
+        is_retry_after_refusal: false,
         objective: host_route.map(|it| it.objective),
         config: routes.version,
         method: parts.method.clone(),
--- a/crates/agent/src/links/traffic/assembly.rs
+++ b/crates/agent/src/links/traffic/assembly.rs
@@ -2,13 +2,13 @@
 
 use bytes::{Bytes, BytesMut};
 use model::{ServiceName, Token};
-use wire::traffic::{Answer, Chunk, Frame, Records, Request, Unit};
+use wire::traffic::{Answer, Chunk, Frame, Records, Request, TransferUnit};
 
 /// Records on their way from one gate to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Handover {
     pub(crate) service: ServiceName,
-    pub(crate) unit: Unit,
+    pub(crate) unit: TransferUnit,
     pub(crate) token: Token,
     /// The CBOR form of the records.
     pub(crate) records: Bytes,
--- a/crates/agent/src/links/traffic/serve.rs
+++ b/crates/agent/src/links/traffic/serve.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use model::Outcome;
 use tokio::task::AbortHandle;
-use wire::traffic::{Answer, CorrelationId, Failed, Frame, GateLoad, NotOwner, Reason};
+use wire::traffic::{Answer, CorrelationId, Failed, FailureReason, Frame, GateLoad, NotOwner};
 
 use crate::{
     links::traffic::{
@@ -69,8 +69,8 @@
         }
         GateReply::Failed { outcome, retry_after } => {
             let reason = match outcome {
-                Outcome::NotRun(reason) => Reason::NotRun(reason),
-                Outcome::Unknown(reason) => Reason::Unknown(reason),
+                Outcome::NotRun(reason) => FailureReason::NotRun(reason),
+                Outcome::Unknown(reason) => FailureReason::Unknown(reason),
                 Outcome::Answered => unreachable!("an answer has its own reply"),
             };
             let retry_after_ms =
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -11,7 +11,7 @@
 use upstream::Answer;
 use wire::{
     CodecError,
-    traffic::{self as frames, CorrelationId, GateLoad, Header, Reason},
+    traffic::{self as frames, CorrelationId, FailureReason, GateLoad, Header},
 };
 
 /// A request on its way to a gate.
@@ -36,7 +36,7 @@
     /// Time left in which an answer is of full use to the caller; none: all of it.
     pub(crate) objective: Option<Duration>,
     /// Its caller has come back with it after a refusal, as far as that can be seen.
-    pub(crate) has_come_back: bool,
+    pub(crate) is_retry_after_refusal: bool,
     /// The most upstreams that it may be given to; the ingress sees to that.
     pub(crate) attempts: u8,
     /// The ingress's version of the document.
@@ -138,7 +138,7 @@
             held_us: whole_us(self.held),
             kind: self.kind,
             objective_us: self.objective.map(whole_us),
-            has_come_back: self.has_come_back,
+            is_retry_after_refusal: self.is_retry_after_refusal,
             config: self.config,
             method: self.method.as_str().to_owned(),
             path: self.path.as_str().to_owned(),
@@ -167,7 +167,7 @@
             attempts: 1,
             kind: raw.kind,
             objective: raw.objective_us.map(Duration::from_micros),
-            has_come_back: raw.has_come_back,
+            is_retry_after_refusal: raw.is_retry_after_refusal,
             config: raw.config,
             method: Method::from_bytes(raw.method.as_bytes())
                 .map_err(|error| invalid("method", error.to_string()))?,
@@ -193,8 +193,8 @@
 impl From<frames::Failed> for GateReply {
     fn from(raw: frames::Failed) -> GateReply {
         let outcome = match raw.reason {
-            Reason::NotRun(reason) => Outcome::NotRun(reason),
-            Reason::Unknown(reason) => Outcome::Unknown(reason),
+            FailureReason::NotRun(reason) => Outcome::NotRun(reason),
+            FailureReason::Unknown(reason) => Outcome::Unknown(reason),
         };
         GateReply::Failed { outcome, retry_after: raw.retry_after_ms.map(Duration::from_millis) }
     }
--- a/crates/wire/src/exchange/envelope.rs
+++ b/crates/wire/src/exchange/envelope.rs
@@ -31,10 +31,10 @@
     },
     /// Accepted versions that the sender knows of.
     Versions(Vec<(ServiceName, ConfigVersion)>),
-    /// Asks any member of a service for its routes, unless they are those of `known`.
+    /// Asks any member of a service for its routes, unless they are those of `known_version`.
     FetchRoutes {
         service: ServiceName,
-        known: u64,
+        known_version: u64,
     },
     Routes(RouteTable),
     /// The routes are those of this version still.
@@ -76,7 +76,11 @@
     #[serde(rename = "v")]
     Versions { versions: Vec<(ServiceName, ConfigVersion)> },
     #[serde(rename = "fr")]
-    FetchRoutes { service: ServiceName, known: u64 },
+    FetchRoutes {
+        service: ServiceName,
+        #[serde(rename = "known")]
+        known_version: u64,
+    },
     #[serde(rename = "r")]
     Routes { table: RouteTable },
     #[serde(rename = "ru")]
@@ -92,7 +96,9 @@
                 Wire::Document { service, version, text }
             }
             Envelope::Versions(versions) => Wire::Versions { versions },
-            Envelope::FetchRoutes { service, known } => Wire::FetchRoutes { service, known },
+            Envelope::FetchRoutes { service, known_version } => {
+                Wire::FetchRoutes { service, known_version }
+            }
             Envelope::Routes(table) => Wire::Routes { table },
             Envelope::RoutesUnchanged { service, version, config } => {
                 Wire::RoutesUnchanged { service, version, config }
@@ -120,7 +126,9 @@
                 Err(invalid("versions", format!("{} of them", versions.len())))
             }
             Wire::Versions { versions } => Ok(Envelope::Versions(versions)),
-            Wire::FetchRoutes { service, known } => Ok(Envelope::FetchRoutes { service, known }),
+            Wire::FetchRoutes { service, known_version } => {
+                Ok(Envelope::FetchRoutes { service, known_version })
+            }
             Wire::RoutesUnchanged { service, version, config } => {
                 Ok(Envelope::RoutesUnchanged { service, version, config })
             }
--- a/crates/wire/src/exchange/routes.rs
+++ b/crates/wire/src/exchange/routes.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes the next slot in if all is the same there; says whether it did.
-    pub fn extend(&mut self, next: &RouteOwner) -> bool {
+    pub fn try_extend(&mut self, next: &RouteOwner) -> bool {
         let alike = self.key_hash.is_none()
             && next.key_hash.is_none()
             && self.owner == next.owner
--- a/crates/wire/src/exchange/tests.rs
+++ b/crates/wire/src/exchange/tests.rs
@@ -43,7 +43,7 @@
         Envelope::FetchDocument { service: service() },
         Envelope::Document { service: service(), version: ConfigVersion(2), text: "{}".into() },
         Envelope::Versions(vec![(service(), ConfigVersion(2))]),
-        Envelope::FetchRoutes { service: service(), known: 4 },
+        Envelope::FetchRoutes { service: service(), known_version: 4 },
         Envelope::Routes(table(0)),
         Envelope::RoutesUnchanged { service: service(), version: 9, config: ConfigVersion(3) },
     ]
--- a/crates/wire/src/traffic/mod.rs
+++ b/crates/wire/src/traffic/mod.rs
@@ -80,7 +80,8 @@
     /// Time left in which an answer is of full use to the caller.
     pub objective_us: Option<u64>,
     /// The caller has come back with it after a refusal.
-    pub has_come_back: bool,
+    #[serde(rename = "has_come_back")]
+    pub is_retry_after_refusal: bool,
     /// The asking agent's version of the service's document.
     pub config: ConfigVersion,
     pub method: String,
@@ -122,7 +123,7 @@
 /// Why a request has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum Reason {
+pub enum FailureReason {
     NotRun(NotRunReason),
     Unknown(UnknownReason),
 }
@@ -132,7 +133,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Failed {
     pub id: CorrelationId,
-    pub reason: Reason,
+    pub reason: FailureReason,
     pub retry_after_ms: Option<u64>,
     pub load: Option<GateLoad>,
 }
@@ -161,7 +162,7 @@
 /// What records belong to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub enum Unit {
+pub enum TransferUnit {
     /// Neighbouring slots whose upstream keeps the leases; the body is its handover token.
     Slots {
         first: Slot,
@@ -177,7 +178,7 @@
 pub struct Records {
     pub id: CorrelationId,
     pub service: ServiceName,
-    pub unit: Unit,
+    pub unit: TransferUnit,
     /// The token under which the former owner held it.
     pub token: Token,
     pub body_len: u64,
@@ -260,7 +261,7 @@
 /// An answer as it is kept in records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct RecordedAnswer {
     pub status: u16,
     pub headers: Vec<Header>,
     pub body: Bytes,
--- a/crates/wire/src/traffic/tests.rs
+++ b/crates/wire/src/traffic/tests.rs
@@ -23,7 +23,7 @@
         held_us: 0,
         kind: None,
         objective_us: None,
-        has_come_back: false,
+        is_retry_after_refusal: false,
         config: ConfigVersion(3),
         method: "POST".to_owned(),
         path: "/standings/lap?x=1".to_owned(),
--- a/xtask/src/bench/slopes/frames.rs
+++ b/xtask/src/bench/slopes/frames.rs
@@ -44,7 +44,7 @@
         age_us: 0,
         held_us: 0,
         kind: None,
-        has_come_back: false,
+        is_retry_after_refusal: false,
         objective_us: None,
         config: ConfigVersion(42),
         method: "POST".to_owned(),
--- a/xtask/src/bench/slopes/routes.rs
+++ b/xtask/src/bench/slopes/routes.rs
@@ -38,7 +38,7 @@
 
 /// Bytes of the question and the answer with all headers.
 fn refresh(answer: Envelope) -> u64 {
-    let question = Envelope::FetchRoutes { service: service(), known: 1 << 20 };
+    let question = Envelope::FetchRoutes { service: service(), known_version: 1 << 20 };
     on_the_way(&question.encode()) + on_the_way(&answer.encode())
 }
 
