--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -222,7 +222,7 @@
         request.fingerprint = request_fingerprint(&request);
         if let (Some(route), Some(left)) = (&destination.route, left) {
             let waited = self.waits.waited(route, left);
-            request.is_caller_retry = waited.is_some();
+            request.is_retry_after_refusal = waited.is_some();
             let waited = waited.unwrap_or_default();
             request.objective = request.objective.map(|it| it.saturating_sub(waited));
         }
@@ -308,7 +308,7 @@
     let path = parts.uri.path_and_query().ok_or(Refusal::NoService)?;
     let host_route = destination.route.as_deref();
     let (class, idempotent, timeout, attempts) = match host_route {
-        Some(it) => (&it.class, it.idempotent, it.timeout, it.attempts),
+        Some(it) => (&it.class, it.idempotent, it.timeout, it.attempts_max),
         None => (&found.route.class, found.route.idempotent, found.route.deadline, u8::MAX),
     };
     Ok(GateRequest {
@@ -323,7 +323,7 @@
         time_at_ingress: Duration::ZERO,
         upstream_attempts_max: attempts,
         kind: host_route.map(kind_of),
-        is_caller_retry: false,
+        is_retry_after_refusal: false,
         objective: host_route.map(|it| it.objective),
         config_version: routes.version,
         method: parts.method.clone(),
--- a/crates/agent/src/reload.rs
+++ b/crates/agent/src/reload.rs
@@ -29,7 +29,7 @@
 impl SettingsFile {
     /// Parses the file's current text and compares it with the settings in use.
     pub(crate) fn compare(&self, text: &str) -> ReloadResult {
-        match AgentSettings::parse(text).map(|it| self.settings.differences(&it)) {
+        match AgentSettings::parse(text).map(|it| self.settings.changed_fields(&it)) {
             Ok(fields) if fields.is_empty() => ReloadResult::Unchanged,
             Ok(fields) => ReloadResult::Changed(fields),
             Err(problems) => ReloadResult::Invalid(problems),
--- a/crates/settings/src/fleet/defaults.rs
+++ b/crates/settings/src/central/defaults.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::{
-    BODY_BYTES, COLD_RATES, CONNECTIONS, Class, HEADER_BYTES, KeyGrants, RawClass, RawDocument,
-    RawDrain, RawKey, RawLimits, RawOwnership, RawRoute, RawUpstream,
+    BODY_BYTES, COLD_RATES, CONNECTIONS, HEADER_BYTES, KeyGrants, RawClass, RawDocument, RawDrain,
+    RawKey, RawLimits, RawOwnership, RawRoute, RawUpstream, RequestClass,
 };
 
 /// How long a request may take at most: as long as documents allow. The routes of hosts say less.
@@ -46,7 +46,7 @@
 
 /// What a fleet's configuration says of one service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FleetService {
+pub struct CentralServiceConfig {
     pub service: ServiceName,
     pub team: TeamName,
     /// Set where each key is owned by one instance alone, which its upstream enforces.
@@ -56,12 +56,12 @@
     /// The header that carries the key, in lower case.
     pub key_header: &'static str,
     /// At least one.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     pub connections_max: u32,
     /// How many requests a second an upstream bears while it is cold; none: as many as its slots take.
     pub cold_requests_per_s: Option<f64>,
     /// The longest time that any route to the service gives a request.
-    pub request_max: Duration,
+    pub timeout_max: Duration,
     pub header_bytes_max: u64,
     pub body_bytes_max: u64,
 }
@@ -69,11 +69,11 @@
 /// An upstream that enforces leases ends a request with the grant under which it began, also when the
 /// grant was renewed meanwhile. So a lease lasts as long as the longest request and two renewals, in
 /// whole steps: a small change of a route leaves the leases as they are.
-fn lease_ms(default_ms: u64, service: &FleetService) -> u64 {
+fn lease_ms(default_ms: u64, service: &CentralServiceConfig) -> u64 {
     if service.keys.is_none() {
         return default_ms;
     }
-    let longest_ms = u64::try_from(service.request_max.as_millis()).unwrap_or(u64::MAX);
+    let longest_ms = u64::try_from(service.timeout_max.as_millis()).unwrap_or(u64::MAX);
     let needed_ms = longest_ms.min(LEASE_MS_MAX) + RENEWALS_MS;
     let needed_ms = needed_ms.next_multiple_of(LEASE_STEP_MS);
     needed_ms.clamp(default_ms, LEASE_MS_MAX)
@@ -92,9 +92,9 @@
 
 impl DocumentDefaults {
     /// The document of a service, as text.
-    pub fn document(&self, service: &FleetService) -> String {
+    pub fn build_document(&self, service: &CentralServiceConfig) -> String {
         let defaults = self.0.clone();
-        let class = |it: &Class| RawClass {
+        let class = |it: &RequestClass| RawClass {
             name: it.name.as_str().to_owned(),
             weight: it.weight,
             queues_past_objective: it.queues_past_objective,
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -5,8 +5,8 @@
 use model::{ClassName, NameError, OrderedKeys, ServiceName, SlotCount};
 
 use super::{
-    Class, DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, Route, ServiceDocument,
-    TrafficLimits, UpstreamTraits,
+    DrainLimits, KeyGrants, KeySource, Method, OwnershipLimits, RequestClass, Route,
+    ServiceDocument, TrafficLimits, UpstreamProperties,
     raw::{RawDocument, RawMethod, RawRoute},
     route::PathPattern,
 };
@@ -37,7 +37,7 @@
         slot_count: SlotCount::new(raw.slot_count).ok()?,
         ordered_keys: raw.ordered_keys.and_then(OrderedKeys::new),
         resends: raw.resends,
-        upstream: UpstreamTraits::from(&raw.upstream),
+        upstream: UpstreamProperties::from(&raw.upstream),
         classes: classes?,
         routes: routes?,
         limits: TrafficLimits::from(&raw.limits),
@@ -87,13 +87,13 @@
 }
 
 impl Rules<'_> {
-    fn report(&mut self, field: &str, sentence: impl Into<String>) {
-        self.problems.push(self.source.position(field), field, sentence);
+    fn report(&mut self, field: &str, message: impl Into<String>) {
+        self.problems.push(self.source.position(field), field, message);
     }
 
-    fn require(&mut self, holds: bool, field: &str, sentence: impl FnOnce() -> String) {
+    fn require(&mut self, holds: bool, field: &str, message: impl FnOnce() -> String) {
         if !holds {
-            self.report(field, sentence());
+            self.report(field, message());
         }
     }
 
@@ -191,7 +191,7 @@
         });
     }
 
-    fn classes(&mut self, raw: &RawDocument) -> Option<Vec<Class>> {
+    fn classes(&mut self, raw: &RawDocument) -> Option<Vec<RequestClass>> {
         let mut seen = HashMap::new();
         let mut classes = Vec::new();
         for (index, class) in raw.classes.iter().enumerate() {
@@ -201,7 +201,7 @@
             }
             let name = self.name(&field, ClassName::new(&class.name));
             let queues_past_objective = class.queues_past_objective;
-            classes.push(name.map(|name| Class {
+            classes.push(name.map(|name| RequestClass {
                 name,
                 weight: class.weight,
                 queues_past_objective,
@@ -226,8 +226,8 @@
     fn route(&mut self, raw: &RawDocument, route: &RawRoute, field: &str) -> Option<Route> {
         let path = match PathPattern::parse(&route.path) {
             Ok(path) => Some(path),
-            Err(sentence) => {
-                self.report(&format!("{field}.path"), sentence);
+            Err(message) => {
+                self.report(&format!("{field}.path"), message);
                 None
             }
         };
@@ -251,8 +251,8 @@
             })
         };
         if let Some(first) = earlier.iter().position(hides) {
-            let sentence = format!("no request gets here: routes[{first}] takes all that would.");
-            self.report(field, sentence);
+            let message = format!("no request gets here: routes[{first}] takes all that would.");
+            self.report(field, message);
         }
     }
 
