--- a/crates/ownership/src/sim/drive.rs
+++ b/crates/ownership/src/sim/drive.rs
@@ -10,62 +10,78 @@
     SlotLoad, UpstreamState, ctx::is_same_incarnation, work,
 };
 
-use super::{Happening, PLATFORM_TIMEOUT, Sim, TICK_EVERY, costs};
+use super::{PLATFORM_TIMEOUT, ScheduledEvent, Sim, TICK_INTERVAL, costs};
 
-const LOAD_EVERY_TICKS: u64 = 12;
+const TICKS_PER_LOAD_REPORT: u64 = 12;
 
 impl Sim {
-    pub(super) fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick { host, life } => self.tick(host, life),
-            Happening::Deliver { to, life, from, message } => {
-                let here = self.hosts[to].instance.clone();
-                if self.hosts[to].life == life
-                    && is_same_incarnation(&here, &self.hosts[to].instance)
+    pub(super) fn process_event(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Tick { host, generation } => self.tick(host, generation),
+            ScheduledEvent::Deliver { to, generation, from, message } => {
+                let own = self.hosts[to].instance.clone();
+                if self.hosts[to].generation == generation
+                    && is_same_incarnation(&own, &self.hosts[to].instance)
                 {
-                    self.input(to, Input::Message { from, message: *message });
+                    self.pass_input(to, Input::Message { from, message: *message });
                 }
             }
-            Happening::Arrive { host, life, call, request, answered } => {
-                self.arrive(host, life, call, &request, answered);
+            ScheduledEvent::PlatformCallArrives {
+                host,
+                generation,
+                call,
+                request,
+                is_answered,
+            } => {
+                self.handle_platform_call(host, generation, call, &request, is_answered);
             }
-            Happening::Answer { host, life, call, reply } if self.hosts[host].life == life => {
-                self.input(host, Input::Platform { call, reply: *reply });
+            ScheduledEvent::PlatformReplyArrives { host, generation, call, reply }
+                if self.hosts[host].generation == generation =>
+            {
+                self.pass_input(host, Input::Platform { call, reply: *reply });
             }
-            Happening::Answer { .. } => {}
-            Happening::Local { host, life, input } if self.hosts[host].life == life => {
-                self.local(host, *input);
+            ScheduledEvent::PlatformReplyArrives { .. } => {}
+            ScheduledEvent::LocalInput { host, generation, input }
+                if self.hosts[host].generation == generation =>
+            {
+                self.apply_local_input(host, *input);
             }
-            Happening::Local { .. } => {}
-            Happening::BeginWork => self.begin_work(),
-            Happening::Resume { host, life } if self.hosts[host].life == life => self.resume(host),
-            Happening::Resume { .. } => {}
-            Happening::Done { host, life, out } if self.hosts[host].life == life => {
-                self.step_done(host, out);
+            ScheduledEvent::LocalInput { .. } => {}
+            ScheduledEvent::StartRequests => self.start_requests(),
+            ScheduledEvent::Resume { host, generation }
+                if self.hosts[host].generation == generation =>
+            {
+                self.resume(host)
             }
-            Happening::Done { .. } => {}
-            Happening::Fault(fault) => self.apply(fault),
+            ScheduledEvent::Resume { .. } => {}
+            ScheduledEvent::StepCompleted { host, generation, out }
+                if self.hosts[host].generation == generation =>
+            {
+                self.finish_step(host, out);
+            }
+            ScheduledEvent::StepCompleted { .. } => {}
+            ScheduledEvent::Fault(fault) => self.apply(fault),
         }
     }
 
-    fn tick(&mut self, host: usize, life: u64) {
-        if self.hosts[host].life != life || !self.hosts[host].is_up() {
+    fn tick(&mut self, host: usize, generation: u64) {
+        if self.hosts[host].generation != generation || !self.hosts[host].is_up() {
             return;
         }
         let jitter = Duration::from_micros(self.rng.random_range(0..2000));
-        self.schedule(self.now + TICK_EVERY + jitter, Happening::Tick { host, life });
+        self.schedule(self.now + TICK_INTERVAL + jitter, ScheduledEvent::Tick { host, generation });
         // A paused process gets its timer once, late: that is the first thing after the pause.
         if self.hosts[host].is_paused {
             return;
         }
-        if self.rng.random_range(0..LOAD_EVERY_TICKS) == 0 {
-            let report = self.load_of(host);
-            self.input(host, Input::Load(report));
+        if self.rng.random_range(0..TICKS_PER_LOAD_REPORT) == 0 {
+            let report = self.load_report(host);
+            self.pass_input(host, Input::Load(report));
         }
-        self.input(host, Input::Tick);
+        self.pass_input(host, Input::Tick);
     }
 
-    fn load_of(&self, host: usize) -> LoadReport {
+    fn load_report(&self, host: usize) -> LoadReport {
         let gate = &self.hosts[host].gate;
         let period_ms = 250;
         let share = |us_per_s: u64| us_per_s * u64::from(period_ms) / 1000;
@@ -88,24 +104,24 @@
 
     /// What the gate and the upstream do in their own time also goes on in a pause of the agent's
     /// control thread, but the node hears of it later.
-    fn local(&mut self, host: usize, input: Input) {
-        if self.is_delayed(host, &input) {
+    fn apply_local_input(&mut self, host: usize, input: Input) {
+        if self.postpone_reply(host, &input) {
             return;
         }
         match &input {
-            Input::Closed { slot, token } => self.hosts[host].gate.closed(*slot, *token),
+            Input::Closed { slot, token } => self.hosts[host].gate.finish_close(*slot, *token),
             Input::KeyClosed { key_hash, token } => {
-                self.hosts[host].gate.key_closed(*key_hash, *token);
+                self.hosts[host].gate.finish_key_close(*key_hash, *token);
             }
             Input::Cleared { token } => self.hosts[host].clear(*token),
             _ => {}
         }
-        self.input(host, input);
+        self.pass_input(host, input);
     }
 
-    pub(super) fn input(&mut self, host: usize, input: Input) {
+    pub(super) fn pass_input(&mut self, host: usize, input: Input) {
         if self.hosts[host].is_paused || self.hosts[host].is_busy {
-            self.hosts[host].mailbox.push_back(input);
+            self.hosts[host].queued_inputs.push_back(input);
             return;
         }
         let clock = self.hosts[host].clock(self.now);
@@ -115,36 +131,36 @@
         work::take_entries();
         node.step(clock, input, &mut out);
         if let Some(machine) = self.config.machine {
-            let took = machine.step(bytes, work::take_entries(), &out);
-            return self.keep_busy(host, took, out);
+            let duration = machine.step_duration(bytes, work::take_entries(), &out);
+            return self.schedule_step_end(host, duration, out);
         }
         match self.hosts[host].pause_next_step_ms.take_if(|_| !out.is_empty()) {
             Some(ms) => {
-                self.hosts[host].held_back = out;
+                self.hosts[host].held_outputs = out;
                 self.pause(host, Duration::from_millis(ms));
             }
-            None => self.carry_out(host, out),
+            None => self.execute_outputs(host, out),
         }
     }
 
     /// The outputs of a step are carried out at its end.
-    fn keep_busy(&mut self, host: usize, took: Duration, out: Vec<Output>) {
-        self.longest_step = self.longest_step.max(took);
+    fn schedule_step_end(&mut self, host: usize, duration: Duration, out: Vec<Output>) {
+        self.longest_step = self.longest_step.max(duration);
         self.hosts[host].is_busy = true;
-        let life = self.hosts[host].life;
-        self.schedule(self.now + took, Happening::Done { host, life, out });
+        let generation = self.hosts[host].generation;
+        self.schedule(self.now + duration, ScheduledEvent::StepCompleted { host, generation, out });
     }
 
-    fn step_done(&mut self, host: usize, out: Vec<Output>) {
+    fn finish_step(&mut self, host: usize, out: Vec<Output>) {
         self.hosts[host].is_busy = false;
-        self.carry_out(host, out);
+        self.execute_outputs(host, out);
         // A timer goes before messages, and is set anew only once it has been heard.
-        let waiting = &mut self.hosts[host].mailbox;
-        let tick = waiting.iter().position(|it| matches!(it, Input::Tick));
-        let next = tick.and_then(|at| waiting.remove(at)).or_else(|| waiting.pop_front());
-        waiting.retain(|it| !matches!(it, Input::Tick));
+        let queue = &mut self.hosts[host].queued_inputs;
+        let tick = queue.iter().position(|it| matches!(it, Input::Tick));
+        let next = tick.and_then(|at| queue.remove(at)).or_else(|| queue.pop_front());
+        queue.retain(|it| !matches!(it, Input::Tick));
         if let Some(input) = next {
-            self.input(host, input);
+            self.pass_input(host, input);
         }
     }
 
@@ -152,30 +168,30 @@
         if !self.hosts[host].is_running() {
             return;
         }
-        self.note(|| format!("host {host} pauses for {} ms", duration.as_millis()));
+        self.log_line(|| format!("host {host} pauses for {} ms", duration.as_millis()));
         self.hosts[host].is_paused = true;
-        let life = self.hosts[host].life;
-        self.schedule(self.now + duration, Happening::Resume { host, life });
+        let generation = self.hosts[host].generation;
+        self.schedule(self.now + duration, ScheduledEvent::Resume { host, generation });
     }
 
     fn resume(&mut self, host: usize) {
         if !self.hosts[host].is_paused {
             return;
         }
-        self.note(|| format!("host {host} resumes"));
+        self.log_line(|| format!("host {host} resumes"));
         self.hosts[host].is_paused = false;
-        let out = std::mem::take(&mut self.hosts[host].held_back);
-        self.carry_out(host, out);
-        let mailbox = std::mem::take(&mut self.hosts[host].mailbox);
-        for input in mailbox {
-            self.input(host, input);
+        let out = std::mem::take(&mut self.hosts[host].held_outputs);
+        self.execute_outputs(host, out);
+        let queued_inputs = std::mem::take(&mut self.hosts[host].queued_inputs);
+        for input in queued_inputs {
+            self.pass_input(host, input);
         }
     }
 
-    fn carry_out(&mut self, host: usize, out: Vec<Output>) {
-        let life = self.hosts[host].life;
+    fn execute_outputs(&mut self, host: usize, out: Vec<Output>) {
+        let generation = self.hosts[host].generation;
         for output in out {
-            self.note_output(host, &output);
+            self.log_output(host, &output);
             match output {
                 Output::Send { to, message } => {
                     let at =
@@ -187,11 +203,11 @@
                     self.send(host, at, message);
                 }
                 Output::Platform { call, request } => {
-                    self.call(host, life, call, request);
+                    self.call_platform(host, generation, call, request);
                 }
                 Output::Gate(command) => {
-                    self.gate_command(host, &command);
-                    self.follow_up(host, life, &command);
+                    self.apply_gate_command(host, &command);
+                    self.schedule_gate_reply(host, generation, &command);
                 }
                 Output::Event(event) => self.count_event(&event),
                 Output::Stopped => {
@@ -203,95 +219,109 @@
         }
     }
 
-    fn send(&mut self, from: usize, at: Option<usize>, message: Message) {
+    fn send(&mut self, from: usize, to: Option<usize>, message: Message) {
         self.messages += 1;
-        let Some(at) = at else { return };
-        let cut = self.links.cut.contains(&(from, at));
-        if cut || self.rng.random_bool(self.links.loss) {
+        let Some(to) = to else { return };
+        let is_cut = self.links.cut_links.contains(&(from, to));
+        if is_cut || self.rng.random_bool(self.links.loss_share) {
             return;
         }
-        let copies = if self.rng.random_bool(self.links.doubled) { 2 } else { 1 };
-        let life = self.hosts[at].life;
+        let copies = if self.rng.random_bool(self.links.duplicate_share) { 2 } else { 1 };
+        let generation = self.hosts[to].generation;
         let sender = self.hosts[from].instance.clone();
         for _ in 0..copies {
             let message = Box::new(message.clone());
             let delay = self.link_delay();
-            let sent_at = self.on_link(from, &message);
-            let deliver = Happening::Deliver { to: at, life, from: sender.clone(), message };
-            self.schedule(sent_at + delay, deliver);
+            let sent_at = self.reserve_link(from, &message);
+            let delivery =
+                ScheduledEvent::Deliver { to, generation, from: sender.clone(), message };
+            self.schedule(sent_at + delay, delivery);
         }
     }
 
     /// When a message has left its host, after all that this one sent before.
-    fn on_link(&mut self, from: usize, message: &Message) -> Timestamp {
+    fn reserve_link(&mut self, from: usize, message: &Message) -> Timestamp {
         let Some(machine) = self.config.machine else { return self.now };
-        let takes = machine.on_link(costs::message_bytes(message));
+        let duration = machine.transmission_time(costs::message_bytes(message));
         let host = &mut self.hosts[from];
-        host.link_busy_until = host.link_busy_until.max(self.now) + takes;
+        host.link_busy_until = host.link_busy_until.max(self.now) + duration;
         host.link_busy_until
     }
 
     fn link_delay(&mut self) -> Duration {
-        let usual = Duration::from_micros(self.rng.random_range(300..2000));
-        if !self.rng.random_bool(self.links.late) {
-            return usual;
+        let base_delay = Duration::from_micros(self.rng.random_range(300..2000));
+        if !self.rng.random_bool(self.links.late_share) {
+            return base_delay;
         }
-        let late_max = self.links.late_max.as_millis() as u64;
-        usual + Duration::from_millis(self.rng.random_range(0..late_max))
+        let late_delay_max = self.links.late_delay_max.as_millis() as u64;
+        base_delay + Duration::from_millis(self.rng.random_range(0..late_delay_max))
     }
 
-    fn call(&mut self, host: usize, life: u64, call: crate::CallId, request: PlatformRequest) {
-        let unreachable = self.links.cut_from_platform.contains(&host);
-        let there = Duration::from_micros(self.rng.random_range(500..3000));
+    fn call_platform(
+        &mut self,
+        host: usize,
+        generation: u64,
+        call: crate::CallId,
+        request: PlatformRequest,
+    ) {
+        let is_unreachable = self.links.cut_from_platform.contains(&host);
+        let to_platform = Duration::from_micros(self.rng.random_range(500..3000));
         let is_update = matches!(
             request,
             PlatformRequest::UpdateCoordinator { .. } | PlatformRequest::UpdatePlan { .. }
         );
-        let late = is_update && self.rng.random_bool(self.links.late_updates);
-        let lost = is_update && self.rng.random_bool(self.links.lost_answers);
-        let answered = !late && !lost;
-        if !answered || unreachable {
+        let is_late = is_update && self.rng.random_bool(self.links.late_update_share);
+        let is_lost = is_update && self.rng.random_bool(self.links.lost_reply_share);
+        let is_answered = !is_late && !is_lost;
+        if !is_answered || is_unreachable {
             let reply = Box::new(PlatformReply::Failed);
-            let failed = Happening::Answer { host, life, call, reply };
-            self.schedule(self.now + PLATFORM_TIMEOUT, failed);
+            let failure = ScheduledEvent::PlatformReplyArrives { host, generation, call, reply };
+            self.schedule(self.now + PLATFORM_TIMEOUT, failure);
         }
-        if unreachable {
+        if is_unreachable {
             return;
         }
-        let delay = match late {
+        let delay = match is_late {
             true => Duration::from_millis(self.rng.random_range(100..2500)),
-            false => there,
+            false => to_platform,
         };
         let request = Box::new(request);
-        let arrive = Happening::Arrive { host, life, call, request, answered };
-        self.schedule(self.now + delay, arrive);
+        let arrival =
+            ScheduledEvent::PlatformCallArrives { host, generation, call, request, is_answered };
+        self.schedule(self.now + delay, arrival);
     }
 
-    fn arrive(
+    fn handle_platform_call(
         &mut self,
         host: usize,
-        life: u64,
+        generation: u64,
         call: crate::CallId,
         request: &PlatformRequest,
-        answered: bool,
+        is_answered: bool,
     ) {
-        let back = Duration::from_micros(self.rng.random_range(500..3000));
+        let from_platform = Duration::from_micros(self.rng.random_range(500..3000));
         if self.links.platform_down {
             let reply = Box::new(PlatformReply::Failed);
-            if answered {
+            if is_answered {
                 let at = self.now + PLATFORM_TIMEOUT;
-                self.schedule(at, Happening::Answer { host, life, call, reply });
+                self.schedule(
+                    at,
+                    ScheduledEvent::PlatformReplyArrives { host, generation, call, reply },
+                );
             }
             return;
         }
-        let reply = Box::new(self.store.call(self.now, request));
-        if answered {
-            self.schedule(self.now + back, Happening::Answer { host, life, call, reply });
+        let reply = Box::new(self.store.handle_call(self.now, request));
+        if is_answered {
+            self.schedule(
+                self.now + from_platform,
+                ScheduledEvent::PlatformReplyArrives { host, generation, call, reply },
+            );
         }
     }
 
     /// The gate and the upstream take their time.
-    fn follow_up(&mut self, host: usize, life: u64, command: &GateCommand) {
+    fn schedule_gate_reply(&mut self, host: usize, generation: u64, command: &GateCommand) {
         let input = match command {
             GateCommand::Prepare { slot, token } => Input::Prepared { slot: *slot, token: *token },
             GateCommand::Close { slot, token, .. } => Input::Closed { slot: *slot, token: *token },
@@ -301,10 +331,10 @@
             GateCommand::Clear { token } => Input::Cleared { token: *token },
             _ => return,
         };
-        let hung = self.hosts[host].upstream == UpstreamState::Lost;
-        let max_ms = if hung { 1500 } else { 30 };
+        let is_hung = self.hosts[host].upstream == UpstreamState::Lost;
+        let max_ms = if is_hung { 1500 } else { 30 };
         let delay = Duration::from_millis(self.rng.random_range(0..max_ms));
         let input = Box::new(input);
-        self.schedule(self.now + delay, Happening::Local { host, life, input });
+        self.schedule(self.now + delay, ScheduledEvent::LocalInput { host, generation, input });
     }
 }
--- a/crates/ownership/src/sim/fault.rs
+++ b/crates/ownership/src/sim/fault.rs
@@ -7,7 +7,7 @@
 
 use crate::{Input, UpstreamState};
 
-use super::{Happening, Links, Sim};
+use super::{Links, ScheduledEvent, Sim};
 
 /// One change of the surroundings. Hosts are named by index.
 #[derive(Debug, Clone, PartialEq)]
@@ -35,15 +35,15 @@
         state: UpstreamState,
     },
     /// Messages from one host to the other are lost.
-    Cut {
+    CutLink {
         from: usize,
         to: usize,
     },
     /// Messages between these hosts and all others are lost, both ways.
     Isolate(Vec<usize>),
     /// All that a host sends to others is lost, or all that is sent to it.
-    Mute(usize),
-    Deafen(usize),
+    DropOutgoing(usize),
+    DropIncoming(usize),
     CutFromPlatform(usize),
     /// The platform answers nobody.
     PlatformDown,
@@ -54,14 +54,14 @@
     },
     /// Shares of messages that are lost, doubled, late; in percent.
     Lossy {
-        loss: u32,
-        doubled: u32,
-        late: u32,
+        loss_percent: u32,
+        duplicate_percent: u32,
+        late_percent: u32,
     },
     /// Shares of updates whose answer is lost, or that take effect late; in percent.
-    Doubtful {
-        lost_answers: u32,
-        late_updates: u32,
+    UncertainUpdates {
+        lost_reply_percent: u32,
+        late_update_percent: u32,
     },
     /// All links and the platform work again.
     HealLinks,
@@ -83,12 +83,12 @@
 impl Sim {
     /// Lets a fault happen now.
     pub fn apply(&mut self, fault: Fault) {
-        self.note(|| format!("fault {fault:?}"));
+        self.log_line(|| format!("fault {fault:?}"));
         match fault {
             Fault::Start(host) => self.start(host),
             Fault::Crash(host) => self.hosts[host].crash(),
             Fault::CrashAgent(host) => {
-                self.cut_work(host);
+                self.abort_some_requests(host);
                 self.hosts[host].crash_agent();
             }
             Fault::Pause { host, for_ms } => self.pause(host, Duration::from_millis(for_ms)),
@@ -97,21 +97,21 @@
             }
             Fault::Stop(host) => {
                 self.hosts[host].is_stopping = true;
-                self.input(host, Input::Stop);
+                self.pass_input(host, Input::Stop);
             }
             Fault::Upstream { host, state } => {
                 self.hosts[host].upstream = state;
-                self.input(host, Input::Upstream(state));
+                self.pass_input(host, Input::Upstream(state));
             }
-            Fault::Cut { from, to } => {
-                self.links.cut.insert((from, to));
+            Fault::CutLink { from, to } => {
+                self.links.cut_links.insert((from, to));
             }
             Fault::Isolate(hosts) => self.isolate(&hosts),
-            Fault::Mute(host) => {
-                self.links.cut.extend((0..self.hosts.len()).map(|it| (host, it)));
+            Fault::DropOutgoing(host) => {
+                self.links.cut_links.extend((0..self.hosts.len()).map(|it| (host, it)));
             }
-            Fault::Deafen(host) => {
-                self.links.cut.extend((0..self.hosts.len()).map(|it| (it, host)));
+            Fault::DropIncoming(host) => {
+                self.links.cut_links.extend((0..self.hosts.len()).map(|it| (it, host)));
             }
             Fault::CutFromPlatform(host) => {
                 self.links.cut_from_platform.insert(host);
@@ -124,14 +124,14 @@
                 self.store.roll_back_to(Timestamp { ns });
                 self.links.platform_down = false;
             }
-            Fault::Lossy { loss, doubled, late } => {
-                self.links.loss = share(loss);
-                self.links.doubled = share(doubled);
-                self.links.late = share(late);
+            Fault::Lossy { loss_percent, duplicate_percent, late_percent } => {
+                self.links.loss_share = share(loss_percent);
+                self.links.duplicate_share = share(duplicate_percent);
+                self.links.late_share = share(late_percent);
             }
-            Fault::Doubtful { lost_answers, late_updates } => {
-                self.links.lost_answers = share(lost_answers);
-                self.links.late_updates = share(late_updates);
+            Fault::UncertainUpdates { lost_reply_percent, late_update_percent } => {
+                self.links.lost_reply_share = share(lost_reply_percent);
+                self.links.late_update_share = share(late_update_percent);
             }
             Fault::HealLinks => self.links = Links::default(),
             Fault::SlotLoad { slot, us_per_s } => self.slot_loads[slot] = us_per_s,
@@ -146,7 +146,7 @@
         for a in 0..self.hosts.len() {
             for b in 0..self.hosts.len() {
                 if hosts.contains(&a) != hosts.contains(&b) {
-                    self.links.cut.insert((a, b));
+                    self.links.cut_links.insert((a, b));
                 }
             }
         }
@@ -163,10 +163,10 @@
         let peers = others.map(|it| it.1.instance.clone()).collect();
         let (now, config) = (self.now, self.config.clone());
         self.hosts[host].start(now, incarnation, seed, peers, &config);
-        let life = self.hosts[host].life;
+        let generation = self.hosts[host].generation;
         let delay = Duration::from_micros(self.rng.random_range(0..20_000));
-        self.schedule(now + delay, Happening::Tick { host, life });
-        self.input(host, Input::Upstream(UpstreamState::Ready));
+        self.schedule(now + delay, ScheduledEvent::Tick { host, generation });
+        self.pass_input(host, Input::Upstream(UpstreamState::Ready));
     }
 
     /// Starts all hosts that are down.
--- a/crates/ownership/src/sim/gate.rs
+++ b/crates/ownership/src/sim/gate.rs
@@ -7,18 +7,18 @@
 use crate::GateCommand;
 
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Open {
+pub(super) struct GateEntry {
     pub(super) token: Token,
-    pub(super) closing: bool,
+    pub(super) is_closing: bool,
 }
 
 /// What the gate of one host admits.
 #[derive(Debug, Default)]
 pub(super) struct Gate {
     pub(super) lease_until: Timestamp,
-    pub(super) slots: BTreeMap<Slot, Open>,
-    pub(super) keys: BTreeMap<KeyHash, Open>,
-    pub(super) excluded: BTreeSet<KeyHash>,
+    pub(super) slots: BTreeMap<Slot, GateEntry>,
+    pub(super) keys: BTreeMap<KeyHash, GateEntry>,
+    pub(super) excluded_keys: BTreeSet<KeyHash>,
 }
 
 impl Gate {
@@ -27,42 +27,42 @@
             GateCommand::Lease { until } => self.lease_until = *until,
             GateCommand::Prepare { .. } | GateCommand::Clear { .. } => {}
             GateCommand::Admit { slot, token } => {
-                self.slots.insert(*slot, Open { token: *token, closing: false });
+                self.slots.insert(*slot, GateEntry { token: *token, is_closing: false });
             }
             GateCommand::AdmitKey { key_hash, token } => {
-                self.excluded.remove(key_hash);
-                self.keys.insert(*key_hash, Open { token: *token, closing: false });
+                self.excluded_keys.remove(key_hash);
+                self.keys.insert(*key_hash, GateEntry { token: *token, is_closing: false });
             }
             GateCommand::ExcludeKey { key_hash, .. } => {
-                self.excluded.insert(*key_hash);
+                self.excluded_keys.insert(*key_hash);
             }
             GateCommand::RemoveKey { key_hash } => {
-                self.excluded.remove(key_hash);
+                self.excluded_keys.remove(key_hash);
                 self.keys.remove(key_hash);
             }
             GateCommand::Close { slot, .. } => {
                 if let Some(open) = self.slots.get_mut(slot) {
-                    open.closing = true;
+                    open.is_closing = true;
                 }
             }
             GateCommand::CloseKey { key_hash, token, .. } => {
-                self.keys.insert(*key_hash, Open { token: *token, closing: true });
+                self.keys.insert(*key_hash, GateEntry { token: *token, is_closing: true });
             }
             GateCommand::DropAll => *self = Gate::default(),
         }
     }
 
     /// What was in flight in a slot has ended.
-    pub(super) fn closed(&mut self, slot: Slot, token: Token) {
-        if self.slots.get(&slot).is_some_and(|it| it.token == token && it.closing) {
+    pub(super) fn finish_close(&mut self, slot: Slot, token: Token) {
+        if self.slots.get(&slot).is_some_and(|it| it.token == token && it.is_closing) {
             self.slots.remove(&slot);
         }
     }
 
-    pub(super) fn key_closed(&mut self, key_hash: KeyHash, token: Token) {
-        if self.keys.get(&key_hash).is_some_and(|it| it.token == token && it.closing) {
+    pub(super) fn finish_key_close(&mut self, key_hash: KeyHash, token: Token) {
+        if self.keys.get(&key_hash).is_some_and(|it| it.token == token && it.is_closing) {
             self.keys.remove(&key_hash);
-            self.excluded.insert(key_hash);
+            self.excluded_keys.insert(key_hash);
         }
     }
 
@@ -79,20 +79,20 @@
 
     /// The same for one key in a slot.
     pub(super) fn holds_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
-        let by_slot = self.slots.contains_key(&slot) && !self.excluded.contains(&key_hash);
+        let by_slot = self.slots.contains_key(&slot) && !self.excluded_keys.contains(&key_hash);
         now < self.lease_until && (self.keys.contains_key(&key_hash) || by_slot)
     }
 
     /// Whether new requests of the slot are admitted.
     pub(super) fn admits(&self, now: Timestamp, slot: Slot) -> bool {
-        now < self.lease_until && self.slots.get(&slot).is_some_and(|it| !it.closing)
+        now < self.lease_until && self.slots.get(&slot).is_some_and(|it| !it.is_closing)
     }
 
     /// The same for one key in a slot.
     pub(super) fn admits_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         match self.keys.get(&key_hash) {
-            Some(it) => now < self.lease_until && !it.closing,
-            None => !self.excluded.contains(&key_hash) && self.admits(now, slot),
+            Some(it) => now < self.lease_until && !it.is_closing,
+            None => !self.excluded_keys.contains(&key_hash) && self.admits(now, slot),
         }
     }
 }
--- a/crates/ownership/src/sim/host.rs
+++ b/crates/ownership/src/sim/host.rs
@@ -14,27 +14,27 @@
 
 use crate::{Input, Node, NodeConfig, Output, UpstreamState};
 
-use super::{SimConfig, gate::Gate, upstream::Run};
+use super::{SimConfig, gate::Gate, upstream::UpstreamRequest};
 
 /// The entities of a run, by index.
 pub(super) struct Host {
     pub(super) instance: Instance,
     pub(super) node: Option<Node>,
     /// Counts restarts; what was meant for an earlier life is lost.
-    pub(super) life: u64,
+    pub(super) generation: u64,
     clock_offset_ns: u64,
     clock_rate: f64,
     pub(super) gate: Gate,
     /// What the upstream still holds that earlier lives of the agent granted it.
-    pub(super) left_over: Vec<Gate>,
+    pub(super) orphaned_grants: Vec<Gate>,
     /// What the upstream is at work on.
-    pub(super) runs: Vec<Run>,
+    pub(super) requests: Vec<UpstreamRequest>,
     pub(super) upstream: UpstreamState,
     pub(super) is_paused: bool,
     /// Inputs that wait for the end of a pause, or of the step that is being carried through.
-    pub(super) mailbox: VecDeque<Input>,
+    pub(super) queued_inputs: VecDeque<Input>,
     /// Outputs of the step in which the pause began.
-    pub(super) held_back: Vec<Output>,
+    pub(super) held_outputs: Vec<Output>,
     pub(super) pause_next_step_ms: Option<u64>,
     /// A step is being carried through.
     pub(super) is_busy: bool,
@@ -58,16 +58,16 @@
                 traffic: address(2000 + at as u16),
             },
             node: None,
-            life: 0,
+            generation: 0,
             clock_offset_ns: rng.random_range(0..1_000_000_000_000),
             clock_rate: 1.0 + config.drift * rng.random_range(-1.0..=1.0),
             gate: Gate::default(),
-            left_over: Vec::new(),
-            runs: Vec::new(),
+            orphaned_grants: Vec::new(),
+            requests: Vec::new(),
             upstream: UpstreamState::Starting,
             is_paused: false,
-            mailbox: VecDeque::new(),
-            held_back: Vec::new(),
+            queued_inputs: VecDeque::new(),
+            held_outputs: Vec::new(),
             pause_next_step_ms: None,
             is_busy: false,
             link_busy_until: Timestamp::ZERO,
@@ -107,12 +107,12 @@
         config: &SimConfig,
     ) {
         self.instance.incarnation = Incarnation(incarnation);
-        self.life += 1;
+        self.generation += 1;
         self.gate = Gate::default();
         self.upstream = UpstreamState::Ready;
         self.is_paused = false;
-        self.mailbox.clear();
-        self.held_back.clear();
+        self.queued_inputs.clear();
+        self.held_outputs.clear();
         self.is_busy = false;
         self.is_stopping = false;
         self.has_stopped = false;
@@ -132,49 +132,49 @@
 
     /// The agent is lost, and the upstream beside it lives on.
     pub(super) fn crash_agent(&mut self) {
-        self.leave_over();
-        let left_over = std::mem::take(&mut self.left_over);
-        let runs = std::mem::take(&mut self.runs);
+        self.orphan_grants();
+        let orphaned_grants = std::mem::take(&mut self.orphaned_grants);
+        let requests = std::mem::take(&mut self.requests);
         self.crash();
-        self.left_over = left_over;
-        self.runs = runs;
+        self.orphaned_grants = orphaned_grants;
+        self.requests = requests;
     }
 
     /// The gate lets go of what it holds; an upstream that enforces leases goes on holding it.
-    pub(super) fn leave_over(&mut self) {
-        let left_over = std::mem::take(&mut self.gate);
-        self.left_over.push(left_over);
+    pub(super) fn orphan_grants(&mut self) {
+        let orphaned_grants = std::mem::take(&mut self.gate);
+        self.orphaned_grants.push(orphaned_grants);
     }
 
     /// The upstream has given up what it was granted under tokens up to this one.
     pub(super) fn clear(&mut self, token: Token) {
-        self.left_over.iter_mut().for_each(|it| it.clear(token));
+        self.orphaned_grants.iter_mut().for_each(|it| it.clear(token));
     }
 
     /// Whether requests of a slot may run here.
     pub(super) fn holds(&self, now: Timestamp, slot: Slot) -> bool {
         let clock = self.clock(now);
         let held = self.is_up() && self.gate.holds(clock, slot);
-        held || self.left_over.iter().any(|it| it.holds(clock, slot))
+        held || self.orphaned_grants.iter().any(|it| it.holds(clock, slot))
     }
 
     /// The same for one key in a slot.
     pub(super) fn holds_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         let clock = self.clock(now);
         let held = self.is_up() && self.gate.holds_key(clock, slot, key_hash);
-        held || self.left_over.iter().any(|it| it.holds_key(clock, slot, key_hash))
+        held || self.orphaned_grants.iter().any(|it| it.holds_key(clock, slot, key_hash))
     }
 
     /// The agent and the upstream beside it are lost.
     pub(super) fn crash(&mut self) {
-        self.left_over.clear();
-        self.runs.clear();
+        self.orphaned_grants.clear();
+        self.requests.clear();
         self.node = None;
-        self.life += 1;
+        self.generation += 1;
         self.gate = Gate::default();
         self.is_paused = false;
         self.is_busy = false;
-        self.mailbox.clear();
-        self.held_back.clear();
+        self.queued_inputs.clear();
+        self.held_outputs.clear();
     }
 }
--- a/crates/ownership/src/sim/truth.rs
+++ b/crates/ownership/src/sim/invariants.rs
@@ -19,7 +19,7 @@
     },
     /// A host is granted a slot while the upstream of another has a run of it that has not ended, under a lease
     /// that is not over by its own clock.
-    SlotWorkedOn {
+    RequestStillInFlight {
         slot: Slot,
         hosts: (usize, usize),
         at: Timestamp,
@@ -31,13 +31,13 @@
         at: Timestamp,
     },
     /// A token is not above every token given before.
-    TokenNotRising {
+    TokenNotIncreasing {
         slot: Slot,
         token: Token,
         last: Token,
         at: Timestamp,
     },
-    KeyTokenNotRising {
+    KeyTokenDecreased {
         key_hash: KeyHash,
         token: Token,
         last: Token,
@@ -51,17 +51,20 @@
             Violation::SlotHeldTwice { slot, hosts, at } => {
                 write!(f, "{} ms: slot {slot} is held by {hosts:?}", at.ns / 1_000_000)
             }
-            Violation::SlotWorkedOn { slot, hosts: (works, granted), at } => {
+            Violation::RequestStillInFlight { slot, hosts: (holder, grantee), at } => {
                 let ms = at.ns / 1_000_000;
-                write!(f, "{ms} ms: {granted} is granted slot {slot}, {works} is at work on it")
+                write!(
+                    f,
+                    "{ms} ms: host {grantee} was granted slot {slot} while a request at the upstream of host {holder} is in flight"
+                )
             }
             Violation::KeyHeldTwice { key_hash, hosts, at } => {
                 write!(f, "{} ms: key {:x} is held by {hosts:?}", at.ns / 1_000_000, key_hash.0)
             }
-            Violation::TokenNotRising { slot, token, last, at } => {
+            Violation::TokenNotIncreasing { slot, token, last, at } => {
                 write!(f, "{} ms: slot {slot}: {token} after {last}", at.ns / 1_000_000)
             }
-            Violation::KeyTokenNotRising { key_hash, token, last, at } => {
+            Violation::KeyTokenDecreased { key_hash, token, last, at } => {
                 let ms = at.ns / 1_000_000;
                 write!(f, "{ms} ms: key {:x}: {token} after {last}", key_hash.0)
             }
@@ -71,7 +74,7 @@
 
 /// The highest tokens seen, and the first violation.
 #[derive(Debug)]
-pub(super) struct Truth {
+pub(super) struct InvariantChecker {
     slot_count: SlotCount,
     slot_tokens: BTreeMap<Slot, Token>,
     key_tokens: BTreeMap<KeyHash, Token>,
@@ -81,9 +84,9 @@
     pub(super) key_grants: u64,
 }
 
-impl Truth {
-    pub(super) fn new(slot_count: SlotCount) -> Truth {
-        Truth {
+impl InvariantChecker {
+    pub(super) fn new(slot_count: SlotCount) -> InvariantChecker {
+        InvariantChecker {
             slot_count,
             slot_tokens: BTreeMap::new(),
             key_tokens: BTreeMap::new(),
@@ -94,24 +97,29 @@
         }
     }
 
-    fn found(&mut self, violation: Violation) {
+    fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
-    fn slot_token(&mut self, slot: Slot, token: Token, at: Timestamp) {
+    fn check_slot_token(&mut self, slot: Slot, token: Token, at: Timestamp) {
         let last = self.slot_tokens.entry(slot).or_default();
         if token <= *last {
             let last = *last;
-            return self.found(Violation::TokenNotRising { slot, token, last, at });
+            return self.record_violation(Violation::TokenNotIncreasing { slot, token, last, at });
         }
         *last = token;
     }
 
-    fn key_token(&mut self, key_hash: KeyHash, token: Token, at: Timestamp) {
+    fn check_key_token(&mut self, key_hash: KeyHash, token: Token, at: Timestamp) {
         let last = self.key_tokens.entry(key_hash).or_default();
         if token < *last {
             let last = *last;
-            return self.found(Violation::KeyTokenNotRising { key_hash, token, last, at });
+            return self.record_violation(Violation::KeyTokenDecreased {
+                key_hash,
+                token,
+                last,
+                at,
+            });
         }
         *last = token;
     }
@@ -119,7 +127,7 @@
 
 impl Sim {
     /// A gate carries a command out; everything that this may let it serve is checked.
-    pub(super) fn gate_command(&mut self, host: usize, command: &GateCommand) {
+    pub(super) fn apply_gate_command(&mut self, host: usize, command: &GateCommand) {
         let now = self.now;
         let had_lease = {
             let it = &self.hosts[host];
@@ -127,25 +135,25 @@
         };
         let enforced = self.config.limits.coordinator_lease == CoordinatorLease::Full;
         if enforced && *command == GateCommand::DropAll {
-            self.hosts[host].leave_over();
-            self.cut_work(host);
+            self.hosts[host].orphan_grants();
+            self.abort_some_requests(host);
         }
         self.hosts[host].gate.apply(command);
         if let GateCommand::Lease { .. } = command {
-            self.hosts[host].renew_runs();
+            self.hosts[host].extend_request_leases();
         }
         match command {
             GateCommand::Admit { slot, token } => {
                 // A command that a pause has held back past the lease's end admits nothing.
                 if self.check_slot(host, *slot) {
-                    self.truth.slot_token(*slot, *token, now);
+                    self.checker.check_slot_token(*slot, *token, now);
                 }
-                for key_hash in self.watched_in(*slot) {
+                for key_hash in self.tracked_keys_in(*slot) {
                     self.check_key(host, key_hash);
                 }
             }
             GateCommand::AdmitKey { key_hash, .. } => {
-                self.truth.key_grants += 1;
+                self.checker.key_grants += 1;
                 self.check_key(host, *key_hash);
             }
             GateCommand::RemoveKey { key_hash } => {
@@ -164,8 +172,8 @@
         }
     }
 
-    fn watched_in(&self, slot: Slot) -> Vec<KeyHash> {
-        let slot_count = self.truth.slot_count;
+    fn tracked_keys_in(&self, slot: Slot) -> Vec<KeyHash> {
+        let slot_count = self.checker.slot_count;
         self.keys.iter().copied().filter(|it| slot_count.slot_of(*it) == slot).collect()
     }
 
@@ -179,19 +187,20 @@
         let other = (0..self.hosts.len()).find(|it| *it != host && holds(&self.hosts[*it]));
         if let Some(other) = other {
             let hosts = (other, host);
-            self.truth.found(Violation::SlotHeldTwice { slot, hosts, at: now });
+            self.checker.record_violation(Violation::SlotHeldTwice { slot, hosts, at: now });
         }
-        let works = |it: &usize| *it != host && self.hosts[*it].works_on(now, slot);
-        if let Some(other) = (0..self.hosts.len()).find(works) {
+        let has_request =
+            |it: &usize| *it != host && self.hosts[*it].has_request_in_flight(now, slot);
+        if let Some(other) = (0..self.hosts.len()).find(has_request) {
             let hosts = (other, host);
-            self.truth.found(Violation::SlotWorkedOn { slot, hosts, at: now });
+            self.checker.record_violation(Violation::RequestStillInFlight { slot, hosts, at: now });
         }
         true
     }
 
     fn check_key(&mut self, host: usize, key_hash: KeyHash) {
         let now = self.now;
-        let slot = self.truth.slot_count.slot_of(key_hash);
+        let slot = self.checker.slot_count.slot_of(key_hash);
         let holds = |it: &Host| it.holds_key(now, slot, key_hash);
         if !holds(&self.hosts[host]) {
             return;
@@ -199,12 +208,12 @@
         let other = (0..self.hosts.len()).find(|it| *it != host && holds(&self.hosts[*it]));
         if let Some(other) = other {
             let hosts = (other, host);
-            self.truth.found(Violation::KeyHeldTwice { key_hash, hosts, at: now });
+            self.checker.record_violation(Violation::KeyHeldTwice { key_hash, hosts, at: now });
         }
         let gate = &self.hosts[host].gate;
         let token = gate.keys.get(&key_hash).or(gate.slots.get(&slot)).map(|it| it.token);
         if let Some(token) = token {
-            self.truth.key_token(key_hash, token, now);
+            self.checker.check_key_token(key_hash, token, now);
         }
     }
 }
--- a/crates/ownership/src/sim/measure.rs
+++ b/crates/ownership/src/sim/measure.rs
@@ -58,16 +58,16 @@
     pub unavailable_p50_ms: u64,
     pub unavailable_max_ms: u64,
     /// Slots of hosts that were not lost, that went unserved all the same.
-    pub bystanders: u64,
+    pub bystander_slots: u64,
     pub bystander_max_ms: u64,
 }
 
 /// Times are sampled this often.
-const SAMPLE_EVERY: Duration = Duration::from_millis(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(1);
 /// How long a group has to come to rest before the loss.
-const WARM_UP: Duration = Duration::from_secs(8);
+const WARM_UP_PERIOD: Duration = Duration::from_secs(8);
 /// How long it is watched after the loss.
-const WATCHED_FOR: Duration = Duration::from_secs(4);
+const OBSERVATION_PERIOD: Duration = Duration::from_secs(4);
 
 /// Measures each kind of loss `runs` times, in virtual time.
 pub fn measure_losses(runs: u64, seed: u64, hosts: usize, slots: SlotCount) -> Vec<LossReport> {
@@ -75,36 +75,36 @@
 }
 
 fn measure(kind: LossKind, runs: u64, seed: u64, hosts: usize, slots: SlotCount) -> LossReport {
-    let mut lost_ms: Vec<u64> = Vec::new();
-    let mut bystander_ms: Vec<u64> = Vec::new();
+    let mut affected_gaps_ms: Vec<u64> = Vec::new();
+    let mut bystander_gaps_ms: Vec<u64> = Vec::new();
     for run in 0..runs {
         let config = SimConfig { hosts, slot_count: slots, ..SimConfig::new(seed + run) };
-        one_loss(kind, config, &mut lost_ms, &mut bystander_ms);
+        simulate_loss(kind, config, &mut affected_gaps_ms, &mut bystander_gaps_ms);
     }
-    lost_ms.sort_unstable();
+    affected_gaps_ms.sort_unstable();
     LossReport {
         kind,
         runs,
-        slots: lost_ms.len() as u64,
-        unavailable_p50_ms: lost_ms.get(lost_ms.len() / 2).copied().unwrap_or(0),
-        unavailable_max_ms: lost_ms.last().copied().unwrap_or(0),
-        bystanders: bystander_ms.len() as u64,
-        bystander_max_ms: bystander_ms.into_iter().max().unwrap_or(0),
+        slots: affected_gaps_ms.len() as u64,
+        unavailable_p50_ms: affected_gaps_ms.get(affected_gaps_ms.len() / 2).copied().unwrap_or(0),
+        unavailable_max_ms: affected_gaps_ms.last().copied().unwrap_or(0),
+        bystander_slots: bystander_gaps_ms.len() as u64,
+        bystander_max_ms: bystander_gaps_ms.into_iter().max().unwrap_or(0),
     }
 }
 
-fn one_loss(
+fn simulate_loss(
     kind: LossKind,
     config: SimConfig,
-    lost_ms: &mut Vec<u64>,
-    bystander_ms: &mut Vec<u64>,
+    affected_gaps_ms: &mut Vec<u64>,
+    bystander_gaps_ms: &mut Vec<u64>,
 ) {
     let seed = config.seed;
     let zones = config.zones;
     let mut sim = Sim::new(config);
     sim.start_all();
     // Losses fall at any point of the lease's and the confirmation's period.
-    sim.run_for(WARM_UP + Duration::from_millis(seed * 37 % 500));
+    sim.run_for(WARM_UP_PERIOD + Duration::from_millis(seed * 37 % 500));
     let Some(coordinator) = sim.coordinator() else { return };
     let count = sim.host_count();
     let member = (0..count).find(|it| *it != coordinator && it % zones != coordinator % zones);
@@ -117,7 +117,7 @@
         LossKind::CoordinatorZone => in_zone(coordinator % zones),
         LossKind::Member | LossKind::MemberWithoutPlatform | LossKind::Leave => vec![member],
     };
-    let concerned: Vec<bool> = {
+    let is_affected: Vec<bool> = {
         let owners = sim.slot_owners();
         owners.iter().map(|it| it.is_none_or(|it| lost.contains(&it))).collect()
     };
@@ -128,11 +128,11 @@
     for host in lost {
         sim.apply(if kind == LossKind::Leave { Fault::Stop(host) } else { Fault::Crash(host) });
     }
-    for (slot, gap) in sim.longest_gaps(WATCHED_FOR).into_iter().enumerate() {
-        match (concerned[slot], gap.as_millis() as u64) {
+    for (slot, gap) in sim.longest_gaps(OBSERVATION_PERIOD).into_iter().enumerate() {
+        match (is_affected[slot], gap.as_millis() as u64) {
             (_, 0) => {}
-            (true, ms) => lost_ms.push(ms),
-            (false, ms) => bystander_ms.push(ms),
+            (true, ms) => affected_gaps_ms.push(ms),
+            (false, ms) => bystander_gaps_ms.push(ms),
         }
     }
 }
@@ -162,7 +162,7 @@
             if now >= end || self.violation().is_some() {
                 return longest;
             }
-            self.run_for(SAMPLE_EVERY);
+            self.run_for(SAMPLE_INTERVAL);
         }
     }
 }
--- a/crates/ownership/src/sim/mod.rs
+++ b/crates/ownership/src/sim/mod.rs
@@ -9,10 +9,10 @@
 mod fault;
 mod gate;
 mod host;
+mod invariants;
 mod measure;
 mod platform;
 mod random;
-mod truth;
 mod upstream;
 
 use std::{
@@ -31,12 +31,12 @@
 pub use self::{
     costs::Machine,
     fault::Fault,
+    invariants::Violation,
     measure::{LossKind, LossReport, measure_losses},
-    random::{RunReport, Shape, logged_run, random_run},
-    truth::Violation,
+    random::{RandomRunConfig, RunReport, logged_run, random_run},
 };
 
-use self::{host::Host, platform::Store, truth::Truth};
+use self::{host::Host, invariants::InvariantChecker, platform::Store};
 
 /// What a run is made of.
 #[derive(Debug, Clone)]
@@ -51,9 +51,9 @@
     /// Clocks run at most this much too fast or too slow.
     pub drift: f64,
     /// Keys that the truth watches one by one; at times they are made hot.
-    pub watched_keys: usize,
+    pub tracked_keys: usize,
     /// Upstreams are at work, and what they do may outlast their agents: where they enforce leases.
-    pub works: bool,
+    pub simulates_requests: bool,
     /// What each host may use; none: steps take no time, and links have any width.
     pub machine: Option<Machine>,
 }
@@ -70,8 +70,8 @@
             ordered: false,
             limits: Limits::default(),
             drift: 0.0,
-            watched_keys: 0,
-            works: false,
+            tracked_keys: 0,
+            simulates_requests: false,
             machine: None,
         }
     }
@@ -80,33 +80,33 @@
 /// The state of the links and of the platform.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
-    pub(crate) loss: f64,
-    pub(crate) doubled: f64,
+    pub(crate) loss_share: f64,
+    pub(crate) duplicate_share: f64,
     /// The share of messages that take up to `late_max`.
-    pub(crate) late: f64,
-    pub(crate) late_max: Duration,
+    pub(crate) late_share: f64,
+    pub(crate) late_delay_max: Duration,
     /// Cut in this direction only.
-    pub(crate) cut: BTreeSet<(usize, usize)>,
+    pub(crate) cut_links: BTreeSet<(usize, usize)>,
     pub(crate) cut_from_platform: BTreeSet<usize>,
     pub(crate) platform_down: bool,
     /// The share of updates whose answer is lost although they take effect.
-    pub(crate) lost_answers: f64,
+    pub(crate) lost_reply_share: f64,
     /// The share of updates that take effect only after their caller has given up.
-    pub(crate) late_updates: f64,
+    pub(crate) late_update_share: f64,
 }
 
 impl Default for Links {
     fn default() -> Links {
         Links {
-            loss: 0.0,
-            doubled: 0.0,
-            late: 0.0,
-            late_max: Duration::from_millis(500),
-            cut: BTreeSet::new(),
+            loss_share: 0.0,
+            duplicate_share: 0.0,
+            late_share: 0.0,
+            late_delay_max: Duration::from_millis(500),
+            cut_links: BTreeSet::new(),
             cut_from_platform: BTreeSet::new(),
             platform_down: false,
-            lost_answers: 0.0,
-            late_updates: 0.0,
+            lost_reply_share: 0.0,
+            late_update_share: 0.0,
         }
     }
 }
@@ -115,49 +115,49 @@
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(250);
 /// A few requests in flight for each host, so that the planner takes the loads for no chance.
 const SLOT_LOAD_US_PER_S: u64 = 500_000;
-const TICK_EVERY: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Something that happens at a set time.
 #[derive(Debug)]
-enum Happening {
+enum ScheduledEvent {
     Tick {
         host: usize,
-        life: u64,
+        generation: u64,
     },
     Deliver {
         to: usize,
-        life: u64,
+        generation: u64,
         from: Instance,
         message: Box<Message>,
     },
     /// A call reaches the platform; the answer is passed on only if `answered`.
-    Arrive {
+    PlatformCallArrives {
         host: usize,
-        life: u64,
+        generation: u64,
         call: CallId,
         request: Box<PlatformRequest>,
-        answered: bool,
+        is_answered: bool,
     },
-    Answer {
+    PlatformReplyArrives {
         host: usize,
-        life: u64,
+        generation: u64,
         call: CallId,
         reply: Box<PlatformReply>,
     },
-    Local {
+    LocalInput {
         host: usize,
-        life: u64,
+        generation: u64,
         input: Box<Input>,
     },
-    BeginWork,
+    StartRequests,
     Resume {
         host: usize,
-        life: u64,
+        generation: u64,
     },
     /// A host has carried its step through.
-    Done {
+    StepCompleted {
         host: usize,
-        life: u64,
+        generation: u64,
         out: Vec<Output>,
     },
     Fault(Fault),
@@ -168,15 +168,15 @@
     config: SimConfig,
     rng: Pcg64Mcg,
     /// Of its own, so that a seed without work gives the same run.
-    work_rng: Pcg64Mcg,
+    request_rng: Pcg64Mcg,
     now: Timestamp,
-    queue: BTreeMap<(Timestamp, u64), Happening>,
-    next_entry: u64,
+    queue: BTreeMap<(Timestamp, u64), ScheduledEvent>,
+    next_sequence: u64,
     next_incarnation: u64,
     hosts: Vec<Host>,
     pub(crate) links: Links,
     store: Store,
-    truth: Truth,
+    checker: InvariantChecker,
     keys: Vec<KeyHash>,
     /// The load of each slot and watched key, in microseconds a second.
     slot_loads: Vec<u64>,
@@ -194,20 +194,20 @@
     pub fn new(config: SimConfig) -> Sim {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let hosts = (0..config.hosts).map(|it| Host::new(it, &config, &mut rng)).collect();
-        let keys = (0..config.watched_keys).map(|_| KeyHash(rng.random())).collect();
+        let keys = (0..config.tracked_keys).map(|_| KeyHash(rng.random())).collect();
         let slot_count = config.slot_count;
-        let work_rng = Pcg64Mcg::seed_from_u64(config.seed ^ 0x3042);
+        let request_rng = Pcg64Mcg::seed_from_u64(config.seed ^ 0x3042);
         let mut sim = Sim {
             rng,
-            work_rng,
+            request_rng,
             now: Timestamp::from_ms(1000),
             queue: BTreeMap::new(),
-            next_entry: 0,
+            next_sequence: 0,
             next_incarnation: 1,
             hosts,
             links: Links::default(),
             store: Store::default(),
-            truth: Truth::new(slot_count),
+            checker: InvariantChecker::new(slot_count),
             keys,
             slot_loads: vec![SLOT_LOAD_US_PER_S; usize::from(slot_count.count())],
             key_loads: BTreeMap::new(),
@@ -216,14 +216,14 @@
             longest_step: Duration::ZERO,
             config,
         };
-        if sim.config.works {
-            sim.schedule(sim.now, Happening::BeginWork);
+        if sim.config.simulates_requests {
+            sim.schedule(sim.now, ScheduledEvent::StartRequests);
         }
         sim
     }
 
     /// Keeps a line for each event from now on.
-    pub fn keep_log(&mut self) {
+    pub fn enable_log(&mut self) {
         self.log = Some(Vec::new());
     }
 
@@ -241,7 +241,7 @@
 
     /// What was seen to be wrong, if anything.
     pub fn violation(&self) -> Option<&Violation> {
-        self.truth.violation.as_ref()
+        self.checker.violation.as_ref()
     }
 
     /// What a host's node knows.
@@ -253,7 +253,7 @@
     pub fn change_limits(&mut self, limits: Limits) {
         self.config.limits = limits.clone();
         for host in 0..self.hosts.len() {
-            self.input(host, Input::Limits(Box::new(limits.clone())));
+            self.pass_input(host, Input::Limits(Box::new(limits.clone())));
         }
     }
 
@@ -269,7 +269,7 @@
     }
 
     /// How many slots are admitted nowhere.
-    pub fn unowned(&self) -> usize {
+    pub fn unowned_slots(&self) -> usize {
         self.config.slot_count.iter().filter(|it| self.owner(*it).is_none()).count()
     }
 
@@ -295,16 +295,16 @@
 
     /// How often each kind of event was given, by the first word of its form.
     pub fn events(&self) -> &BTreeMap<String, u64> {
-        &self.truth.events
+        &self.checker.events
     }
 
     /// Slots handed over in order.
     pub fn handovers(&self) -> u64 {
-        self.truth.handovers
+        self.checker.handovers
     }
 
     pub fn key_grants(&self) -> u64 {
-        self.truth.key_grants
+        self.checker.key_grants
     }
 
     /// How many keys have entries of their own now.
@@ -329,13 +329,13 @@
     /// Lets virtual time pass; stops early at a violation.
     pub fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
-        while self.truth.violation.is_none() {
+        while self.checker.violation.is_none() {
             let Some(entry) = self.queue.first_entry().filter(|it| it.key().0 <= end) else {
                 break;
             };
-            let ((at, _), happening) = entry.remove_entry();
+            let ((at, _), scheduled) = entry.remove_entry();
             self.now = at;
-            self.happen(happening);
+            self.process_event(scheduled);
         }
         self.now = end;
     }
@@ -343,7 +343,7 @@
     /// Passes time in steps until the condition holds; says whether it did in time.
     pub fn run_until(&mut self, max: Duration, done: impl Fn(&Sim) -> bool) -> bool {
         let end = self.now + max;
-        while self.now < end && self.truth.violation.is_none() {
+        while self.now < end && self.checker.violation.is_none() {
             if done(self) {
                 return true;
             }
@@ -352,39 +352,39 @@
         done(self)
     }
 
-    fn schedule(&mut self, at: Timestamp, happening: Happening) {
-        self.next_entry += 1;
-        self.queue.insert((at, self.next_entry), happening);
+    fn schedule(&mut self, at: Timestamp, scheduled: ScheduledEvent) {
+        self.next_sequence += 1;
+        self.queue.insert((at, self.next_sequence), scheduled);
     }
 
     /// Lets a fault happen after a delay.
-    pub fn fault_in(&mut self, delay: Duration, fault: Fault) {
-        self.schedule(self.now + delay, Happening::Fault(fault));
+    pub fn schedule_fault(&mut self, delay: Duration, fault: Fault) {
+        self.schedule(self.now + delay, ScheduledEvent::Fault(fault));
     }
 
-    fn note(&mut self, line: impl FnOnce() -> String) {
+    fn log_line(&mut self, line: impl FnOnce() -> String) {
         let ms = self.now.ns / 1_000_000;
         if let Some(log) = &mut self.log {
             log.push(format!("{ms:>8} {}", line()));
         }
     }
 
-    fn note_output(&mut self, host: usize, output: &Output) {
+    fn log_output(&mut self, host: usize, output: &Output) {
         if self.log.is_none() {
             return;
         }
         match output {
             Output::Gate(crate::GateCommand::Lease { .. }) => {}
-            Output::Gate(it) => self.note(|| format!("host {host} gate {it:?}")),
-            Output::Event(it) => self.note(|| format!("host {host} event {it:?}")),
-            Output::Stopped => self.note(|| format!("host {host} stopped")),
+            Output::Gate(it) => self.log_line(|| format!("host {host} gate {it:?}")),
+            Output::Event(it) => self.log_line(|| format!("host {host} event {it:?}")),
+            Output::Stopped => self.log_line(|| format!("host {host} stopped")),
             Output::Platform { request, .. } => match request {
                 PlatformRequest::UpdateCoordinator { object, .. } => {
-                    self.note(|| format!("host {host} updates {object:?}"));
+                    self.log_line(|| format!("host {host} updates {object:?}"));
                 }
                 PlatformRequest::UpdatePlan { object, .. } => {
                     let version = object.version;
-                    self.note(|| format!("host {host} writes plan {version}"));
+                    self.log_line(|| format!("host {host} writes plan {version}"));
                 }
                 _ => {}
             },
@@ -397,8 +397,8 @@
         let word = form.split(|it: char| !it.is_alphanumeric()).next().unwrap_or_default();
         let handed_over = [MoveReason::Rebalance, MoveReason::Leave];
         if matches!(event, Event::Granted { reason, .. } if handed_over.contains(reason)) {
-            self.truth.handovers += 1;
+            self.checker.handovers += 1;
         }
-        *self.truth.events.entry(word.to_owned()).or_default() += 1;
+        *self.checker.events.entry(word.to_owned()).or_default() += 1;
     }
 }
--- a/crates/ownership/src/sim/platform.rs
+++ b/crates/ownership/src/sim/platform.rs
@@ -11,85 +11,90 @@
 use crate::{Coordinator, Plan, PlatformReply, PlatformRequest};
 
 /// Copies that are kept.
-const COPIES_MAX: usize = 256;
+const SNAPSHOTS_MAX: usize = 256;
 
 /// The stored objects; revisions come from one counter.
 #[derive(Debug, Default)]
 pub(super) struct Store {
     era: u64,
-    now: State,
+    current: Objects,
     /// As it was before each of the last changes, and until when.
-    copies: VecDeque<(Timestamp, State)>,
+    snapshots: VecDeque<(Timestamp, Objects)>,
     /// Calls that arrived.
     pub(super) calls: u64,
 }
 
 #[derive(Debug, Clone, Default)]
-struct State {
+struct Objects {
     revision: u64,
     coordinator: Option<(u64, Coordinator)>,
     plan: Option<(u64, Box<Plan>)>,
 }
 
 impl Store {
-    pub(super) fn call(&mut self, at: Timestamp, request: &PlatformRequest) -> PlatformReply {
+    pub(super) fn handle_call(
+        &mut self,
+        at: Timestamp,
+        request: &PlatformRequest,
+    ) -> PlatformReply {
         self.calls += 1;
         match request {
             PlatformRequest::ReadCoordinator => {
-                let (revision, found) = self.now.coordinator.clone().unzip();
+                let (revision, found) = self.current.coordinator.clone().unzip();
                 PlatformReply::Coordinator(self.version(revision.unwrap_or(0)), found)
             }
             PlatformRequest::ReadPlan => {
-                let (revision, found) = self.now.plan.clone().unzip();
+                let (revision, found) = self.current.plan.clone().unzip();
                 PlatformReply::Plan(self.version(revision.unwrap_or(0)), found)
             }
             PlatformRequest::UpdateCoordinator { expected, object } => {
-                let current = self.now.coordinator.as_ref().map_or(0, |it| it.0);
+                let current = self.current.coordinator.as_ref().map_or(0, |it| it.0);
                 if current != expected.revision() {
                     return PlatformReply::Conflict;
                 }
-                let former = self.now.coordinator.as_ref().map(|it| it.1.term).unwrap_or_default();
+                let previous =
+                    self.current.coordinator.as_ref().map(|it| it.1.term).unwrap_or_default();
                 let is_current = self.is_current(*expected);
                 assert!(
-                    object.term >= former || !is_current,
-                    "term {} after {former}",
+                    object.term >= previous || !is_current,
+                    "term {} after {previous}",
                     object.term
                 );
-                let state = self.change(at);
+                let state = self.begin_change(at);
                 state.coordinator = Some((state.revision, object.clone()));
-                self.updated(*expected)
+                self.update_reply(*expected)
             }
             PlatformRequest::UpdatePlan { expected, object } => {
-                let current = self.now.plan.as_ref().map_or(0, |it| it.0);
+                let current = self.current.plan.as_ref().map_or(0, |it| it.0);
                 if current != expected.revision() {
                     return PlatformReply::Conflict;
                 }
-                let former = self.now.plan.as_ref().map_or(0, |it| it.1.version);
+                let previous = self.current.plan.as_ref().map_or(0, |it| it.1.version);
                 let is_current = self.is_current(*expected);
                 assert!(
-                    object.version > former || !is_current,
-                    "plan {} after {former}",
+                    object.version > previous || !is_current,
+                    "plan {} after {previous}",
                     object.version
                 );
-                let state = self.change(at);
+                let state = self.begin_change(at);
                 state.plan = Some((state.revision, object.clone()));
-                self.updated(*expected)
+                self.update_reply(*expected)
             }
         }
     }
 
     /// Comes back as it was at a time, or as far back as copies go.
     pub(super) fn roll_back_to(&mut self, at: Timestamp) {
-        let copy = self.copies.iter().position(|(until, _)| *until > at);
-        if let Some(copy) = copy {
-            self.now = self.copies[copy].1.clone();
-            self.copies.truncate(copy);
+        let snapshot = self.snapshots.iter().position(|(until, _)| *until > at);
+        if let Some(snapshot) = snapshot {
+            self.current = self.snapshots[snapshot].1.clone();
+            self.snapshots.truncate(snapshot);
         }
         self.era += 1;
     }
 
     pub(super) fn coordinator(&self) -> Option<&Coordinator> {
-        self.now.coordinator.as_ref().map(|it| &it.1)
+        self.current.coordinator.as_ref().map(|it| &it.1)
     }
 
     fn version(&self, revision: u64) -> ObjectVersion {
@@ -101,18 +106,18 @@
     }
 
     /// A change begins: what there is now is kept.
-    fn change(&mut self, at: Timestamp) -> &mut State {
-        self.copies.push_back((at, self.now.clone()));
-        if self.copies.len() > COPIES_MAX {
-            self.copies.pop_front();
+    fn begin_change(&mut self, at: Timestamp) -> &mut Objects {
+        self.snapshots.push_back((at, self.current.clone()));
+        if self.snapshots.len() > SNAPSHOTS_MAX {
+            self.snapshots.pop_front();
         }
-        self.now.revision += 1;
-        &mut self.now
+        self.current.revision += 1;
+        &mut self.current
     }
 
-    fn updated(&self, expected: ObjectVersion) -> PlatformReply {
+    fn update_reply(&self, expected: ObjectVersion) -> PlatformReply {
         match self.is_current(expected) {
-            true => PlatformReply::Updated(self.version(self.now.revision)),
+            true => PlatformReply::Updated(self.version(self.current.revision)),
             // What it has replaced is not known.
             false => PlatformReply::Failed,
         }
--- a/crates/ownership/src/sim/random.rs
+++ b/crates/ownership/src/sim/random.rs
@@ -12,11 +12,11 @@
 
 /// What a random run is drawn from.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct RandomRunConfig {
     pub seed: u64,
     pub hosts: usize,
     pub slots: u16,
-    pub watched_keys: usize,
+    pub tracked_keys: usize,
     pub duration: Duration,
     /// The longest time from one fault to the next.
     pub fault_gap_max: Duration,
@@ -26,9 +26,9 @@
     /// Agents are lost and restarted beside upstreams that live on.
     pub agents_restart: bool,
     /// Upstreams are at work, and what they do may outlast their agents.
-    pub works: bool,
+    pub simulates_requests: bool,
     /// The platform comes back from older copies.
-    pub rolls_back: bool,
+    pub platform_rolls_back: bool,
 }
 
 /// How a run ended.
@@ -36,10 +36,10 @@
 pub struct RunReport {
     pub violation: Option<Violation>,
     /// Slots that nobody served when the time allowed after the last fault had passed.
-    pub unowned: usize,
+    pub unowned_slots: usize,
     pub unowned_keys: usize,
     /// How long after the last fault all was served again.
-    pub recovered_ms: u64,
+    pub recovery_ms: u64,
     pub faults: u64,
     pub terms: u64,
     pub settled_terms: u64,
@@ -51,34 +51,34 @@
 }
 
 /// The longest time without the platform, in random runs; short, so that it is reached.
-const ABSENCE_MAX: Duration = Duration::from_secs(6);
+const PLATFORM_ABSENCE_MAX: Duration = Duration::from_secs(6);
 /// After the last fault all must be served again within this time: the longest absence, a takeover,
 /// and the sessions and plans that follow.
 const RECOVERY_MAX: Duration = Duration::from_secs(15);
 /// The same where the platform rolls back: a term that waits for the longest absence may be lost to an update on a
 /// condition of an earlier era, and the next one waits as long.
 const RECOVERY_MAX_ROLLBACK: Duration = Duration::from_secs(30);
-const KEY_LOAD_MAX: u64 = 4_000_000;
-const SLOT_LOAD_MAX: u64 = 3_000_000;
-const RESTART_EVERY: Duration = Duration::from_millis(500);
+const KEY_LOAD_MAX_US_PER_S: u64 = 4_000_000;
+const SLOT_LOAD_MAX_US_PER_S: u64 = 3_000_000;
+const RESTART_INTERVAL: Duration = Duration::from_millis(500);
 /// The share of steps at which the platform is away for a moment and comes back from a copy, for how long it is
 /// away, and how old the copy is.
-const ROLLBACK_SHARE: f64 = 0.08;
-const ROLLBACK_AWAY_MS: Range<u64> = 0..2_000;
-const ROLLBACK_MS: Range<u64> = 100..8_000;
+const ROLLBACK_PROBABILITY: f64 = 0.08;
+const OUTAGE_BEFORE_ROLLBACK_MS: Range<u64> = 0..2_000;
+const ROLLBACK_AGE_MS: Range<u64> = 100..8_000;
 /// Upstreams at work that are taken for lost: how often, with each fault, and for how long.
-const MISTAKEN_SHARE: f64 = 0.2;
-const MISTAKEN_MS: Range<u64> = 50..1500;
+const FALSE_LOSS_PROBABILITY: f64 = 0.2;
+const FALSE_LOSS_MS: Range<u64> = 50..1500;
 const FAULT_GAP_MIN: Duration = Duration::from_millis(100);
 
 /// Runs one shape to its end.
-pub fn random_run(shape: &Shape) -> RunReport {
-    run(shape, false).0
+pub fn random_run(config: &RandomRunConfig) -> RunReport {
+    run(config, false).0
 }
 
 /// The same, with a line for each event.
-pub fn logged_run(shape: &Shape) -> (RunReport, Vec<String>) {
-    run(shape, true)
+pub fn logged_run(config: &RandomRunConfig) -> (RunReport, Vec<String>) {
+    run(config, true)
 }
 
 fn limits(ordered: bool) -> Limits {
@@ -98,70 +98,71 @@
     }
 }
 
-fn run(shape: &Shape, log: bool) -> (RunReport, Vec<String>) {
+fn run(config: &RandomRunConfig, log: bool) -> (RunReport, Vec<String>) {
     // Much may move, so that handovers meet faults.
     let limits = Limits {
-        platform_absence_max: ABSENCE_MAX,
+        platform_absence_max: PLATFORM_ABSENCE_MAX,
         churn_per_minute_max: 20.0,
-        ..limits(shape.ordered)
+        ..limits(config.ordered)
     };
     // Two clocks differ by at most the margin in one lease.
     let drift = limits.drift_margin.as_secs_f64() / limits.lease.as_secs_f64() / 2.1;
     let mut sim = Sim::new(SimConfig {
-        hosts: shape.hosts,
-        slot_count: SlotCount::new(shape.slots).unwrap_or(SimConfig::new(0).slot_count),
-        watched_keys: shape.watched_keys,
+        hosts: config.hosts,
+        slot_count: SlotCount::new(config.slots).unwrap_or(SimConfig::new(0).slot_count),
+        tracked_keys: config.tracked_keys,
         limits,
         drift,
-        ordered: shape.ordered,
-        works: shape.works,
-        ..SimConfig::new(shape.seed)
+        ordered: config.ordered,
+        simulates_requests: config.simulates_requests,
+        ..SimConfig::new(config.seed)
     });
     if log {
-        sim.keep_log();
+        sim.enable_log();
     }
-    let mut rng = Pcg64Mcg::seed_from_u64(shape.seed ^ 0x5eed);
-    for key in 0..shape.watched_keys {
-        let us_per_s = rng.random_range(0..KEY_LOAD_MAX);
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed ^ 0x5eed);
+    for key in 0..config.tracked_keys {
+        let us_per_s = rng.random_range(0..KEY_LOAD_MAX_US_PER_S);
         sim.apply(Fault::KeyLoad { key, us_per_s });
     }
-    let mut rollback_rng = Pcg64Mcg::seed_from_u64(shape.seed ^ 0xf0e7);
-    let mut work_rng = Pcg64Mcg::seed_from_u64(shape.seed ^ 0x3043);
+    let mut rollback_rng = Pcg64Mcg::seed_from_u64(config.seed ^ 0xf0e7);
+    let mut false_loss_rng = Pcg64Mcg::seed_from_u64(config.seed ^ 0x3043);
     sim.start_all();
     sim.run_for(Duration::from_millis(rng.random_range(500..4000)));
     let mut faults = 0;
-    let end = sim.now() + shape.duration;
+    let end = sim.now() + config.duration;
     while sim.now() < end && sim.violation().is_none() {
         let coordinator = sim.coordinator();
-        for fault in draw(&mut rng, shape, coordinator) {
+        for fault in draw_faults(&mut rng, config, coordinator) {
             let fault = match fault {
-                Fault::Crash(host) if shape.agents_restart => Fault::CrashAgent(host),
+                Fault::Crash(host) if config.agents_restart => Fault::CrashAgent(host),
                 other => other,
             };
             sim.apply(fault);
             faults += 1;
         }
-        if shape.works && work_rng.random_bool(MISTAKEN_SHARE) {
-            let host = work_rng.random_range(0..shape.hosts);
-            let for_ms = Duration::from_millis(work_rng.random_range(MISTAKEN_MS));
+        if config.simulates_requests && false_loss_rng.random_bool(FALSE_LOSS_PROBABILITY) {
+            let host = false_loss_rng.random_range(0..config.hosts);
+            let for_ms = Duration::from_millis(false_loss_rng.random_range(FALSE_LOSS_MS));
             sim.apply(Fault::Upstream { host, state: UpstreamState::Lost });
-            sim.fault_in(for_ms, Fault::Upstream { host, state: UpstreamState::Ready });
+            sim.schedule_fault(for_ms, Fault::Upstream { host, state: UpstreamState::Ready });
         }
-        if shape.rolls_back && rollback_rng.random_bool(ROLLBACK_SHARE) {
-            let away = Duration::from_millis(rollback_rng.random_range(ROLLBACK_AWAY_MS));
-            let behind_ms = rollback_rng.random_range(ROLLBACK_MS);
+        if config.platform_rolls_back && rollback_rng.random_bool(ROLLBACK_PROBABILITY) {
+            let away = Duration::from_millis(rollback_rng.random_range(OUTAGE_BEFORE_ROLLBACK_MS));
+            let behind_ms = rollback_rng.random_range(ROLLBACK_AGE_MS);
             sim.apply(Fault::PlatformDown);
-            sim.fault_in(away, Fault::PlatformRollsBack { behind_ms });
+            sim.schedule_fault(away, Fault::PlatformRollsBack { behind_ms });
         }
-        let gap = rng.random_range(FAULT_GAP_MIN..shape.fault_gap_max);
+        let gap = rng.random_range(FAULT_GAP_MIN..config.fault_gap_max);
         sim.run_for(gap);
     }
     let healed_at = sim.now();
     sim.heal();
-    let served = |it: &Sim| it.unowned() == 0 && it.unowned_keys() == 0;
-    let recovery_max = if shape.rolls_back { RECOVERY_MAX_ROLLBACK } else { RECOVERY_MAX };
+    let served = |it: &Sim| it.unowned_slots() == 0 && it.unowned_keys() == 0;
+    let recovery_max =
+        if config.platform_rolls_back { RECOVERY_MAX_ROLLBACK } else { RECOVERY_MAX };
     while sim.now().since(healed_at) < recovery_max && sim.violation().is_none() {
-        if sim.run_until(RESTART_EVERY, served) {
+        if sim.run_until(RESTART_INTERVAL, served) {
             break;
         }
         // Hosts that were stopping end and come back.
@@ -170,9 +171,9 @@
     let count = |word: &str| sim.events().get(word).copied().unwrap_or(0);
     let report = RunReport {
         violation: sim.violation().cloned(),
-        unowned: sim.unowned(),
+        unowned_slots: sim.unowned_slots(),
         unowned_keys: sim.unowned_keys(),
-        recovered_ms: sim.now().since(healed_at).as_millis() as u64,
+        recovery_ms: sim.now().since(healed_at).as_millis() as u64,
         faults,
         terms: count("BecameCoordinator"),
         settled_terms: count("Settled"),
@@ -186,10 +187,14 @@
 }
 
 /// The coordinator is struck more often than others.
-fn draw(rng: &mut Pcg64Mcg, shape: &Shape, coordinator: Option<usize>) -> Vec<Fault> {
-    let anybody = rng.random_range(0..shape.hosts);
-    let host = coordinator.filter(|_| rng.random_bool(0.4)).unwrap_or(anybody);
-    let other = rng.random_range(0..shape.hosts);
+fn draw_faults(
+    rng: &mut Pcg64Mcg,
+    config: &RandomRunConfig,
+    coordinator: Option<usize>,
+) -> Vec<Fault> {
+    let any_host = rng.random_range(0..config.hosts);
+    let host = coordinator.filter(|_| rng.random_bool(0.4)).unwrap_or(any_host);
+    let other = rng.random_range(0..config.hosts);
     let short_ms = rng.random_range(20..1000);
     let long_ms = rng.random_range(300..4000);
     match rng.random_range(0..36) {
@@ -199,7 +204,7 @@
         7..=8 => vec![Fault::Crash(host)],
         9 => vec![Fault::Crash(host), Fault::Crash(other)],
         10..=12 => vec![Fault::Start(host), Fault::Start(other)],
-        13..=14 => vec![Fault::Cut { from: host, to: other }],
+        13..=14 => vec![Fault::CutLink { from: host, to: other }],
         15 => vec![Fault::Isolate(vec![host])],
         16 => vec![Fault::Isolate(vec![host, other])],
         17 => vec![Fault::CutFromPlatform(host)],
@@ -207,29 +212,29 @@
         19 => vec![Fault::PlatformUp],
         20..=22 => vec![Fault::HealLinks],
         23 => vec![Fault::Lossy {
-            loss: rng.random_range(0..30),
-            doubled: rng.random_range(0..30),
-            late: rng.random_range(0..30),
+            loss_percent: rng.random_range(0..30),
+            duplicate_percent: rng.random_range(0..30),
+            late_percent: rng.random_range(0..30),
         }],
-        24..=25 => vec![Fault::Doubtful {
-            lost_answers: rng.random_range(0..70),
-            late_updates: rng.random_range(0..40),
+        24..=25 => vec![Fault::UncertainUpdates {
+            lost_reply_percent: rng.random_range(0..70),
+            late_update_percent: rng.random_range(0..40),
         }],
         26 => vec![Fault::Stop(host)],
         27 => vec![Fault::Stop(host), Fault::Stop(other)],
         31 => vec![Fault::Upstream { host, state: UpstreamState::Lost }],
         29 => vec![Fault::Upstream { host, state: UpstreamState::Ready }],
-        28 | 30 if shape.watched_keys > 0 => vec![Fault::KeyLoad {
-            key: rng.random_range(0..shape.watched_keys),
-            us_per_s: rng.random_range(0..KEY_LOAD_MAX),
+        28 | 30 if config.tracked_keys > 0 => vec![Fault::KeyLoad {
+            key: rng.random_range(0..config.tracked_keys),
+            us_per_s: rng.random_range(0..KEY_LOAD_MAX_US_PER_S),
         }],
-        32 => vec![Fault::Mute(host)],
-        33 => vec![Fault::Deafen(host)],
-        34 => vec![Fault::Mute(host), Fault::Stop(other)],
+        32 => vec![Fault::DropOutgoing(host)],
+        33 => vec![Fault::DropIncoming(host)],
+        34 => vec![Fault::DropOutgoing(host), Fault::Stop(other)],
         35 => vec![Fault::Isolate(vec![host, other]), Fault::CutFromPlatform(host)],
         _ => vec![Fault::SlotLoad {
-            slot: rng.random_range(0..usize::from(shape.slots)),
-            us_per_s: rng.random_range(0..SLOT_LOAD_MAX),
+            slot: rng.random_range(0..usize::from(config.slots)),
+            us_per_s: rng.random_range(0..SLOT_LOAD_MAX_US_PER_S),
         }],
     }
 }
--- a/crates/ownership/src/tests/order.rs
+++ b/crates/ownership/src/tests/order.rs
@@ -12,14 +12,14 @@
 fn started(seed: u64) -> Sim {
     let mut sim = Sim::new(SimConfig::new(seed));
     sim.start_all();
-    let served = sim.run_until(Duration::from_secs(5), |it| it.unowned() == 0);
-    assert!(served, "unowned: {}, events: {:?}", sim.unowned(), sim.events());
+    let served = sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0);
+    assert!(served, "unowned: {}, events: {:?}", sim.unowned_slots(), sim.events());
     sim
 }
 
 fn check(sim: &Sim) {
     assert_eq!(sim.violation(), None);
-    assert_eq!(sim.unowned(), 0, "{:?}", sim.events());
+    assert_eq!(sim.unowned_slots(), 0, "{:?}", sim.events());
 }
 
 #[test]
@@ -57,11 +57,11 @@
 fn a_lone_host_serves_all_and_stops() {
     let mut sim = Sim::new(SimConfig { hosts: 1, ..SimConfig::new(4) });
     sim.start_all();
-    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned() == 0));
+    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
     sim.apply(Fault::Stop(0));
     assert!(sim.run_until(Duration::from_secs(5), |it| it.has_stopped(0)));
     sim.start_all();
-    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned() == 0));
+    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
     check(&sim);
 }
 
@@ -69,7 +69,7 @@
 fn a_lone_host_stops_without_the_platform() {
     let mut sim = Sim::new(SimConfig { hosts: 1, ..SimConfig::new(5) });
     sim.start_all();
-    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned() == 0));
+    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
     sim.apply(Fault::PlatformDown);
     sim.apply(Fault::Stop(0));
     assert!(sim.run_until(Duration::from_secs(20), |it| it.has_stopped(0)));
@@ -97,7 +97,7 @@
     sim.run_for(Duration::from_secs(1));
     sim.start_all();
     // The longest absence from the platform is an hour and a half here: it is not waited for.
-    let served = sim.run_until(Duration::from_secs(15), |it| it.unowned() == 0);
+    let served = sim.run_until(Duration::from_secs(15), |it| it.unowned_slots() == 0);
     assert!(served, "{:?}", sim.events());
     check(&sim);
 }
@@ -109,7 +109,7 @@
     sim.run_for(Duration::from_secs(5));
     let members = |it: &Sim, host: usize| it.view(host).map_or(0, |it| it.members.len());
     assert_eq!((0..3).map(|it| members(&sim, it)).collect::<Vec<_>>(), [3, 3, 3]);
-    assert_eq!(sim.unowned(), 8);
+    assert_eq!(sim.unowned_slots(), 8);
     sim.apply(Fault::Crash(2));
     sim.run_for(Duration::from_secs(2));
     assert_eq!((0..2).map(|it| members(&sim, it)).collect::<Vec<_>>(), [2, 2]);
@@ -128,7 +128,7 @@
     let config = SimConfig { hosts: 4, ordered: true, slot_count, limits, ..SimConfig::new(12) };
     let mut sim = Sim::new(config);
     sim.start_all();
-    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned() == 0));
+    assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
     sim.run_for(Duration::from_secs(1));
     let first = sim.owned_by(0)[0].0;
     let stretch: Vec<Slot> = (first..first + 4).map(Slot).collect();
@@ -234,11 +234,11 @@
             sim.apply(Fault::CrashAgent(host));
         }
         sim.start_all();
-        let early = sim.run_until(EARLIER_LEASE, |it| it.unowned() < it.slot_owners().len());
-        assert!(!early, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let early = sim.run_until(EARLIER_LEASE, |it| it.unowned_slots() < it.slot_owners().len());
+        assert!(!early, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         let rest = EARLIER_TERMS_MAX - EARLIER_LEASE;
-        let served = sim.run_until(rest, |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(rest, |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         sim.run_for(Duration::from_secs(8));
         check(&sim);
     }
@@ -250,15 +250,15 @@
         let mut sim = with_long_leases_of(SimConfig { hosts: 1, ..SimConfig::new(seed) });
         sim.apply(Fault::CrashAgent(0));
         sim.start_all();
-        let served = sim.run_until(Duration::from_secs(2), |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         let mut sim = with_long_leases(seed);
         let owners = sim.slot_owners();
         let coordinator = sim.coordinator().unwrap();
         sim.apply(Fault::CrashAgent(coordinator));
         sim.start_all();
-        let served = sim.run_until(Duration::from_secs(2), |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
         check(&sim);
@@ -278,8 +278,8 @@
         }
         sim.start_all();
         sim.apply(Fault::Upstream { host: left, state: crate::UpstreamState::Starting });
-        let served = sim.run_until(Duration::from_millis(1_500), |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(Duration::from_millis(1_500), |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
     }
 }
 
@@ -294,8 +294,8 @@
         sim.run_for(Duration::from_secs(7));
         sim.apply(Fault::Start(coordinator));
         sim.apply(Fault::PlatformUp);
-        let served = sim.run_until(EARLIER_TERMS_MAX, |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(EARLIER_TERMS_MAX, |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         sim.run_for(Duration::from_secs(8));
         check(&sim);
     }
@@ -309,8 +309,8 @@
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
         sim.apply(Fault::Pause { host, for_ms: 1_000 });
         sim.run_for(Duration::from_millis(1_100));
-        let served = sim.run_until(Duration::from_secs(1), |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
         check(&sim);
@@ -325,8 +325,8 @@
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
         sim.apply(Fault::CrashAgent(host));
         sim.apply(Fault::Start(host));
-        let served = sim.run_until(Duration::from_secs(1), |it| it.unowned() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned(), sim.events());
+        let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
+        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
         check(&sim);
@@ -382,8 +382,8 @@
 
 #[track_caller]
 fn served_within(sim: &mut Sim, max: Duration) {
-    let served = sim.run_until(max, |it| it.unowned() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned(), sim.events());
+    let served = sim.run_until(max, |it| it.unowned_slots() == 0);
+    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
 }
 
 #[test]
--- a/crates/ownership/src/tests/random.rs
+++ b/crates/ownership/src/tests/random.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-use crate::sim::{Shape, logged_run, random_run};
+use crate::sim::{RandomRunConfig, logged_run, random_run};
 
 /// Runs of each part. The parts run side by side.
 const RUNS: u64 = 600;
@@ -39,34 +39,34 @@
     setting("OWNERSHIP_RUNS").unwrap_or(RUNS)
 }
 
-fn shape(seed: u64) -> Shape {
-    Shape {
+fn run_config(seed: u64) -> RandomRunConfig {
+    RandomRunConfig {
         seed,
         hosts: 3 + (seed % 5) as usize,
         slots: 8 + (seed % 4) as u16 * 8,
-        watched_keys: 4 * (seed % 3) as usize,
+        tracked_keys: 4 * (seed % 3) as usize,
         duration: Duration::from_secs(20 + seed % 20),
         fault_gap_max: Duration::from_millis(400 + seed * 31 % 3600),
         ordered: false,
         agents_restart: false,
-        works: false,
-        rolls_back: false,
+        simulates_requests: false,
+        platform_rolls_back: false,
     }
 }
 
-fn check(shape: &Shape) {
-    let report = random_run(shape);
-    if report.violation.is_some() || report.unowned > 0 || report.unowned_keys > 0 {
-        let (_, log) = logged_run(shape);
+fn check(run_config: &RandomRunConfig) {
+    let report = random_run(run_config);
+    if report.violation.is_some() || report.unowned_slots > 0 || report.unowned_keys > 0 {
+        let (_, log) = logged_run(run_config);
         let tail = log.len().saturating_sub(400);
-        panic!("{shape:?}\n{}\n{report:?}", log[tail..].join("\n"));
+        panic!("{run_config:?}\n{}\n{report:?}", log[tail..].join("\n"));
     }
 }
 
 fn check_part(part: u64) {
     let first = setting("OWNERSHIP_SEED").unwrap_or(1) + part * runs();
     for seed in first..first + runs() {
-        check(&shape(seed));
+        check(&run_config(seed));
     }
 }
 
@@ -90,7 +90,7 @@
 fn seeds_with_ordered_slots() {
     let first = setting("OWNERSHIP_SEED").unwrap_or(1);
     for seed in first..first + runs() {
-        check(&Shape { ordered: true, ..shape(seed) });
+        check(&RandomRunConfig { ordered: true, ..run_config(seed) });
     }
 }
 
@@ -99,7 +99,7 @@
 fn seeds_with_upstreams_that_outlive_their_agents() {
     let first = setting("OWNERSHIP_SEED").unwrap_or(1);
     for seed in first..first + runs() {
-        check(&Shape { ordered: true, agents_restart: true, ..shape(seed) });
+        check(&RandomRunConfig { ordered: true, agents_restart: true, ..run_config(seed) });
     }
 }
 
@@ -122,22 +122,33 @@
     }
 }
 
-fn rolling_back(seed: u64) -> Shape {
+fn rolling_back(seed: u64) -> RandomRunConfig {
     let ordered = seed.is_multiple_of(2);
-    Shape { ordered, agents_restart: ordered, works: ordered, rolls_back: true, ..shape(seed) }
+    RandomRunConfig {
+        ordered,
+        agents_restart: ordered,
+        simulates_requests: ordered,
+        platform_rolls_back: true,
+        ..run_config(seed)
+    }
 }
 
-fn working(seed: u64) -> Shape {
-    Shape { ordered: true, agents_restart: seed.is_multiple_of(2), works: true, ..shape(seed) }
+fn working(seed: u64) -> RandomRunConfig {
+    RandomRunConfig {
+        ordered: true,
+        agents_restart: seed.is_multiple_of(2),
+        simulates_requests: true,
+        ..run_config(seed)
+    }
 }
 
 #[test]
 fn seeds_that_have_shown_a_fault() {
     for seed in FAULTS_SHOWN {
-        check(&shape(seed));
+        check(&run_config(seed));
     }
     for seed in ORDERED_FAULTS_SHOWN {
-        check(&Shape { ordered: true, ..shape(seed) });
+        check(&RandomRunConfig { ordered: true, ..run_config(seed) });
     }
     for seed in WORKING_FAULTS_SHOWN {
         check(&working(seed));
@@ -147,39 +158,43 @@
     }
 }
 
-impl Arbitrary for Shape {
-    fn arbitrary(g: &mut Gen) -> Shape {
-        Shape {
+impl Arbitrary for RandomRunConfig {
+    fn arbitrary(g: &mut Gen) -> RandomRunConfig {
+        RandomRunConfig {
             seed: u64::arbitrary(g),
             hosts: 1 + usize::arbitrary(g) % 9,
             slots: 1 + u16::arbitrary(g) % 48,
-            watched_keys: usize::arbitrary(g) % 10,
+            tracked_keys: usize::arbitrary(g) % 10,
             duration: Duration::from_secs(10 + u64::arbitrary(g) % 40),
             fault_gap_max: Duration::from_millis(150 + u64::arbitrary(g) % 4000),
             ordered: false,
             agents_restart: false,
-            works: false,
-            rolls_back: false,
+            simulates_requests: false,
+            platform_rolls_back: false,
         }
     }
 
     /// Fewer things first, with the same seed.
-    fn shrink(&self) -> Box<dyn Iterator<Item = Shape>> {
-        let shape = self.clone();
-        let shorter = (shape.duration > Duration::from_secs(5))
-            .then(|| Shape { duration: shape.duration.mul_f64(0.7), ..shape.clone() });
-        let fewer_keys = (shape.watched_keys > 0)
-            .then(|| Shape { watched_keys: shape.watched_keys / 2, ..shape.clone() });
+    fn shrink(&self) -> Box<dyn Iterator<Item = RandomRunConfig>> {
+        let run_config = self.clone();
+        let shorter = (run_config.duration > Duration::from_secs(5)).then(|| RandomRunConfig {
+            duration: run_config.duration.mul_f64(0.7),
+            ..run_config.clone()
+        });
+        let fewer_keys = (run_config.tracked_keys > 0).then(|| RandomRunConfig {
+            tracked_keys: run_config.tracked_keys / 2,
+            ..run_config.clone()
+        });
         Box::new(shorter.into_iter().chain(fewer_keys))
     }
 }
 
 #[test]
-fn shapes() {
-    fn is_sound(shape: Shape) -> bool {
-        let report = random_run(&shape);
-        report.violation.is_none() && report.unowned == 0 && report.unowned_keys == 0
+fn random_run_configs() {
+    fn is_sound(run_config: RandomRunConfig) -> bool {
+        let report = random_run(&run_config);
+        report.violation.is_none() && report.unowned_slots == 0 && report.unowned_keys == 0
     }
     let gen_ = Gen::from_size_and_seed(100, SHAPES_SEED);
-    QuickCheck::new().rng(gen_).tests(runs()).quickcheck(is_sound as fn(Shape) -> bool);
+    QuickCheck::new().rng(gen_).tests(runs()).quickcheck(is_sound as fn(RandomRunConfig) -> bool);
 }
--- a/crates/ownership/src/tests/sabotage.rs
+++ b/crates/ownership/src/tests/sabotage.rs
@@ -4,36 +4,36 @@
 
 use crate::{
     rules::{Rule, disable_rule},
-    sim::{RunReport, Shape, Violation, random_run},
+    sim::{RandomRunConfig, RunReport, Violation, random_run},
 };
 
 use super::trace::replay;
 
-fn shape(seed: u64) -> Shape {
-    Shape {
+fn run_config(seed: u64) -> RandomRunConfig {
+    RandomRunConfig {
         seed,
         hosts: 4 + (seed % 4) as usize,
         slots: 8,
-        watched_keys: 0,
+        tracked_keys: 0,
         duration: Duration::from_secs(40),
         fault_gap_max: Duration::from_millis(600 + seed * 131 % 2500),
         ordered: false,
         agents_restart: false,
-        works: false,
-        rolls_back: false,
+        simulates_requests: false,
+        platform_rolls_back: false,
     }
 }
 
 /// Whether the truth, or an assertion inside of the program, sees something wrong.
-fn is_seen(rule: Rule, shape: &Shape) -> bool {
+fn is_seen(rule: Rule, run_config: &RandomRunConfig) -> bool {
     disable_rule(Some(rule));
-    let report = panic::catch_unwind(|| random_run(shape));
+    let report = panic::catch_unwind(|| random_run(run_config));
     disable_rule(None);
     report.map_or(true, |it| it.violation.is_some())
 }
 
 fn check(rule: Rule, seeds: u64) {
-    let first = (1..=seeds).find(|it| is_seen(rule, &shape(*it)));
+    let first = (1..=seeds).find(|it| is_seen(rule, &run_config(*it)));
     assert!(first.is_some(), "{rule:?} was broken in {seeds} runs, and nothing was seen");
 }
 
@@ -44,14 +44,15 @@
 
 #[test]
 fn no_wait_for_a_coordinators_own_lease_is_seen() {
-    let ordered = |seed| Shape { ordered: true, ..shape(seed) };
+    let ordered = |seed| RandomRunConfig { ordered: true, ..run_config(seed) };
     let seen = (1..=200).any(|it| is_seen(Rule::WaitForCoordinatorLease, &ordered(it)));
     assert!(seen, "the rule was broken in 200 runs, and nothing was seen");
 }
 
 #[test]
 fn an_earlier_life_taken_as_ended_before_its_upstream_is_cleared_is_seen() {
-    let restarting = |seed| Shape { ordered: true, agents_restart: true, ..shape(seed) };
+    let restarting =
+        |seed| RandomRunConfig { ordered: true, agents_restart: true, ..run_config(seed) };
     let seen = (1..=2000).any(|it| is_seen(Rule::ClearEarlierIncarnations, &restarting(it)));
     assert!(seen, "the rule was broken in 2000 runs, and nothing was seen");
 }
@@ -63,9 +64,15 @@
 
 /// Breaks a rule in runs with upstreams at work: one has to be granted what another works on.
 fn check_at_work(rule: Rule, agents_restart: bool, runs: u64) {
-    let working = |seed| Shape { ordered: true, agents_restart, works: true, ..shape(seed) };
+    let working = |seed| RandomRunConfig {
+        ordered: true,
+        agents_restart,
+        simulates_requests: true,
+        ..run_config(seed)
+    };
     disable_rule(Some(rule));
-    let worked_on = |it: &RunReport| matches!(it.violation, Some(Violation::SlotWorkedOn { .. }));
+    let worked_on =
+        |it: &RunReport| matches!(it.violation, Some(Violation::RequestStillInFlight { .. }));
     let is_seen = (1..=runs).any(|it| worked_on(&random_run(&working(it))));
     disable_rule(None);
     assert!(is_seen, "{rule:?} was broken in {runs} runs, and nothing was seen");
--- a/crates/ownership/src/tests/size.rs
+++ b/crates/ownership/src/tests/size.rs
@@ -49,8 +49,8 @@
 fn started(hosts: usize, seed: u64) -> Sim {
     let mut sim = Sim::new(config(hosts, seed));
     sim.start_all();
-    let served = sim.run_until(FIRST_GRANTS_MAX, |it| it.unowned() == 0);
-    assert!(served, "{hosts}: {} slots unowned, {:?}", sim.unowned(), sim.events());
+    let served = sim.run_until(FIRST_GRANTS_MAX, |it| it.unowned_slots() == 0);
+    assert!(served, "{hosts}: {} slots unowned, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
     sim
 }
@@ -85,8 +85,8 @@
     let before = terms(&sim);
     let lost = sim.coordinator().unwrap();
     sim.apply(Fault::Crash(lost));
-    let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned(), sim.events());
+    let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
+    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
     sim.run_for(Duration::from_secs(6));
     assert_eq!(sim.violation(), None);
     assert_eq!(terms(&sim), before + 1, "{:?}", sim.events());
@@ -100,8 +100,8 @@
         sim.apply(Fault::CrashAgent(host));
     }
     sim.start_all();
-    let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned(), sim.events());
+    let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
+    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
 }
 
@@ -114,7 +114,7 @@
     }
     sim.run_for(Duration::from_millis(500));
     sim.start_all();
-    let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned(), sim.events());
+    let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
+    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
 }
--- a/crates/ownership/src/tests/trace.rs
+++ b/crates/ownership/src/tests/trace.rs
@@ -43,7 +43,7 @@
             ["hosts", count] => config.hosts = number(count) as usize,
             ["zones", count] => config.zones = number(count) as usize,
             ["slots", count] => config.slot_count = SlotCount::new(number(count) as u16).unwrap(),
-            ["keys", count] => config.watched_keys = number(count) as usize,
+            ["keys", count] => config.tracked_keys = number(count) as usize,
             ["seed", it] => config.seed = number(it),
             ["absence_max_ms", it] => {
                 config.limits.platform_absence_max = Duration::from_millis(number(it));
@@ -107,7 +107,7 @@
                 self.names.insert((*name).to_owned(), host);
                 return;
             }
-            ("log", []) => return self.sim.keep_log(),
+            ("log", []) => return self.sim.enable_log(),
             ("watch", []) => return self.watching = true,
             ("until", [condition, max_ms]) => return self.until(condition, number(max_ms)),
             ("expect", words) => return self.expect(words),
@@ -122,21 +122,21 @@
                 Fault::PauseInStep { host: self.host(host), for_ms: number(ms) }
             }
             ("isolate", [_, ..]) => Fault::Isolate(hosts()),
-            ("mute", [host]) => Fault::Mute(self.host(host)),
-            ("deafen", [host]) => Fault::Deafen(self.host(host)),
-            ("cut", [from, to]) => Fault::Cut { from: self.host(from), to: self.host(to) },
+            ("mute", [host]) => Fault::DropOutgoing(self.host(host)),
+            ("deafen", [host]) => Fault::DropIncoming(self.host(host)),
+            ("cut", [from, to]) => Fault::CutLink { from: self.host(from), to: self.host(to) },
             ("cut_from_platform", [host]) => Fault::CutFromPlatform(self.host(host)),
             ("platform", ["down"]) => Fault::PlatformDown,
             ("platform", ["up"]) => Fault::PlatformUp,
             ("heal_links", []) => Fault::HealLinks,
-            ("lossy", [loss, doubled, late]) => Fault::Lossy {
-                loss: number(loss) as u32,
-                doubled: number(doubled) as u32,
-                late: number(late) as u32,
+            ("lossy", [loss, duplicated, late]) => Fault::Lossy {
+                loss_percent: number(loss) as u32,
+                duplicate_percent: number(duplicated) as u32,
+                late_percent: number(late) as u32,
             },
-            ("doubtful", [lost, late]) => Fault::Doubtful {
-                lost_answers: number(lost) as u32,
-                late_updates: number(late) as u32,
+            ("doubtful", [lost, late]) => Fault::UncertainUpdates {
+                lost_reply_percent: number(lost) as u32,
+                late_update_percent: number(late) as u32,
             },
             ("upstream", [host, state]) => {
                 let state = match *state {
@@ -180,7 +180,7 @@
     fn holds(sim: &Sim, condition: &str) -> bool {
         let confirmation = sim.coordinator_object().map(|it| it.confirmation);
         match condition {
-            "served" => sim.unowned() == 0 && sim.unowned_keys() == 0,
+            "served" => sim.unowned_slots() == 0 && sim.unowned_keys() == 0,
             "settled" => sim.is_settled(),
             "by_witnesses" => confirmation == Some(Confirmation::Witnesses),
             "by_platform" => confirmation == Some(Confirmation::Platform),
