--- a/crates/ownership/src/sim/drive.rs
+++ b/crates/ownership/src/sim/drive.rs
@@ -300,7 +300,7 @@
         is_answered: bool,
     ) {
         let from_platform = Duration::from_micros(self.rng.random_range(500..3000));
-        if self.links.platform_down {
+        if self.links.is_platform_down {
             let reply = Box::new(PlatformReply::Failed);
             if is_answered {
                 let at = self.now + PLATFORM_TIMEOUT;
--- a/crates/ownership/src/sim/fault.rs
+++ b/crates/ownership/src/sim/fault.rs
@@ -88,7 +88,7 @@
             Fault::Start(host) => self.start(host),
             Fault::Crash(host) => self.hosts[host].crash(),
             Fault::CrashAgent(host) => {
-                self.abort_some_requests(host);
+                self.abort_requests_randomly(host);
                 self.hosts[host].crash_agent();
             }
             Fault::Pause { host, for_ms } => self.pause(host, Duration::from_millis(for_ms)),
@@ -116,13 +116,13 @@
             Fault::CutFromPlatform(host) => {
                 self.links.cut_from_platform.insert(host);
             }
-            Fault::PlatformDown => self.links.platform_down = true,
-            Fault::PlatformUp => self.links.platform_down = false,
+            Fault::PlatformDown => self.links.is_platform_down = true,
+            Fault::PlatformUp => self.links.is_platform_down = false,
             Fault::PlatformRollsBack { behind_ms } => {
                 let behind_ns = behind_ms * 1_000_000;
                 let ns = self.now.ns.saturating_sub(behind_ns);
                 self.store.roll_back_to(Timestamp { ns });
-                self.links.platform_down = false;
+                self.links.is_platform_down = false;
             }
             Fault::Lossy { loss_percent, duplicate_percent, late_percent } => {
                 self.links.loss_share = share(loss_percent);
--- a/crates/ownership/src/sim/gate.rs
+++ b/crates/ownership/src/sim/gate.rs
@@ -1,4 +1,4 @@
-//! A gate as the ground truth sees it: what it serves, by its commands and its own clock alone.
+//! Model of a gate, from its commands and the clock of its host alone. The invariants are checked against it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,18 +6,23 @@
 
 use crate::GateCommand;
 
+/// Admission of one slot or hot key.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GateEntry {
     pub(super) token: Token,
+    /// New requests are refused, while requests in flight may continue.
     pub(super) is_closing: bool,
 }
 
-/// What the gate of one host admits.
+/// Lease, slots and keys of the gate of one host.
 #[derive(Debug, Default)]
 pub(super) struct Gate {
+    /// End of the lease on the clock of the host (exclusive).
     pub(super) lease_until: Timestamp,
     pub(super) slots: BTreeMap<Slot, GateEntry>,
+    /// Keys with their own entry, which takes precedence over the entry of their slot.
     pub(super) keys: BTreeMap<KeyHash, GateEntry>,
+    /// Keys that are refused although their slot is admitted.
     pub(super) excluded_keys: BTreeSet<KeyHash>,
 }
 
@@ -41,8 +46,8 @@
                 self.keys.remove(key_hash);
             }
             GateCommand::Close { slot, .. } => {
-                if let Some(open) = self.slots.get_mut(slot) {
-                    open.is_closing = true;
+                if let Some(entry) = self.slots.get_mut(slot) {
+                    entry.is_closing = true;
                 }
             }
             GateCommand::CloseKey { key_hash, token, .. } => {
@@ -52,13 +57,14 @@
         }
     }
 
-    /// What was in flight in a slot has ended.
+    /// Removes a closing slot once its requests in flight have ended. Ignores a slot granted again under another token.
     pub(super) fn finish_close(&mut self, slot: Slot, token: Token) {
         if self.slots.get(&slot).is_some_and(|it| it.token == token && it.is_closing) {
             self.slots.remove(&slot);
         }
     }
 
+    /// Removes and excludes a closing key once its requests in flight have ended.
     pub(super) fn finish_key_close(&mut self, key_hash: KeyHash, token: Token) {
         if self.keys.get(&key_hash).is_some_and(|it| it.token == token && it.is_closing) {
             self.keys.remove(&key_hash);
@@ -66,29 +72,30 @@
         }
     }
 
-    /// What was granted under tokens up to this one is given up.
+    /// Removes everything granted under tokens up to this one.
     pub(super) fn clear(&mut self, token: Token) {
         self.slots.retain(|_, it| it.token > token);
         self.keys.retain(|_, it| it.token > token);
     }
 
-    /// Whether requests of the slot may run here at this time of the host's clock.
+    /// Returns whether requests of the slot may be running at `now` on the host's clock, including those in flight in a
+    /// closing slot.
     pub(super) fn holds(&self, now: Timestamp, slot: Slot) -> bool {
         now < self.lease_until && self.slots.contains_key(&slot)
     }
 
-    /// The same for one key in a slot.
+    /// Returns whether requests of a key in the slot may be running.
     pub(super) fn holds_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         let by_slot = self.slots.contains_key(&slot) && !self.excluded_keys.contains(&key_hash);
         now < self.lease_until && (self.keys.contains_key(&key_hash) || by_slot)
     }
 
-    /// Whether new requests of the slot are admitted.
+    /// Returns whether new requests of the slot are admitted at `now` on the host's clock.
     pub(super) fn admits(&self, now: Timestamp, slot: Slot) -> bool {
         now < self.lease_until && self.slots.get(&slot).is_some_and(|it| !it.is_closing)
     }
 
-    /// The same for one key in a slot.
+    /// Returns whether new requests of a key in the slot are admitted.
     pub(super) fn admits_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         match self.keys.get(&key_hash) {
             Some(it) => now < self.lease_until && !it.is_closing,
--- a/crates/ownership/src/sim/host.rs
+++ b/crates/ownership/src/sim/host.rs
@@ -60,7 +60,7 @@
             node: None,
             generation: 0,
             clock_offset_ns: rng.random_range(0..1_000_000_000_000),
-            clock_rate: 1.0 + config.drift * rng.random_range(-1.0..=1.0),
+            clock_rate: 1.0 + config.drift_max * rng.random_range(-1.0..=1.0),
             gate: Gate::default(),
             orphaned_grants: Vec::new(),
             requests: Vec::new(),
--- a/crates/ownership/src/sim/invariants.rs
+++ b/crates/ownership/src/sim/invariants.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked at each change of a gate.
+//! Invariants of ownership, checked whenever a gate carries out a command.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -8,48 +8,27 @@
 
 use super::{Sim, host::Host};
 
-/// Something that must never be.
+/// Violated invariant, with the virtual time and the hosts by index.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// Two hosts may run requests of one slot.
-    SlotHeldTwice {
-        slot: Slot,
-        hosts: (usize, usize),
-        at: Timestamp,
-    },
-    /// A host is granted a slot while the upstream of another has a run of it that has not ended, under a lease
-    /// that is not over by its own clock.
-    RequestStillInFlight {
-        slot: Slot,
-        hosts: (usize, usize),
-        at: Timestamp,
-    },
-    /// Two hosts may run requests of one key.
-    KeyHeldTwice {
-        key_hash: KeyHash,
-        hosts: (usize, usize),
-        at: Timestamp,
-    },
-    /// A token is not above every token given before.
-    TokenNotIncreasing {
-        slot: Slot,
-        token: Token,
-        last: Token,
-        at: Timestamp,
-    },
-    KeyTokenDecreased {
-        key_hash: KeyHash,
-        token: Token,
-        last: Token,
-        at: Timestamp,
-    },
+    /// Two hosts may run requests of the same slot at the same time.
+    SlotHeldTwice { slot: Slot, hosts: (usize, usize), at: Timestamp },
+    /// The second host was granted a slot while the upstream of the first has a request of the slot in flight, under a
+    /// lease that has not ended by that host's clock.
+    RequestStillInFlight { slot: Slot, hosts: (usize, usize), at: Timestamp },
+    /// Two hosts may run requests of the same key at the same time.
+    KeyHeldTwice { key_hash: KeyHash, hosts: (usize, usize), at: Timestamp },
+    /// A slot was admitted under a token that is not higher than all its earlier tokens.
+    TokenNotIncreasing { slot: Slot, token: Token, last: Token, at: Timestamp },
+    /// A key was admitted under a token that is lower than an earlier one.
+    KeyTokenDecreased { key_hash: KeyHash, token: Token, last: Token, at: Timestamp },
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::SlotHeldTwice { slot, hosts, at } => {
-                write!(f, "{} ms: slot {slot} is held by {hosts:?}", at.ns / 1_000_000)
+                write!(f, "{} ms: slot {slot} is held by two hosts, {hosts:?}", at.ns / 1_000_000)
             }
             Violation::RequestStillInFlight { slot, hosts: (holder, grantee), at } => {
                 let ms = at.ns / 1_000_000;
@@ -59,28 +38,45 @@
                 )
             }
             Violation::KeyHeldTwice { key_hash, hosts, at } => {
-                write!(f, "{} ms: key {:x} is held by {hosts:?}", at.ns / 1_000_000, key_hash.0)
+                write!(
+                    f,
+                    "{} ms: key {:x} is held by two hosts, {hosts:?}",
+                    at.ns / 1_000_000,
+                    key_hash.0
+                )
             }
             Violation::TokenNotIncreasing { slot, token, last, at } => {
-                write!(f, "{} ms: slot {slot}: {token} after {last}", at.ns / 1_000_000)
+                write!(
+                    f,
+                    "{} ms: slot {slot} was admitted under token {token}, which is not higher than {last}",
+                    at.ns / 1_000_000
+                )
             }
             Violation::KeyTokenDecreased { key_hash, token, last, at } => {
                 let ms = at.ns / 1_000_000;
-                write!(f, "{ms} ms: key {:x}: {token} after {last}", key_hash.0)
+                write!(
+                    f,
+                    "{ms} ms: key {:x} was admitted under token {token}, which is lower than {last}",
+                    key_hash.0
+                )
             }
         }
     }
 }
 
-/// The highest tokens seen, and the first violation.
+/// Highest tokens so far, the first violation, and counts of events and grants.
 #[derive(Debug)]
 pub(super) struct InvariantChecker {
     slot_count: SlotCount,
     slot_tokens: BTreeMap<Slot, Token>,
     key_tokens: BTreeMap<KeyHash, Token>,
+    /// First violation.
     pub(super) violation: Option<Violation>,
+    /// Number of emitted events by variant name.
     pub(super) events: BTreeMap<String, u64>,
+    /// Number of grants for rebalancing or because the previous owner was leaving.
     pub(super) handovers: u64,
+    /// Number of commands to admit a hot key by its own gate entry.
     pub(super) key_grants: u64,
 }
 
@@ -97,10 +93,12 @@
         }
     }
 
+    /// Records a violation unless there is an earlier one.
     fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
+    /// Checks that a slot's token is higher than all earlier ones.
     fn check_slot_token(&mut self, slot: Slot, token: Token, at: Timestamp) {
         let last = self.slot_tokens.entry(slot).or_default();
         if token <= *last {
@@ -110,6 +108,7 @@
         *last = token;
     }
 
+    /// Checks that a key's token is not lower than an earlier one.
     fn check_key_token(&mut self, key_hash: KeyHash, token: Token, at: Timestamp) {
         let last = self.key_tokens.entry(key_hash).or_default();
         if token < *last {
@@ -126,7 +125,7 @@
 }
 
 impl Sim {
-    /// A gate carries a command out; everything that this may let it serve is checked.
+    /// Applies a command to the gate of a host, and checks all slots and keys that the gate may serve because of it.
     pub(super) fn apply_gate_command(&mut self, host: usize, command: &GateCommand) {
         let now = self.now;
         let had_lease = {
@@ -136,7 +135,7 @@
         let enforced = self.config.limits.coordinator_lease == CoordinatorLease::Full;
         if enforced && *command == GateCommand::DropAll {
             self.hosts[host].orphan_grants();
-            self.abort_some_requests(host);
+            self.abort_requests_randomly(host);
         }
         self.hosts[host].gate.apply(command);
         if let GateCommand::Lease { .. } = command {
@@ -144,7 +143,7 @@
         }
         match command {
             GateCommand::Admit { slot, token } => {
-                // A command that a pause has held back past the lease's end admits nothing.
+                // A command that a pause delayed past the end of the lease has no effect.
                 if self.check_slot(host, *slot) {
                     self.checker.check_slot_token(*slot, *token, now);
                 }
@@ -172,12 +171,13 @@
         }
     }
 
+    /// Returns the tracked keys of a slot.
     fn tracked_keys_in(&self, slot: Slot) -> Vec<KeyHash> {
         let slot_count = self.checker.slot_count;
         self.keys.iter().copied().filter(|it| slot_count.slot_of(*it) == slot).collect()
     }
 
-    /// Says whether the host holds the slot.
+    /// Checks that no other host may run requests of the slot if this host may. Returns whether this host may.
     fn check_slot(&mut self, host: usize, slot: Slot) -> bool {
         let now = self.now;
         let holds = |it: &Host| it.holds(now, slot);
@@ -198,6 +198,7 @@
         true
     }
 
+    /// Checks that no other host may run requests of the key if this host may, and that the key's token has not decreased.
     fn check_key(&mut self, host: usize, key_hash: KeyHash) {
         let now = self.now;
         let slot = self.checker.slot_count.slot_of(key_hash);
--- a/crates/ownership/src/sim/mod.rs
+++ b/crates/ownership/src/sim/mod.rs
@@ -1,8 +1,8 @@
-//! A deterministic run of many real [`crate::Node`]s in virtual time, with faults, and a ground truth that
-//! is checked from outside of them.
+//! Deterministic simulation of many real [`crate::Node`]s in virtual time, with injected faults and with invariants
+//! checked from outside of the nodes.
 //!
-//! Only the driver's side is modelled, as small fakes: the links between nodes, the platform's two
-//! objects, gates that do what they are told, upstreams that take time. One seed gives one run.
+//! Only the environment of the nodes is simulated, by small fakes: the links between nodes, the platform's two
+//! objects, the gates, and upstreams with delays. A seed determines the whole run.
 
 mod costs;
 mod drive;
@@ -38,7 +38,7 @@
 
 use self::{host::Host, invariants::InvariantChecker, platform::Store};
 
-/// What a run is made of.
+/// Configuration of a simulation.
 #[derive(Debug, Clone)]
 pub struct SimConfig {
     pub seed: u64,
@@ -48,28 +48,28 @@
     pub keyed: bool,
     pub ordered: bool,
     pub limits: Limits,
-    /// Clocks run at most this much too fast or too slow.
-    pub drift: f64,
-    /// Keys that the truth watches one by one; at times they are made hot.
+    /// Largest relative deviation of a host's clock rate from true time, in both directions.
+    pub drift_max: f64,
+    /// Number of keys whose ownership is checked individually. [`Fault::KeyLoad`] can make them hot.
     pub tracked_keys: usize,
-    /// Upstreams are at work, and what they do may outlast their agents: where they enforce leases.
+    /// Simulates requests at the upstreams. They may outlast the agent, as at upstreams that enforce leases.
     pub simulates_requests: bool,
-    /// What each host may use; none: steps take no time, and links have any width.
+    /// Processor and link capacity of each host. With `None`, steps take no time and bandwidth is unlimited.
     pub machine: Option<Machine>,
 }
 
 impl SimConfig {
-    /// Seven hosts in three zones and eight slots.
+    /// Creates a configuration of seven hosts in three zones with eight slots.
     pub fn new(seed: u64) -> SimConfig {
         SimConfig {
             seed,
             hosts: 7,
             zones: 3,
-            slot_count: SlotCount::new(8).expect("8 is a number of slots"),
+            slot_count: SlotCount::new(8).expect("8 is a valid number of slots"),
             keyed: true,
             ordered: false,
             limits: Limits::default(),
-            drift: 0.0,
+            drift_max: 0.0,
             tracked_keys: 0,
             simulates_requests: false,
             machine: None,
@@ -77,21 +77,24 @@
     }
 }
 
-/// The state of the links and of the platform.
+/// Faults of the links between hosts and of the platform that are in effect.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
+    /// Share of messages that are lost, from 0 to 1.
     pub(crate) loss_share: f64,
+    /// Share of messages that are delivered twice.
     pub(crate) duplicate_share: f64,
-    /// The share of messages that take up to `late_max`.
+    /// Share of messages that are delayed by up to `late_delay_max` beyond the usual delay.
     pub(crate) late_share: f64,
     pub(crate) late_delay_max: Duration,
-    /// Cut in this direction only.
+    /// Pairs of sender and receiver between which all messages are lost, in this direction only.
     pub(crate) cut_links: BTreeSet<(usize, usize)>,
+    /// Hosts whose calls do not reach the platform.
     pub(crate) cut_from_platform: BTreeSet<usize>,
-    pub(crate) platform_down: bool,
-    /// The share of updates whose answer is lost although they take effect.
+    pub(crate) is_platform_down: bool,
+    /// Share of updates that take effect but whose reply is lost.
     pub(crate) lost_reply_share: f64,
-    /// The share of updates that take effect only after their caller has given up.
+    /// Share of updates that may take effect only after the caller's timeout.
     pub(crate) late_update_share: f64,
 }
 
@@ -104,20 +107,22 @@
             late_delay_max: Duration::from_millis(500),
             cut_links: BTreeSet::new(),
             cut_from_platform: BTreeSet::new(),
-            platform_down: false,
+            is_platform_down: false,
             lost_reply_share: 0.0,
             late_update_share: 0.0,
         }
     }
 }
 
-/// How long a caller waits for the platform.
+/// Time after which an unanswered platform call fails at its caller.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(250);
-/// A few requests in flight for each host, so that the planner takes the loads for no chance.
+/// Initial load of each slot, which amounts to a few requests in flight per host. The planner could take less for a
+/// random fluctuation.
 const SLOT_LOAD_US_PER_S: u64 = 500_000;
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Something that happens at a set time.
+/// Event scheduled for a point in virtual time. With a host's `generation` the event is dropped once the host has
+/// crashed or restarted.
 #[derive(Debug)]
 enum ScheduledEvent {
     Tick {
@@ -130,7 +135,7 @@
         from: Instance,
         message: Box<Message>,
     },
-    /// A call reaches the platform; the answer is passed on only if `answered`.
+    /// A call reaches the platform; its reply is sent back only if `is_answered`.
     PlatformCallArrives {
         host: usize,
         generation: u64,
@@ -144,17 +149,20 @@
         call: CallId,
         reply: Box<PlatformReply>,
     },
+    /// The gate or the upstream of a host has completed a command.
     LocalInput {
         host: usize,
         generation: u64,
         input: Box<Input>,
     },
+    /// Upstreams start new requests.
     StartRequests,
+    /// The pause of a host ends.
     Resume {
         host: usize,
         generation: u64,
     },
-    /// A host has carried its step through.
+    /// A step of a host has used its processor time, so that its outputs are carried out.
     StepCompleted {
         host: usize,
         generation: u64,
@@ -163,13 +171,15 @@
     Fault(Fault),
 }
 
-/// A run under way.
+/// Simulation of one group.
 pub struct Sim {
     config: SimConfig,
     rng: Pcg64Mcg,
-    /// Of its own, so that a seed without work gives the same run.
+    /// Separate generator for requests at upstreams: a seed gives the same faults and delays with and without them.
     request_rng: Pcg64Mcg,
+    /// Virtual time.
     now: Timestamp,
+    /// Scheduled events by time, and in the order of scheduling at the same time.
     queue: BTreeMap<(Timestamp, u64), ScheduledEvent>,
     next_sequence: u64,
     next_incarnation: u64,
@@ -177,20 +187,22 @@
     pub(crate) links: Links,
     store: Store,
     checker: InvariantChecker,
+    /// Keys whose ownership is checked individually.
     keys: Vec<KeyHash>,
-    /// The load of each slot and watched key, in microseconds a second.
+    /// Load of each slot without its keys in `key_loads`, in microseconds of upstream time per second.
     slot_loads: Vec<u64>,
+    /// Load of each tracked key, in microseconds of upstream time per second.
     key_loads: BTreeMap<KeyHash, u64>,
-    /// Lines of what happened, if asked for.
+    /// Log of commands, events and faults, if enabled.
     log: Option<Vec<String>>,
-    /// Messages sent so far.
+    /// Number of messages that hosts have sent, including lost ones.
     pub messages: u64,
-    /// The longest time that one step has kept a host, where steps take time.
+    /// Longest processor time of a step so far; zero if steps take no time.
     pub longest_step: Duration,
 }
 
 impl Sim {
-    /// All hosts are there, but none has started.
+    /// Creates a simulation whose hosts have not started yet.
     pub fn new(config: SimConfig) -> Sim {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let hosts = (0..config.hosts).map(|it| Host::new(it, &config, &mut rng)).collect();
@@ -222,7 +234,7 @@
         sim
     }
 
-    /// Keeps a line for each event from now on.
+    /// Records log lines from now on.
     pub fn enable_log(&mut self) {
         self.log = Some(Vec::new());
     }
@@ -239,17 +251,17 @@
         self.hosts.len()
     }
 
-    /// What was seen to be wrong, if anything.
+    /// Returns the first violated invariant, if any.
     pub fn violation(&self) -> Option<&Violation> {
         self.checker.violation.as_ref()
     }
 
-    /// What a host's node knows.
+    /// Returns the view of a host's node, or `None` if the host is down.
     pub fn view(&self, host: usize) -> Option<crate::NodeView> {
         self.hosts[host].node.as_ref().map(crate::Node::view)
     }
 
-    /// Gives all nodes other limits.
+    /// Changes the limits of all nodes, including those that start later.
     pub fn change_limits(&mut self, limits: Limits) {
         self.config.limits = limits.clone();
         for host in 0..self.hosts.len() {
@@ -257,23 +269,23 @@
         }
     }
 
-    /// Who coordinates, in the latest term that any host holds.
+    /// Returns the coordinator of the highest term that a running host holds.
     pub fn coordinator(&self) -> Option<usize> {
         let terms = self.hosts.iter().enumerate().filter_map(|(at, it)| Some((it.term()?, at)));
         terms.max().map(|it| it.1)
     }
 
-    /// Whose gate admits a slot now.
+    /// Returns the host whose gate admits new requests of the slot now.
     pub fn owner(&self, slot: Slot) -> Option<usize> {
         self.hosts.iter().position(|it| it.is_running() && it.gate.admits(it.clock(self.now), slot))
     }
 
-    /// How many slots are admitted nowhere.
+    /// Returns the number of slots that no gate admits.
     pub fn unowned_slots(&self) -> usize {
         self.config.slot_count.iter().filter(|it| self.owner(*it).is_none()).count()
     }
 
-    /// Watched keys that are admitted nowhere.
+    /// Returns the number of tracked keys that no gate admits.
     pub fn unowned_keys(&self) -> usize {
         let owned = |key: &KeyHash| {
             let slot = self.config.slot_count.slot_of(*key);
@@ -284,49 +296,52 @@
         self.keys.iter().filter(|it| !owned(it)).count()
     }
 
-    /// Slots that a host's gate admits.
+    /// Returns the slots that the host owns.
     pub fn owned_by(&self, host: usize) -> Vec<Slot> {
         self.config.slot_count.iter().filter(|it| self.owner(*it) == Some(host)).collect()
     }
 
+    /// Returns whether the host has completed a graceful stop and has not restarted since.
     pub fn has_stopped(&self, host: usize) -> bool {
         self.hosts[host].has_stopped
     }
 
-    /// How often each kind of event was given, by the first word of its form.
+    /// Returns the number of emitted events by variant name.
     pub fn events(&self) -> &BTreeMap<String, u64> {
         &self.checker.events
     }
 
-    /// Slots handed over in order.
+    /// Returns the number of grants for rebalancing or because the previous owner was leaving.
     pub fn handovers(&self) -> u64 {
         self.checker.handovers
     }
 
+    /// Returns the number of commands to admit a hot key by its own gate entry.
     pub fn key_grants(&self) -> u64 {
         self.checker.key_grants
     }
 
-    /// How many keys have entries of their own now.
+    /// Returns the number of gate entries for individual keys.
     pub fn key_entries(&self) -> usize {
         self.hosts.iter().map(|it| it.gate.keys.len()).sum()
     }
 
-    /// Whether some host holds a settled term.
+    /// Returns whether any host holds a settled term.
     pub fn is_settled(&self) -> bool {
         self.hosts.iter().any(Host::is_settled)
     }
 
-    /// The object as the platform has it.
+    /// Returns the coordinator object that the platform stores.
     pub fn coordinator_object(&self) -> Option<&crate::Coordinator> {
         self.store.coordinator()
     }
 
+    /// Returns the number of calls that the platform has received.
     pub fn platform_calls(&self) -> u64 {
         self.store.calls
     }
 
-    /// Lets virtual time pass; stops early at a violation.
+    /// Processes events for a period of virtual time; stops processing at a violation.
     pub fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.checker.violation.is_none() {
@@ -340,7 +355,7 @@
         self.now = end;
     }
 
-    /// Passes time in steps until the condition holds; says whether it did in time.
+    /// Advances in steps of 5 ms until the condition holds. Returns `false` if it does not within `max`.
     pub fn run_until(&mut self, max: Duration, done: impl Fn(&Sim) -> bool) -> bool {
         let end = self.now + max;
         while self.now < end && self.checker.violation.is_none() {
@@ -357,11 +372,12 @@
         self.queue.insert((at, self.next_sequence), scheduled);
     }
 
-    /// Lets a fault happen after a delay.
+    /// Schedules a fault after a delay.
     pub fn schedule_fault(&mut self, delay: Duration, fault: Fault) {
         self.schedule(self.now + delay, ScheduledEvent::Fault(fault));
     }
 
+    /// Records a log line with the virtual time in milliseconds, if logging is enabled.
     fn log_line(&mut self, line: impl FnOnce() -> String) {
         let ms = self.now.ns / 1_000_000;
         if let Some(log) = &mut self.log {
@@ -375,16 +391,18 @@
         }
         match output {
             Output::Gate(crate::GateCommand::Lease { .. }) => {}
-            Output::Gate(it) => self.log_line(|| format!("host {host} gate {it:?}")),
+            Output::Gate(it) => self.log_line(|| format!("host {host} gate command {it:?}")),
             Output::Event(it) => self.log_line(|| format!("host {host} event {it:?}")),
             Output::Stopped => self.log_line(|| format!("host {host} stopped")),
             Output::Platform { request, .. } => match request {
                 PlatformRequest::UpdateCoordinator { object, .. } => {
-                    self.log_line(|| format!("host {host} updates {object:?}"));
+                    self.log_line(|| {
+                        format!("host {host} updates the coordinator object to {object:?}")
+                    });
                 }
                 PlatformRequest::UpdatePlan { object, .. } => {
                     let version = object.version;
-                    self.log_line(|| format!("host {host} writes plan {version}"));
+                    self.log_line(|| format!("host {host} writes plan version {version}"));
                 }
                 _ => {}
             },
@@ -393,12 +411,12 @@
     }
 
     fn count_event(&mut self, event: &Event) {
-        let form = format!("{event:?}");
-        let word = form.split(|it: char| !it.is_alphanumeric()).next().unwrap_or_default();
-        let handed_over = [MoveReason::Rebalance, MoveReason::Leave];
-        if matches!(event, Event::Granted { reason, .. } if handed_over.contains(reason)) {
+        let text = format!("{event:?}");
+        let variant = text.split(|it: char| !it.is_alphanumeric()).next().unwrap_or_default();
+        let handover_reasons = [MoveReason::Rebalance, MoveReason::Leave];
+        if matches!(event, Event::Granted { reason, .. } if handover_reasons.contains(reason)) {
             self.checker.handovers += 1;
         }
-        *self.checker.events.entry(word.to_owned()).or_default() += 1;
+        *self.checker.events.entry(variant.to_owned()).or_default() += 1;
     }
 }
--- a/crates/ownership/src/sim/random.rs
+++ b/crates/ownership/src/sim/random.rs
@@ -106,13 +106,13 @@
         ..limits(config.ordered)
     };
     // Two clocks differ by at most the margin in one lease.
-    let drift = limits.drift_margin.as_secs_f64() / limits.lease.as_secs_f64() / 2.1;
+    let drift_max = limits.drift_margin.as_secs_f64() / limits.lease.as_secs_f64() / 2.1;
     let mut sim = Sim::new(SimConfig {
         hosts: config.hosts,
         slot_count: SlotCount::new(config.slots).unwrap_or(SimConfig::new(0).slot_count),
         tracked_keys: config.tracked_keys,
         limits,
-        drift,
+        drift_max,
         ordered: config.ordered,
         simulates_requests: config.simulates_requests,
         ..SimConfig::new(config.seed)
