--- a/crates/ownership/src/sim/fault.rs
+++ b/crates/ownership/src/sim/fault.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with hosts, links and the platform.
+//! Faults of hosts, links and the platform.
 
 use std::time::Duration;
 
@@ -9,79 +9,83 @@
 
 use super::{Links, ScheduledEvent, Sim};
 
-/// One change of the surroundings. Hosts are named by index.
+/// Fault, its repair, or another change in the environment of the nodes. Hosts are given by index.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// A host that is down starts, as a new incarnation.
+    /// Starts a host that is down, as a new incarnation.
     Start(usize),
-    /// A host is lost, its upstream with it.
+    /// Crashes the agent and the upstream of a host.
     Crash(usize),
-    /// A host's agent is lost. Its upstream lives on, and holds for the rest of the lease what it was
-    /// granted.
+    /// Crashes the agent of a host. The upstream continues, and keeps its grants for the rest of the lease.
     CrashAgent(usize),
-    /// A host's agent gets no processor time.
+    /// Pauses the agent of a host at once: it gets no processor time.
     Pause {
         host: usize,
         for_ms: u64,
     },
-    /// The same, between deciding something and carrying it out.
+    /// Pauses the agent of a host in its next step with outputs, before they are carried out.
     PauseInStep {
         host: usize,
         for_ms: u64,
     },
+    /// Starts a graceful stop of a host.
     Stop(usize),
+    /// Changes the state that the upstream of a host reports.
     Upstream {
         host: usize,
         state: UpstreamState,
     },
-    /// Messages from one host to the other are lost.
+    /// Drops messages from one host to the other, in this direction only.
     CutLink {
         from: usize,
         to: usize,
     },
-    /// Messages between these hosts and all others are lost, both ways.
+    /// Drops messages between these hosts and all others, in both directions.
     Isolate(Vec<usize>),
-    /// All that a host sends to others is lost, or all that is sent to it.
+    /// Drops all messages that a host sends.
     DropOutgoing(usize),
+    /// Drops all messages that are sent to a host.
     DropIncoming(usize),
+    /// Drops all calls of a host to the platform.
     CutFromPlatform(usize),
-    /// The platform answers nobody.
+    /// Makes all calls to the platform fail.
     PlatformDown,
     PlatformUp,
-    /// The platform has lost what was written in this time.
+    /// Restores the platform from a snapshot of this age, so that later updates are lost, and makes it available again.
     PlatformRollsBack {
         behind_ms: u64,
     },
-    /// Shares of messages that are lost, doubled, late; in percent.
+    /// Sets the shares of messages that are lost, duplicated or late.
     Lossy {
         loss_percent: u32,
         duplicate_percent: u32,
         late_percent: u32,
     },
-    /// Shares of updates whose answer is lost, or that take effect late; in percent.
+    /// Sets the shares of updates to the platform whose reply is lost, and of those that take effect late.
     UncertainUpdates {
         lost_reply_percent: u32,
         late_update_percent: u32,
     },
-    /// All links and the platform work again.
+    /// Ends all faults of links and the platform.
     HealLinks,
-    /// The load of one slot or one watched key changes.
+    /// Changes the load of one slot.
     SlotLoad {
         slot: usize,
         us_per_s: u64,
     },
+    /// Changes the load of one tracked key, given by index.
     KeyLoad {
         key: usize,
         us_per_s: u64,
     },
 }
 
-fn share(percent: u32) -> f64 {
+fn share_from_percent(percent: u32) -> f64 {
     f64::from(percent.min(100)) / 100.0
 }
 
 impl Sim {
-    /// Lets a fault happen now.
+    /// Applies a fault now.
     pub fn apply(&mut self, fault: Fault) {
         self.log_line(|| format!("fault {fault:?}"));
         match fault {
@@ -125,13 +129,13 @@
                 self.links.is_platform_down = false;
             }
             Fault::Lossy { loss_percent, duplicate_percent, late_percent } => {
-                self.links.loss_share = share(loss_percent);
-                self.links.duplicate_share = share(duplicate_percent);
-                self.links.late_share = share(late_percent);
+                self.links.loss_share = share_from_percent(loss_percent);
+                self.links.duplicate_share = share_from_percent(duplicate_percent);
+                self.links.late_share = share_from_percent(late_percent);
             }
             Fault::UncertainUpdates { lost_reply_percent, late_update_percent } => {
-                self.links.lost_reply_share = share(lost_reply_percent);
-                self.links.late_update_share = share(late_update_percent);
+                self.links.lost_reply_share = share_from_percent(lost_reply_percent);
+                self.links.late_update_share = share_from_percent(late_update_percent);
             }
             Fault::HealLinks => self.links = Links::default(),
             Fault::SlotLoad { slot, us_per_s } => self.slot_loads[slot] = us_per_s,
@@ -142,6 +146,7 @@
         }
     }
 
+    /// Cuts the links between these hosts and all others, in both directions.
     fn isolate(&mut self, hosts: &[usize]) {
         for a in 0..self.hosts.len() {
             for b in 0..self.hosts.len() {
@@ -152,6 +157,7 @@
         }
     }
 
+    /// Starts a host that is down.
     fn start(&mut self, host: usize) {
         if self.hosts[host].is_up() {
             return;
@@ -176,7 +182,8 @@
         }
     }
 
-    /// Ends all faults: links, platform, pauses that last, upstreams, lost hosts.
+    /// Ends all faults of links, the platform and upstreams, cancels pauses that have not begun, and starts hosts that
+    /// are down.
     pub fn heal(&mut self) {
         self.apply(Fault::HealLinks);
         for host in 0..self.hosts.len() {
--- a/crates/ownership/src/sim/invariants.rs
+++ b/crates/ownership/src/sim/invariants.rs
@@ -13,8 +13,8 @@
 pub enum Violation {
     /// Two hosts may run requests of the same slot at the same time.
     SlotHeldTwice { slot: Slot, hosts: (usize, usize), at: Timestamp },
-    /// The second host was granted a slot while the upstream of the first has a request of the slot in flight, under a
-    /// lease that has not ended by that host's clock.
+    /// The second host was granted a slot while the upstream of the first has a request of the slot in flight, under
+    /// a lease that has not ended by that host's clock.
     RequestStillInFlight { slot: Slot, hosts: (usize, usize), at: Timestamp },
     /// Two hosts may run requests of the same key at the same time.
     KeyHeldTwice { key_hash: KeyHash, hosts: (usize, usize), at: Timestamp },
@@ -34,7 +34,7 @@
                 let ms = at.ns / 1_000_000;
                 write!(
                     f,
-                    "{ms} ms: host {grantee} was granted slot {slot} while a request at the upstream of host {holder} is in flight"
+                    "{ms} ms: host {grantee} was granted slot {slot}, which has a request in flight on host {holder}"
                 )
             }
             Violation::KeyHeldTwice { key_hash, hosts, at } => {
@@ -198,7 +198,7 @@
         true
     }
 
-    /// Checks that no other host may run requests of the key if this host may, and that the key's token has not decreased.
+    /// Checks that no other host may run requests of the key if this host may, and that its token has not decreased.
     fn check_key(&mut self, host: usize, key_hash: KeyHash) {
         let now = self.now;
         let slot = self.checker.slot_count.slot_of(key_hash);
--- a/crates/ownership/src/sim/upstream.rs
+++ b/crates/ownership/src/sim/upstream.rs
@@ -1,5 +1,5 @@
-//! Requests at upstreams that enforce leases. They continue when the agent is lost, and are aborted when the lease under
-//! which they started ends.
+//! Requests at upstreams that enforce leases. They may continue when the agent is lost, and are aborted when the lease
+//! under which they started ends.
 
 use std::{ops::Range, time::Duration};
 
@@ -92,7 +92,7 @@
         self.schedule(self.now + START_INTERVAL, ScheduledEvent::StartRequests);
     }
 
-    /// Aborts each request of a host with probability [`ABORT_PROBABILITY`], when the agent is lost or closes its connections.
+    /// Aborts each request of a host with [`ABORT_PROBABILITY`], because the agent is lost or closes its connections.
     pub(super) fn abort_requests_randomly(&mut self, host: usize) {
         let rng = &mut self.request_rng;
         self.hosts[host].requests.retain(|_| !rng.random_bool(ABORT_PROBABILITY));
