--- a/crates/ownership/src/sim/drive.rs
+++ b/crates/ownership/src/sim/drive.rs
@@ -1,4 +1,4 @@
-//! Carries out what nodes ask for, and gives them what happens.
+//! Processes scheduled events: passes inputs to the nodes and carries out their outputs.
 
 use std::time::Duration;
 
@@ -12,6 +12,7 @@
 
 use super::{PLATFORM_TIMEOUT, ScheduledEvent, Sim, TICK_INTERVAL, costs};
 
+/// Mean number of ticks between two load reports of a host.
 const TICKS_PER_LOAD_REPORT: u64 = 12;
 
 impl Sim {
@@ -70,7 +71,7 @@
         }
         let jitter = Duration::from_micros(self.rng.random_range(0..2000));
         self.schedule(self.now + TICK_INTERVAL + jitter, ScheduledEvent::Tick { host, generation });
-        // A paused process gets its timer once, late: that is the first thing after the pause.
+        // Ticks during a pause are dropped: a paused process handles its timer once, after the pause.
         if self.hosts[host].is_paused {
             return;
         }
@@ -81,6 +82,7 @@
         self.pass_input(host, Input::Tick);
     }
 
+    /// Returns the load report of a host, from the slots and hot keys that its gate holds.
     fn load_report(&self, host: usize) -> LoadReport {
         let gate = &self.hosts[host].gate;
         let period_ms = 250;
@@ -102,8 +104,8 @@
         LoadReport { period_ms, total_us: total, slots, keys }.keep_heaviest()
     }
 
-    /// What the gate and the upstream do in their own time also goes on in a pause of the agent's
-    /// control thread, but the node hears of it later.
+    /// Applies the completion of a command by the gate or the upstream. A pause of the agent's control thread does not
+    /// delay the completion itself, but the node receives it only after the pause.
     fn apply_local_input(&mut self, host: usize, input: Input) {
         if self.postpone_reply(host, &input) {
             return;
@@ -119,6 +121,7 @@
         self.pass_input(host, input);
     }
 
+    /// Passes an input to the node of a host, or queues it if the host is paused or busy with a step.
     pub(super) fn pass_input(&mut self, host: usize, input: Input) {
         if self.hosts[host].is_paused || self.hosts[host].is_busy {
             self.hosts[host].queued_inputs.push_back(input);
@@ -143,7 +146,7 @@
         }
     }
 
-    /// The outputs of a step are carried out at its end.
+    /// Marks a host busy for the duration of a step, and schedules the outputs for the end of it.
     fn schedule_step_end(&mut self, host: usize, duration: Duration, out: Vec<Output>) {
         self.longest_step = self.longest_step.max(duration);
         self.hosts[host].is_busy = true;
@@ -151,10 +154,12 @@
         self.schedule(self.now + duration, ScheduledEvent::StepCompleted { host, generation, out });
     }
 
+    /// Carries out the outputs of a step, and passes the next queued input to the node.
     fn finish_step(&mut self, host: usize, out: Vec<Output>) {
         self.hosts[host].is_busy = false;
         self.execute_outputs(host, out);
-        // A timer goes before messages, and is set anew only once it has been heard.
+        // A tick takes precedence over other inputs. Further ticks are dropped, since the timer is rearmed only after a
+        // tick has been handled.
         let queue = &mut self.hosts[host].queued_inputs;
         let tick = queue.iter().position(|it| matches!(it, Input::Tick));
         let next = tick.and_then(|at| queue.remove(at)).or_else(|| queue.pop_front());
@@ -164,6 +169,7 @@
         }
     }
 
+    /// Pauses the agent of a host, and schedules the end of the pause.
     pub(super) fn pause(&mut self, host: usize, duration: Duration) {
         if !self.hosts[host].is_running() {
             return;
@@ -174,6 +180,7 @@
         self.schedule(self.now + duration, ScheduledEvent::Resume { host, generation });
     }
 
+    /// Ends the pause of a host: carries out the outputs and handles the inputs that it delayed.
     fn resume(&mut self, host: usize) {
         if !self.hosts[host].is_paused {
             return;
@@ -188,6 +195,7 @@
         }
     }
 
+    /// Carries out the outputs of a step, in their order.
     fn execute_outputs(&mut self, host: usize, out: Vec<Output>) {
         let generation = self.hosts[host].generation;
         for output in out {
@@ -219,6 +227,7 @@
         }
     }
 
+    /// Schedules the delivery of a message, subject to the link faults. A recipient of `None` does not exist.
     fn send(&mut self, from: usize, to: Option<usize>, message: Message) {
         self.messages += 1;
         let Some(to) = to else { return };
@@ -239,7 +248,7 @@
         }
     }
 
-    /// When a message has left its host, after all that this one sent before.
+    /// Returns the time at which a message has left its host, after all earlier messages of the host.
     fn reserve_link(&mut self, from: usize, message: &Message) -> Timestamp {
         let Some(machine) = self.config.machine else { return self.now };
         let duration = machine.transmission_time(costs::message_bytes(message));
@@ -248,6 +257,7 @@
         host.link_busy_until
     }
 
+    /// Draws the delay of a message on a link.
     fn link_delay(&mut self) -> Duration {
         let base_delay = Duration::from_micros(self.rng.random_range(300..2000));
         if !self.rng.random_bool(self.links.late_share) {
@@ -257,6 +267,7 @@
         base_delay + Duration::from_millis(self.rng.random_range(0..late_delay_max))
     }
 
+    /// Schedules the arrival of a call at the platform, or its failure.
     fn call_platform(
         &mut self,
         host: usize,
@@ -291,6 +302,7 @@
         self.schedule(self.now + delay, arrival);
     }
 
+    /// Has the platform handle a call, and schedules its reply.
     fn handle_platform_call(
         &mut self,
         host: usize,
@@ -320,7 +332,7 @@
         }
     }
 
-    /// The gate and the upstream take their time.
+    /// Schedules the reply to a gate command after a delay, which is longer while the upstream is hung.
     fn schedule_gate_reply(&mut self, host: usize, generation: u64, command: &GateCommand) {
         let input = match command {
             GateCommand::Prepare { slot, token } => Input::Prepared { slot: *slot, token: *token },
