--- a/crates/ownership/src/sim/host.rs
+++ b/crates/ownership/src/sim/host.rs
@@ -1,4 +1,4 @@
-//! One host: a node, its clock, its gate and its upstream.
+//! Simulated instance: a node with its clock, its gate and its upstream.
 
 use std::{
     collections::VecDeque,
@@ -16,31 +16,36 @@
 
 use super::{SimConfig, gate::Gate, upstream::UpstreamRequest};
 
-/// The entities of a run, by index.
+/// Simulated instance; other modules refer to it by its index.
 pub(super) struct Host {
     pub(super) instance: Instance,
+    /// Node of the agent; `None` while the agent is down.
     pub(super) node: Option<Node>,
-    /// Counts restarts; what was meant for an earlier life is lost.
+    /// Number of starts and crashes. Events that were scheduled for an earlier generation are dropped.
     pub(super) generation: u64,
+    /// Reading of the host's clock at true time zero.
     clock_offset_ns: u64,
+    /// Speed of the host's clock relative to true time.
     clock_rate: f64,
     pub(super) gate: Gate,
-    /// What the upstream still holds that earlier lives of the agent granted it.
+    /// Grants of earlier incarnations and sessions of the agent that the upstream still holds.
     pub(super) orphaned_grants: Vec<Gate>,
-    /// What the upstream is at work on.
+    /// Requests that the upstream has started. Ended ones are removed later.
     pub(super) requests: Vec<UpstreamRequest>,
     pub(super) upstream: UpstreamState,
     pub(super) is_paused: bool,
-    /// Inputs that wait for the end of a pause, or of the step that is being carried through.
+    /// Inputs received during a pause or while a step is using the processor.
     pub(super) queued_inputs: VecDeque<Input>,
-    /// Outputs of the step in which the pause began.
+    /// Outputs of the step in which the pause began, carried out after the pause.
     pub(super) held_outputs: Vec<Output>,
+    /// Duration of a pause that starts in the next step with outputs, before they are carried out.
     pub(super) pause_next_step_ms: Option<u64>,
-    /// A step is being carried through.
+    /// A step is using the processor.
     pub(super) is_busy: bool,
-    /// Until when what was sent keeps the link.
+    /// Time at which all messages sent so far have left the host.
     pub(super) link_busy_until: Timestamp,
     pub(super) is_stopping: bool,
+    /// The node has completed a graceful stop.
     pub(super) has_stopped: bool,
 }
 
@@ -76,28 +81,33 @@
         }
     }
 
-    /// The host's own monotonic clock at a true time.
+    /// Returns the reading of the host's monotonic clock at a true time.
     pub(super) fn clock(&self, now: Timestamp) -> Timestamp {
         Timestamp { ns: self.clock_offset_ns + (now.ns as f64 * self.clock_rate) as u64 }
     }
 
+    /// Returns whether the agent is up and not paused.
     pub(super) fn is_running(&self) -> bool {
         self.node.is_some() && !self.is_paused
     }
 
+    /// Returns whether the agent is up; it may be paused.
     pub(super) fn is_up(&self) -> bool {
         self.node.is_some()
     }
 
+    /// Returns the term that the host's node coordinates, if any.
     pub(super) fn term(&self) -> Option<Term> {
         let view = self.node.as_ref()?.view();
         view.is_coordinator.then_some(view.term)
     }
 
+    /// Returns whether the host's node holds a settled term.
     pub(super) fn is_settled(&self) -> bool {
         self.node.as_ref().is_some_and(|it| it.view().settled)
     }
 
+    /// Starts the agent as a new incarnation, with an empty gate.
     pub(super) fn start(
         &mut self,
         now: Timestamp,
@@ -130,7 +140,7 @@
         self.node = Some(Node::new(node, self.clock(now)));
     }
 
-    /// The agent is lost, and the upstream beside it lives on.
+    /// Crashes the agent. The upstream beside it continues with its grants and requests.
     pub(super) fn crash_agent(&mut self) {
         self.orphan_grants();
         let orphaned_grants = std::mem::take(&mut self.orphaned_grants);
@@ -140,32 +150,32 @@
         self.requests = requests;
     }
 
-    /// The gate lets go of what it holds; an upstream that enforces leases goes on holding it.
+    /// Moves the grants of the gate to the orphaned grants, which an upstream that enforces leases continues to hold.
     pub(super) fn orphan_grants(&mut self) {
         let orphaned_grants = std::mem::take(&mut self.gate);
         self.orphaned_grants.push(orphaned_grants);
     }
 
-    /// The upstream has given up what it was granted under tokens up to this one.
+    /// Removes the orphaned grants under tokens up to this one, which the upstream has released.
     pub(super) fn clear(&mut self, token: Token) {
         self.orphaned_grants.iter_mut().for_each(|it| it.clear(token));
     }
 
-    /// Whether requests of a slot may run here.
+    /// Returns whether requests of a slot may be running on this host.
     pub(super) fn holds(&self, now: Timestamp, slot: Slot) -> bool {
         let clock = self.clock(now);
         let held = self.is_up() && self.gate.holds(clock, slot);
         held || self.orphaned_grants.iter().any(|it| it.holds(clock, slot))
     }
 
-    /// The same for one key in a slot.
+    /// Returns whether requests of a key in a slot may be running on this host.
     pub(super) fn holds_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         let clock = self.clock(now);
         let held = self.is_up() && self.gate.holds_key(clock, slot, key_hash);
         held || self.orphaned_grants.iter().any(|it| it.holds_key(clock, slot, key_hash))
     }
 
-    /// The agent and the upstream beside it are lost.
+    /// Crashes the agent and the upstream beside it.
     pub(super) fn crash(&mut self) {
         self.orphaned_grants.clear();
         self.requests.clear();
