--- a/crates/ownership/src/sim/platform.rs
+++ b/crates/ownership/src/sim/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's two objects of one group, with conditional updates.
+//! Fake of the platform's object store, with the two objects of one group and conditional updates.
 //!
-//! It may come back from an older copy: what was written since is lost, and revisions are given out again in the next
-//! era. A client that has not heard of that yet sends conditions of an earlier era; what it makes of the answer is
-//! what `object_store::Eras` makes of it.
+//! The store may be rolled back (restored from an older snapshot): later updates are lost, and their revisions are
+//! reassigned in the next era. A client that has not detected the rollback yet sends expected versions of an earlier
+//! era. Their replies are the ones that a real client gets from `object_store::Eras`.
 
 use std::collections::VecDeque;
 
@@ -10,28 +10,33 @@
 
 use crate::{Coordinator, Plan, PlatformReply, PlatformRequest};
 
-/// Copies that are kept.
+/// Number of snapshots that are kept.
 const SNAPSHOTS_MAX: usize = 256;
 
-/// The stored objects; revisions come from one counter.
+/// Object store of the platform; both objects take their revisions from one counter.
 #[derive(Debug, Default)]
 pub(super) struct Store {
+    /// Number of rollbacks.
     era: u64,
     current: Objects,
-    /// As it was before each of the last changes, and until when.
+    /// Objects before each of the last updates, with the time of the update.
     snapshots: VecDeque<(Timestamp, Objects)>,
-    /// Calls that arrived.
+    /// Number of calls received.
     pub(super) calls: u64,
 }
 
+/// Objects of the group, each with its revision.
 #[derive(Debug, Clone, Default)]
 struct Objects {
+    /// Revision of the last update.
     revision: u64,
     coordinator: Option<(u64, Coordinator)>,
     plan: Option<(u64, Box<Plan>)>,
 }
 
 impl Store {
+    /// Carries out a call at the given time and returns its reply. Asserts that an update with an expected version of
+    /// the current era does not lower the term, and raises the version of the plan.
     pub(super) fn handle_call(
         &mut self,
         at: Timestamp,
@@ -57,11 +62,11 @@
                 let is_current = self.is_current(*expected);
                 assert!(
                     object.term >= previous || !is_current,
-                    "term {} after {previous}",
+                    "the coordinator object has term {previous}, and an update lowers it to {}",
                     object.term
                 );
-                let state = self.begin_change(at);
-                state.coordinator = Some((state.revision, object.clone()));
+                let objects = self.begin_change(at);
+                objects.coordinator = Some((objects.revision, object.clone()));
                 self.update_reply(*expected)
             }
             PlatformRequest::UpdatePlan { expected, object } => {
@@ -73,17 +78,17 @@
                 let is_current = self.is_current(*expected);
                 assert!(
                     object.version > previous || !is_current,
-                    "plan {} after {previous}",
+                    "the plan has version {previous}, and an update does not raise it: {}",
                     object.version
                 );
-                let state = self.begin_change(at);
-                state.plan = Some((state.revision, object.clone()));
+                let objects = self.begin_change(at);
+                objects.plan = Some((objects.revision, object.clone()));
                 self.update_reply(*expected)
             }
         }
     }
 
-    /// Comes back as it was at a time, or as far back as copies go.
+    /// Restores the objects as they were at a time, or the oldest snapshot if that is later.
     pub(super) fn roll_back_to(&mut self, at: Timestamp) {
         let snapshot = self.snapshots.iter().position(|(until, _)| *until > at);
         if let Some(snapshot) = snapshot {
@@ -101,11 +106,12 @@
         ObjectVersion::of(self.era, revision)
     }
 
+    /// Returns whether the expected version is of the current era.
     fn is_current(&self, expected: ObjectVersion) -> bool {
         expected.era() == self.era
     }
 
-    /// A change begins: what there is now is kept.
+    /// Keeps a snapshot, and returns the objects for an update with the next revision.
     fn begin_change(&mut self, at: Timestamp) -> &mut Objects {
         self.snapshots.push_back((at, self.current.clone()));
         if self.snapshots.len() > SNAPSHOTS_MAX {
@@ -115,10 +121,11 @@
         &mut self.current
     }
 
+    /// Returns the reply to an update that took effect.
     fn update_reply(&self, expected: ObjectVersion) -> PlatformReply {
         match self.is_current(expected) {
             true => PlatformReply::Updated(self.version(self.current.revision)),
-            // What it has replaced is not known.
+            // With an expected version of an earlier era it is unknown which object the update replaced.
             false => PlatformReply::Failed,
         }
     }
