--- a/crates/ownership/src/sim/measure.rs
+++ b/crates/ownership/src/sim/measure.rs
@@ -1,4 +1,4 @@
-//! How long slots go unserved after one loss, by what was lost.
+//! Measures how long slots have no owner after a loss, by the kind of loss.
 
 use std::time::Duration;
 
@@ -6,21 +6,22 @@
 
 use super::{Fault, Sim, SimConfig};
 
-/// What is lost at once.
+/// Instances that are lost at the same time, and how.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum LossKind {
-    /// A member that does not coordinate.
+    /// A member other than the coordinator crashes.
     Member,
+    /// The coordinator crashes.
     Coordinator,
-    /// The coordinator and another member.
+    /// The coordinator and another member crash.
     CoordinatorAndMember,
-    /// All instances of one availability zone, which is not the coordinator's.
+    /// All instances of an availability zone without the coordinator crash.
     Zone,
-    /// All instances of the coordinator's availability zone.
+    /// All instances of the coordinator's availability zone crash.
     CoordinatorZone,
-    /// A member, while the platform is down.
+    /// A member crashes while the platform is unavailable.
     MemberWithoutPlatform,
-    /// A member that leaves in order.
+    /// A member leaves gracefully.
     Leave,
 }
 
@@ -48,33 +49,41 @@
     }
 }
 
-/// Unserved virtual time of the slots concerned, over all runs of one kind of loss.
+/// Virtual time without an owner per slot, over all runs of one kind of loss. Slots that always had an owner are left
+/// out.
 #[derive(Debug, Clone)]
 pub struct LossReport {
     pub kind: LossKind,
     pub runs: u64,
-    /// Slots that went unserved at all, over all runs.
+    /// Number of slots of lost hosts that had no owner for some time, over all runs.
     pub slots: u64,
     pub unavailable_p50_ms: u64,
     pub unavailable_max_ms: u64,
-    /// Slots of hosts that were not lost, that went unserved all the same.
+    /// Number of slots of other hosts that had no owner for some time, over all runs.
     pub bystander_slots: u64,
+    /// Longest time without an owner of a slot of another host.
     pub bystander_max_ms: u64,
 }
 
-/// Times are sampled this often.
+/// Interval at which the owners of slots are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(1);
-/// How long a group has to come to rest before the loss.
+/// Time for a group to reach a steady state before the loss.
 const WARM_UP_PERIOD: Duration = Duration::from_secs(8);
-/// How long it is watched after the loss.
+/// Time over which slots are observed after the loss.
 const OBSERVATION_PERIOD: Duration = Duration::from_secs(4);
 
-/// Measures each kind of loss `runs` times, in virtual time.
+/// Measures each kind of loss in `runs` simulations, in virtual time.
 pub fn measure_losses(runs: u64, seed: u64, hosts: usize, slots: SlotCount) -> Vec<LossReport> {
-    LossKind::ALL.iter().map(|kind| measure(*kind, runs, seed, hosts, slots)).collect()
+    LossKind::ALL.iter().map(|kind| measure_loss(*kind, runs, seed, hosts, slots)).collect()
 }
 
-fn measure(kind: LossKind, runs: u64, seed: u64, hosts: usize, slots: SlotCount) -> LossReport {
+fn measure_loss(
+    kind: LossKind,
+    runs: u64,
+    seed: u64,
+    hosts: usize,
+    slots: SlotCount,
+) -> LossReport {
     let mut affected_gaps_ms: Vec<u64> = Vec::new();
     let mut bystander_gaps_ms: Vec<u64> = Vec::new();
     for run in 0..runs {
@@ -93,6 +102,7 @@
     }
 }
 
+/// Simulates one loss, and appends the longest time without an owner of each affected and each other slot.
 fn simulate_loss(
     kind: LossKind,
     config: SimConfig,
@@ -103,7 +113,7 @@
     let zones = config.zones;
     let mut sim = Sim::new(config);
     sim.start_all();
-    // Losses fall at any point of the lease's and the confirmation's period.
+    // Losses occur at varying points of the lease and confirmation periods.
     sim.run_for(WARM_UP_PERIOD + Duration::from_millis(seed * 37 % 500));
     let Some(coordinator) = sim.coordinator() else { return };
     let count = sim.host_count();
@@ -138,23 +148,23 @@
 }
 
 impl Sim {
-    /// The owner of each slot, by index.
+    /// Returns the owner of each slot.
     pub fn slot_owners(&self) -> Vec<Option<usize>> {
         self.config.slot_count.iter().map(|it| self.owner(it)).collect()
     }
 
-    /// Lets time pass, and gives the longest time for which each slot was served by nobody.
+    /// Advances by a period of virtual time, and returns the longest time without an owner for each slot.
     pub fn longest_gaps(&mut self, duration: Duration) -> Vec<Duration> {
         let end = self.now() + duration;
         let count = usize::from(self.config.slot_count.count());
-        let mut unserved_since: Vec<Option<Timestamp>> = vec![None; count];
+        let mut unowned_since: Vec<Option<Timestamp>> = vec![None; count];
         let mut longest = vec![Duration::ZERO; count];
         loop {
             let now = self.now();
             for (slot, owner) in self.slot_owners().into_iter().enumerate() {
                 let since = match owner {
-                    Some(_) => unserved_since[slot].take(),
-                    None => Some(*unserved_since[slot].get_or_insert(now)),
+                    Some(_) => unowned_since[slot].take(),
+                    None => Some(*unowned_since[slot].get_or_insert(now)),
                 };
                 let gap = since.map_or(Duration::ZERO, |it| now.since(it));
                 longest[slot] = longest[slot].max(gap);
