--- a/crates/ownership/src/sim/random.rs
+++ b/crates/ownership/src/sim/random.rs
@@ -1,4 +1,4 @@
-//! Runs under faults drawn at random, and what they came to.
+//! Simulated runs under random faults, and their reports.
 
 use std::{ops::Range, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use super::{Fault, Sim, SimConfig, Violation};
 
-/// What a random run is drawn from.
+/// Configuration of a random run. Faults, delays and loads are drawn from the seed.
 #[derive(Debug, Clone)]
 pub struct RandomRunConfig {
     pub seed: u64,
@@ -18,69 +18,76 @@
     pub slots: u16,
     pub tracked_keys: usize,
     pub duration: Duration,
-    /// The longest time from one fault to the next.
+    /// Longest time from one fault to the next; the shortest is [`FAULT_GAP_MIN`].
     pub fault_gap_max: Duration,
-    /// Ordered slots, longer leases, and a coordinator that holds its own slots for as long as others:
-    /// as where upstreams enforce leases.
+    /// Uses ordered slots, longer leases, and a full lease for the coordinator's own slots, as for upstreams that
+    /// enforce leases.
     pub ordered: bool,
-    /// Agents are lost and restarted beside upstreams that live on.
+    /// Crashes agents without their upstreams, which continue.
     pub agents_restart: bool,
-    /// Upstreams are at work, and what they do may outlast their agents.
+    /// Simulates requests at the upstreams, which may outlast the agents, and false reports of lost upstreams.
     pub simulates_requests: bool,
-    /// The platform comes back from older copies.
+    /// Restores the platform from older snapshots at times.
     pub platform_rolls_back: bool,
 }
 
-/// How a run ended.
+/// Result of a random run.
 #[derive(Debug, Clone)]
 pub struct RunReport {
     pub violation: Option<Violation>,
-    /// Slots that nobody served when the time allowed after the last fault had passed.
+    /// Number of slots that still have no owner at the end of the recovery period after the last fault.
     pub unowned_slots: usize,
+    /// Number of tracked keys that still have no owner then.
     pub unowned_keys: usize,
-    /// How long after the last fault all was served again.
+    /// Time from the end of the last fault until all slots and keys had an owner again, or until the run ended.
     pub recovery_ms: u64,
+    /// Number of faults drawn, without false reports of lost upstreams and rollbacks.
     pub faults: u64,
     pub terms: u64,
     pub settled_terms: u64,
     pub grants: u64,
     pub handovers: u64,
-    /// Admissions of hot keys by entries of their own.
+    /// Number of commands to admit a hot key by its own gate entry.
     pub key_grants: u64,
+    /// Number of messages that hosts sent, including lost ones.
     pub messages: u64,
 }
 
-/// The longest time without the platform, in random runs; short, so that it is reached.
+/// Limit on a coordinator's time without the platform, short enough to be exceeded in random runs.
 const PLATFORM_ABSENCE_MAX: Duration = Duration::from_secs(6);
-/// After the last fault all must be served again within this time: the longest absence, a takeover,
-/// and the sessions and plans that follow.
+/// Recovery period: all slots and keys must have an owner again this long after the last fault. Covers
+/// [`PLATFORM_ABSENCE_MAX`], a takeover, and the sessions and plans that follow.
 const RECOVERY_MAX: Duration = Duration::from_secs(15);
-/// The same where the platform rolls back: a term that waits for the longest absence may be lost to an update on a
-/// condition of an earlier era, and the next one waits as long.
+/// Recovery period with rollbacks of the platform. A term that waits for [`PLATFORM_ABSENCE_MAX`] may be lost to an
+/// update whose expected version is of an earlier era, and the next term waits as long again.
 const RECOVERY_MAX_ROLLBACK: Duration = Duration::from_secs(30);
 const KEY_LOAD_MAX_US_PER_S: u64 = 4_000_000;
 const SLOT_LOAD_MAX_US_PER_S: u64 = 3_000_000;
+/// Interval at which stopped hosts are restarted during recovery.
 const RESTART_INTERVAL: Duration = Duration::from_millis(500);
-/// The share of steps at which the platform is away for a moment and comes back from a copy, for how long it is
-/// away, and how old the copy is.
+/// Probability, per round of faults, that the platform becomes unavailable and is then rolled back.
 const ROLLBACK_PROBABILITY: f64 = 0.08;
+/// Duration of the outage before a rollback.
 const OUTAGE_BEFORE_ROLLBACK_MS: Range<u64> = 0..2_000;
+/// Age of the snapshot that a rollback restores.
 const ROLLBACK_AGE_MS: Range<u64> = 100..8_000;
-/// Upstreams at work that are taken for lost: how often, with each fault, and for how long.
+/// Probability, per round of faults, that a running upstream is falsely reported as lost.
 const FALSE_LOSS_PROBABILITY: f64 = 0.2;
+/// Duration of a false report of a lost upstream.
 const FALSE_LOSS_MS: Range<u64> = 50..1500;
 const FAULT_GAP_MIN: Duration = Duration::from_millis(100);
 
-/// Runs one shape to its end.
+/// Runs a simulation under random faults, ends the faults and waits for recovery.
 pub fn random_run(config: &RandomRunConfig) -> RunReport {
     run(config, false).0
 }
 
-/// The same, with a line for each event.
+/// Same as [`random_run`], but also returns the log lines of the simulation.
 pub fn logged_run(config: &RandomRunConfig) -> (RunReport, Vec<String>) {
     run(config, true)
 }
 
+/// Returns the limits of a run, with longer leases for ordered slots.
 fn limits(ordered: bool) -> Limits {
     if !ordered {
         return Limits::default();
@@ -99,13 +106,13 @@
 }
 
 fn run(config: &RandomRunConfig, log: bool) -> (RunReport, Vec<String>) {
-    // Much may move, so that handovers meet faults.
+    // A high churn limit makes handovers frequent, so that faults occur during handovers.
     let limits = Limits {
         platform_absence_max: PLATFORM_ABSENCE_MAX,
         churn_per_minute_max: 20.0,
         ..limits(config.ordered)
     };
-    // Two clocks differ by at most the margin in one lease.
+    // Two clocks drift apart by less than the drift margin within one lease.
     let drift_max = limits.drift_margin.as_secs_f64() / limits.lease.as_secs_f64() / 2.1;
     let mut sim = Sim::new(SimConfig {
         hosts: config.hosts,
@@ -143,32 +150,33 @@
         }
         if config.simulates_requests && false_loss_rng.random_bool(FALSE_LOSS_PROBABILITY) {
             let host = false_loss_rng.random_range(0..config.hosts);
-            let for_ms = Duration::from_millis(false_loss_rng.random_range(FALSE_LOSS_MS));
+            let duration = Duration::from_millis(false_loss_rng.random_range(FALSE_LOSS_MS));
             sim.apply(Fault::Upstream { host, state: UpstreamState::Lost });
-            sim.schedule_fault(for_ms, Fault::Upstream { host, state: UpstreamState::Ready });
+            sim.schedule_fault(duration, Fault::Upstream { host, state: UpstreamState::Ready });
         }
         if config.platform_rolls_back && rollback_rng.random_bool(ROLLBACK_PROBABILITY) {
-            let away = Duration::from_millis(rollback_rng.random_range(OUTAGE_BEFORE_ROLLBACK_MS));
+            let outage =
+                Duration::from_millis(rollback_rng.random_range(OUTAGE_BEFORE_ROLLBACK_MS));
             let behind_ms = rollback_rng.random_range(ROLLBACK_AGE_MS);
             sim.apply(Fault::PlatformDown);
-            sim.schedule_fault(away, Fault::PlatformRollsBack { behind_ms });
+            sim.schedule_fault(outage, Fault::PlatformRollsBack { behind_ms });
         }
         let gap = rng.random_range(FAULT_GAP_MIN..config.fault_gap_max);
         sim.run_for(gap);
     }
     let healed_at = sim.now();
     sim.heal();
-    let served = |it: &Sim| it.unowned_slots() == 0 && it.unowned_keys() == 0;
+    let is_served = |it: &Sim| it.unowned_slots() == 0 && it.unowned_keys() == 0;
     let recovery_max =
         if config.platform_rolls_back { RECOVERY_MAX_ROLLBACK } else { RECOVERY_MAX };
     while sim.now().since(healed_at) < recovery_max && sim.violation().is_none() {
-        if sim.run_until(RESTART_INTERVAL, served) {
+        if sim.run_until(RESTART_INTERVAL, is_served) {
             break;
         }
-        // Hosts that were stopping end and come back.
+        // Restarts hosts that have completed a graceful stop meanwhile.
         sim.start_all();
     }
-    let count = |word: &str| sim.events().get(word).copied().unwrap_or(0);
+    let count = |variant: &str| sim.events().get(variant).copied().unwrap_or(0);
     let report = RunReport {
         violation: sim.violation().cloned(),
         unowned_slots: sim.unowned_slots(),
@@ -186,7 +194,7 @@
     (report, log)
 }
 
-/// The coordinator is struck more often than others.
+/// Draws the next faults. The coordinator is affected more often than other hosts.
 fn draw_faults(
     rng: &mut Pcg64Mcg,
     config: &RandomRunConfig,
