--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -11,7 +11,7 @@
 use traffic::WeightedRoundRobin;
 
 use crate::{
-    ingress::{form::CallHead, refusal::Refusal},
+    ingress::{protocol::CallHead, refusal::Refusal},
     snapshot::{ServiceRoutes, Snapshot},
 };
 
@@ -44,7 +44,7 @@
         match (&head.host, &snapshot.routing) {
             (None, _) => by_segment(uri),
             // Whether there is such a route is not for an agent to say that knows of none at all.
-            (Some(_), None) => Err(Refusal::NoRoutesYet),
+            (Some(_), None) => Err(Refusal::RoutesUnknown),
             (Some(host), Some(table)) => self.by_host(host, uri, table),
         }
     }
