--- a/crates/ownership/src/sim/mod.rs
+++ b/crates/ownership/src/sim/mod.rs
@@ -396,9 +396,7 @@
             Output::Stopped => self.log_line(|| format!("host {host} stopped")),
             Output::Platform { request, .. } => match request {
                 PlatformRequest::UpdateCoordinator { object, .. } => {
-                    self.log_line(|| {
-                        format!("host {host} updates the coordinator object to {object:?}")
-                    });
+                    self.log_line(|| format!("host {host} writes coordinator {object:?}"));
                 }
                 PlatformRequest::UpdatePlan { object, .. } => {
                     let version = object.version;
