--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -82,15 +82,15 @@
     }
 
     /// Takes an announcement and passes it on to control.
-    pub(super) async fn take(&self, head: &Parts, body: Body) -> Response {
+    pub(super) async fn handle(&self, head: &Parts, body: Body) -> Response {
         let body: Result<Bytes, _> = read(body, BYTES_MAX).await;
-        let heard = match body {
+        let message = match body {
             Ok(body) => self.protocol.read(head, &body),
             Err(error) => Err((StatusCode::BAD_REQUEST, error.to_string())),
         };
-        match heard {
-            Ok(heard) => {
-                let keys = self.pass_on(heard).await;
+        match message {
+            Ok(message) => {
+                let keys = self.forward_to_control(message).await;
                 self.protocol.acknowledge(keys.as_ref())
             }
             Err((status, text)) => {
@@ -103,8 +103,8 @@
     }
 
     /// Resolves to what the upstream is to hold, if there is something to say about that.
-    async fn pass_on(&self, heard: UpstreamMessage) -> Option<KeysToHold> {
-        match heard {
+    async fn forward_to_control(&self, message: UpstreamMessage) -> Option<KeysToHold> {
+        match message {
             UpstreamMessage::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.update(clock_ms, self.clock.now());
                 self.reporter.try_report(Report::Announcement(announcement.clone()));
@@ -130,7 +130,7 @@
         request: Request,
     ) -> Result<Response, Infallible> {
         let (head, body) = request.into_parts();
-        Ok(self.take(&head, body).await)
+        Ok(self.handle(&head, body).await)
     }
 }
 
--- a/crates/agent/src/ingress/answer.rs
+++ b/crates/agent/src/ingress/answer.rs
@@ -9,7 +9,7 @@
 use http::{HeaderValue, header::CONNECTION};
 use volo_http::{body::Body, response::Response};
 
-use crate::ingress::Counted;
+use crate::ingress::InFlightGuard;
 
 /// Asks the caller to close its connection.
 pub(super) fn closing(mut response: Response) -> Response {
@@ -18,16 +18,16 @@
 }
 
 /// Counts the request as in flight until the connection has taken the whole answer.
-pub(super) fn counted(response: Response, counted: Counted) -> Response {
-    response.map(|body| Body::from_body(CountedBody { body, _counted: counted }))
+pub(super) fn guard_until_sent(response: Response, guard: InFlightGuard) -> Response {
+    response.map(|body| Body::from_body(GuardedBody { body, _guard: guard }))
 }
 
-struct CountedBody {
+struct GuardedBody {
     body: Body,
-    _counted: Counted,
+    _guard: InFlightGuard,
 }
 
-impl http_body::Body for CountedBody {
+impl http_body::Body for GuardedBody {
     type Data = Bytes;
     type Error = <Body as http_body::Body>::Error;
 
--- a/crates/agent/src/ingress/waits.rs
+++ b/crates/agent/src/ingress/caller_timeouts.rs
@@ -13,14 +13,14 @@
 const ROUTES_MAX: usize = 4096;
 
 #[derive(Debug, Default)]
-pub(super) struct Waits {
+pub(super) struct CallerTimeouts {
     routes: Mutex<HashMap<Arc<str>, TimeoutEstimate>>,
 }
 
-impl Waits {
+impl CallerTimeouts {
     /// How long a caller has waited before, that waits for `left` from now on; none: there is no sign that
     /// it has.
-    pub(super) fn waited(&self, route: &HostRoute, left: Duration) -> Option<Duration> {
+    pub(super) fn time_waited_before(&self, route: &HostRoute, left: Duration) -> Option<Duration> {
         let mut all = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
         if all.len() >= ROUTES_MAX && !all.contains_key(&route.name) {
             all.clear();
--- a/crates/agent/src/ingress/default_protocol.rs
+++ b/crates/agent/src/ingress/default_protocol.rs
@@ -19,7 +19,7 @@
 use crate::{
     forward::FinalReply,
     ingress::{
-        COME_BACK,
+        RETRY_AFTER_DEFAULT,
         protocol::{CallHead, CallId, CallerProtocol, answer_response, status_of},
         refusal::Refusal,
         strip_hop_by_hop_headers,
@@ -59,9 +59,9 @@
         Ok(CallHead { host: None, id, id_text: None, deadline, age, fingerprint, headers })
     }
 
-    fn answer(&self, ending: FinalReply, id: &CallId) -> Response {
-        let outcome = ending.reply.outcome();
-        let mut response = match ending.reply {
+    fn answer(&self, final_reply: FinalReply, id: &CallId) -> Response {
+        let outcome = final_reply.reply.outcome();
+        let mut response = match final_reply.reply {
             GateReply::Answered(answer) => answer_response(answer),
             GateReply::Failed { .. } | GateReply::NotOwner { .. } => {
                 let mut response = Response::new(Body::from(format!("{outcome}\n")));
@@ -73,7 +73,7 @@
         headers.insert(OUTCOME, outcome_value(outcome));
         let value = HeaderValue::from_str(&format!("{:x}", id.id.0)).expect("hexadecimal digits");
         headers.insert(REQUEST_ID_HEADER, value);
-        if let Some(after) = ending.retry_after {
+        if let Some(after) = final_reply.retry_after {
             set_retry_after(headers, after);
         }
         response
@@ -89,7 +89,7 @@
         let headers = response.headers_mut();
         headers.insert(OUTCOME, outcome_value(Outcome::NotRun(reason)));
         if *refusal == Refusal::RoutesUnknown {
-            set_retry_after(headers, COME_BACK);
+            set_retry_after(headers, RETRY_AFTER_DEFAULT);
         }
         response
     }
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -8,7 +8,7 @@
 mod default_protocol;
 mod refusal;
 mod server;
-mod waits;
+mod caller_timeouts;
 
 #[cfg(test)]
 mod tests;
@@ -48,8 +48,8 @@
     snapshot::{ServiceRoutes, SnapshotCell},
 };
 
+use caller_timeouts::CallerTimeouts;
 use destination::Destinations;
-use waits::Waits;
 
 pub use announce::{AnnounceProtocol, UpstreamMessage};
 pub use protocol::{CallHead, CallId, CallerProtocol, answer_response, status_of};
@@ -65,9 +65,9 @@
 const ROUTES_WAIT: Duration = Duration::from_secs(1);
 /// When callers may come back to an instance that is stopping: a stop that is near its end and the
 /// start that may follow it take about this long.
-const COME_BACK_AFTER_STOP: Duration = Duration::from_millis(1_500);
+const RETRY_AFTER_STOP: Duration = Duration::from_millis(1_500);
 /// When callers may come back after a refusal that names no time.
-const COME_BACK: Duration = Duration::from_millis(200);
+const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
 
 /// What ingress is made from.
 pub(crate) struct IngressParts {
@@ -86,7 +86,7 @@
 pub(crate) struct Ingress {
     parts: IngressParts,
     destinations: Destinations,
-    waits: Waits,
+    caller_timeouts: CallerTimeouts,
     in_flight: AtomicUsize,
     /// When the last request came; on the process's clock.
     last_request_ns: AtomicU64,
@@ -101,7 +101,7 @@
         Ingress {
             parts,
             destinations: Destinations::default(),
-            waits: Waits::default(),
+            caller_timeouts: CallerTimeouts::default(),
             in_flight: AtomicUsize::new(0),
             last_request_ns: AtomicU64::new(0),
             leaving: AtomicBool::new(false),
@@ -139,12 +139,12 @@
     }
 
     /// Serves one request. Dropping the future cancels it.
-    pub(crate) async fn call(self: &Arc<Ingress>, request: Request) -> Response {
+    pub(crate) async fn serve_request(self: &Arc<Ingress>, request: Request) -> Response {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         self.last_request_ns.store(self.parts.clock.now().ns, Ordering::Relaxed);
-        let counted = Counted(Arc::clone(self));
-        let response = self.answer(request).await;
-        answer::counted(response, counted)
+        let guard = InFlightGuard(Arc::clone(self));
+        let response = self.respond(request).await;
+        answer::guard_until_sent(response, guard)
     }
 
     /// Whether callers are asked to connect elsewhere.
@@ -154,7 +154,7 @@
 
     /// Whether a request may be started before it is its turn: it may be repeated, in case that its answer
     /// does not reach the caller.
-    fn may_start_ahead(&self, parts: &Parts) -> bool {
+    fn may_start_early(&self, parts: &Parts) -> bool {
         if self.is_leaving() {
             return false;
         }
@@ -162,12 +162,12 @@
         self.destinations.is_idempotent(&head, parts, &self.parts.snapshots.load())
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn respond(&self, request: Request) -> Response {
         let (parts, body) = request.into_parts();
         if let Some(announcements) =
             self.parts.announcements.as_ref().filter(|it| it.is_announcement(&parts))
         {
-            return announcements.take(&parts, body).await;
+            return announcements.handle(&parts, body).await;
         }
         let head = match self.parts.protocol.read(&parts) {
             Ok(head) => head,
@@ -177,19 +177,24 @@
         let id = CallId { id, text: head.id_text.clone() };
         if self.closed.load(Ordering::SeqCst) {
             let reply = GateReply::not_run(NotRunReason::Draining);
-            let ending = FinalReply { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
+            let final_reply = FinalReply { reply, retry_after: Some(RETRY_AFTER_STOP) };
             let resent = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
             return self
                 .parts
                 .protocol
-                .answer(if resent { of_resend(ending) } else { ending }, &id);
+                .answer(if resent { as_resend_reply(final_reply) } else { final_reply }, &id);
         }
         let started = self.parts.clock.now();
         match self.forward(&parts, head, id.id, body).await {
-            Ok(Done { team, class, ending }) => {
+            Ok(ForwardedRequest { team, class, final_reply }) => {
                 let spent = self.parts.clock.now().since(started);
-                self.parts.metrics.record_request(&team, &class, ending.reply.outcome(), spent);
-                self.parts.protocol.answer(ending, &id)
+                self.parts.metrics.record_request(
+                    &team,
+                    &class,
+                    final_reply.reply.outcome(),
+                    spent,
+                );
+                self.parts.protocol.answer(final_reply, &id)
             }
             Err(refusal) => self.refuse(&refusal, Some(id.id)),
         }
@@ -206,12 +211,12 @@
         head: CallHead,
         id: RequestId,
         body: Body,
-    ) -> Result<Done, Refusal> {
+    ) -> Result<ForwardedRequest, Refusal> {
         let arrived = self.parts.clock.now();
         let destination =
             self.destinations.find(&head, &parts.uri, &self.parts.snapshots.load())?;
-        let patience = head.deadline.map_or(ROUTES_WAIT, |it| it.min(ROUTES_WAIT));
-        let Some(routes) = self.routes(&destination.service, patience).await else {
+        let wait_max = head.deadline.map_or(ROUTES_WAIT, |it| it.min(ROUTES_WAIT));
+        let Some(routes) = self.routes(&destination.service, wait_max).await else {
             return Err(Refusal::RoutesUnknown);
         };
         let limits = &routes.document.limits;
@@ -221,7 +226,7 @@
         request.body = read(body, limits.body_bytes_max).await?;
         request.fingerprint = request_fingerprint(&request);
         if let (Some(route), Some(left)) = (&destination.route, left) {
-            let waited = self.waits.waited(route, left);
+            let waited = self.caller_timeouts.time_waited_before(route, left);
             request.is_caller_retry = waited.is_some();
             let waited = waited.unwrap_or_default();
             request.objective = request.objective.map(|it| it.saturating_sub(waited));
@@ -232,15 +237,15 @@
         let team = routes.document.team.clone();
         let (class, age) = (request.class.clone(), request.age);
         drop(routes);
-        let mut ending = self.parts.forwarder.send(request, &team).await;
-        match ending.reply.outcome() {
+        let mut final_reply = self.parts.forwarder.send(request, &team).await;
+        match final_reply.reply.outcome() {
             // Coming back is of no use.
             Outcome::NotRun(NotRunReason::Quarantined) => {}
-            Outcome::NotRun(_) => drop(ending.retry_after.get_or_insert(COME_BACK)),
+            Outcome::NotRun(_) => drop(final_reply.retry_after.get_or_insert(RETRY_AFTER_DEFAULT)),
             Outcome::Answered | Outcome::Unknown(_) => {}
         }
-        let ending = if age.is_zero() { ending } else { of_resend(ending) };
-        Ok(Done { team, class, ending })
+        let final_reply = if age.is_zero() { final_reply } else { as_resend_reply(final_reply) };
+        Ok(ForwardedRequest { team, class, final_reply })
     }
 
     /// The service's routes. For one that this agent has not met, control is asked; if it learns
@@ -248,42 +253,42 @@
     async fn routes(
         &self,
         service: &ServiceName,
-        patience: Duration,
+        wait_max: Duration,
     ) -> Option<Arc<ServiceRoutes>> {
         let known = || self.parts.snapshots.load().services.get(service).cloned();
-        let lead_somewhere = |it: &Arc<ServiceRoutes>| it.routes.instances().next().is_some();
-        if let Some(routes) = known().filter(lead_somewhere) {
+        let has_instances = |it: &Arc<ServiceRoutes>| it.routes.instances().next().is_some();
+        if let Some(routes) = known().filter(has_instances) {
             return Some(routes);
         }
         let mut changes = self.parts.snapshots.changes();
         self.parts.reporter.try_report(Report::UnknownService { service: service.clone() });
         let waiting = async {
-            while known().filter(lead_somewhere).is_none() && changes.changed().await.is_ok() {}
+            while known().filter(has_instances).is_none() && changes.changed().await.is_ok() {}
         };
         // Whatever is known when the time is over has to do.
-        _ = timeout(patience, waiting).await;
+        _ = timeout(wait_max, waiting).await;
         known()
     }
 }
 
 /// The end of a request that was sent before, with an end that its caller doesn't know: though
 /// this sending was refused, the earlier one may have run.
-fn of_resend(ending: FinalReply) -> FinalReply {
-    let Outcome::NotRun(_) = ending.reply.outcome() else { return ending };
-    FinalReply { reply: GateReply::unknown(UnknownReason::NoRecord), ..ending }
+fn as_resend_reply(final_reply: FinalReply) -> FinalReply {
+    let Outcome::NotRun(_) = final_reply.reply.outcome() else { return final_reply };
+    FinalReply { reply: GateReply::unknown(UnknownReason::NoRecord), ..final_reply }
 }
 
 /// A request that was sent on, with its labels.
-struct Done {
+struct ForwardedRequest {
     team: TeamName,
     class: ClassName,
-    ending: FinalReply,
+    final_reply: FinalReply,
 }
 
 /// Counts a request down when its answer has left, or its caller.
-pub(crate) struct Counted(Arc<Ingress>);
+pub(crate) struct InFlightGuard(Arc<Ingress>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/agent/src/ingress/protocol.rs
+++ b/crates/agent/src/ingress/protocol.rs
@@ -37,7 +37,7 @@
     /// Reads the head of a request.
     fn read(&self, head: &Parts) -> Result<CallHead, Refusal>;
     /// The response for the end of a request.
-    fn answer(&self, ending: FinalReply, id: &CallId) -> Response;
+    fn answer(&self, final_reply: FinalReply, id: &CallId) -> Response;
     /// The response to a request that goes nowhere.
     fn refuse(&self, refusal: &Refusal) -> Response;
 }
--- a/crates/agent/src/ingress/read_ahead.rs
+++ b/crates/agent/src/ingress/read_ahead.rs
@@ -49,7 +49,7 @@
 
 /// One connection, read ahead of the server. Clones share it.
 #[derive(Clone)]
-pub(super) struct Ahead {
+pub(super) struct ReadAheadStream {
     shared: Arc<Mutex<Shared>>,
     ingress: Arc<Ingress>,
 }
@@ -63,25 +63,25 @@
     /// Requests that the server has begun to serve, and those that it has answered.
     begun: u64,
     answered: u64,
-    started: VecDeque<(u64, Started)>,
+    started: VecDeque<(u64, EarlyRequest)>,
     /// The last request that may not be repeated. Those behind it wait for its answer: they may be meant to
     /// see what it does.
     barrier: Option<u64>,
 }
 
 /// A request that was started ahead. Dropping it cancels it.
-pub(super) struct Started {
+pub(super) struct EarlyRequest {
     head: Parts,
     task: JoinHandle<Response>,
 }
 
-impl Drop for Started {
+impl Drop for EarlyRequest {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Started {
+impl EarlyRequest {
     /// None: it has ended without an answer, so it has to be served anew.
     pub(super) async fn answer(mut self) -> Option<Response> {
         match (&mut self.task).await {
@@ -100,8 +100,8 @@
     }
 }
 
-impl Ahead {
-    pub(super) fn new(stream: TcpStream, ingress: Arc<Ingress>) -> Ahead {
+impl ReadAheadStream {
+    pub(super) fn new(stream: TcpStream, ingress: Arc<Ingress>) -> ReadAheadStream {
         let shared = Shared {
             stream,
             unread: BytesMut::new(),
@@ -112,7 +112,7 @@
             started: VecDeque::new(),
             barrier: None,
         };
-        Ahead { shared: Arc::new(Mutex::new(shared)), ingress }
+        ReadAheadStream { shared: Arc::new(Mutex::new(shared)), ingress }
     }
 
     fn shared(&self) -> MutexGuard<'_, Shared> {
@@ -120,7 +120,7 @@
     }
 
     /// The server begins to serve the next request; this is what was started of it, if so.
-    pub(super) fn take_started(&self, head: &Parts) -> Option<Started> {
+    pub(super) fn take_started(&self, head: &Parts) -> Option<EarlyRequest> {
         let mut shared = self.shared();
         let number = shared.begun;
         shared.begun += 1;
@@ -174,7 +174,7 @@
     /// Looks for heads in what was read from `known` on.
     fn look_through(&mut self, known: usize, ingress: &Arc<Ingress>) {
         for (number, head) in self.scan.take(&self.unread[known..]) {
-            let Some(head) = head.filter(|it| ingress.may_start_ahead(it)) else {
+            let Some(head) = head.filter(|it| ingress.may_start_early(it)) else {
                 self.barrier = Some(number);
                 continue;
             };
@@ -186,13 +186,13 @@
             }
             let request = Request::from_parts(head.clone(), Body::empty());
             let ingress = Arc::clone(ingress);
-            let task = tokio::spawn(async move { ingress.call(request).await });
-            self.started.push_back((number, Started { head, task }));
+            let task = tokio::spawn(async move { ingress.serve_request(request).await });
+            self.started.push_back((number, EarlyRequest { head, task }));
         }
     }
 }
 
-impl rt::Read for Ahead {
+impl rt::Read for ReadAheadStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -213,7 +213,7 @@
     }
 }
 
-impl rt::Write for Ahead {
+impl rt::Write for ReadAheadStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/agent/src/ingress/server.rs
+++ b/crates/agent/src/ingress/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server for callers.
 //!
 //! Callers may send further requests on a connection before the first is answered. The library serves
-//! them one after the other; [`super::ahead`] starts those that may be repeated as soon as they are there.
+//! them one after the other; [`super::caller_stream`] starts those that may be repeated as soon as they are there.
 
 use std::{
     convert::Infallible, future::poll_fn, io, net::TcpListener as StdListener, pin::pin, sync::Arc,
@@ -19,7 +19,7 @@
 
 use crate::ingress::{
     Ingress, answer,
-    read_ahead::{Ahead, PeerState},
+    read_ahead::{PeerState, ReadAheadStream},
 };
 
 /// How long to wait after a failure to accept, as when there are too many open files.
@@ -114,27 +114,32 @@
     ingress: Arc<Ingress>,
     mut ends: watch::Receiver<bool>,
 ) {
-    let ahead = Ahead::new(stream, Arc::clone(&ingress));
+    let caller_stream = ReadAheadStream::new(stream, Arc::clone(&ingress));
     let service = service_fn(|request: http::Request<hyper::body::Incoming>| {
-        let (ahead, ingress) = (ahead.clone(), Arc::clone(&ingress));
+        let (caller_stream, ingress) = (caller_stream.clone(), Arc::clone(&ingress));
         async move {
             let (head, body) = request.into_parts();
-            let response = match ahead.take_started(&head) {
+            let response = match caller_stream.take_started(&head) {
                 Some(started) => started.answer().await,
                 None => None,
             };
             let response = match response {
                 Some(response) => response,
-                None => ingress.call(http::Request::from_parts(head, Body::from_body(body))).await,
+                None => {
+                    ingress
+                        .serve_request(http::Request::from_parts(head, Body::from_body(body)))
+                        .await
+                }
             };
             // A connection that closes may leave nothing behind that was given to an upstream.
-            let more = ahead.answered();
+            let more = caller_stream.answered();
             let closes = ingress.is_leaving() && !more;
             Ok::<_, Infallible>(if closes { answer::closing(response) } else { response })
         }
     });
-    let mut connection = pin!(http1::Builder::new().serve_connection(ahead.clone(), service));
-    let served = poll_fn(|cx| match ahead.poll_read_on(cx) {
+    let mut connection =
+        pin!(http1::Builder::new().serve_connection(caller_stream.clone(), service));
+    let served = poll_fn(|cx| match caller_stream.poll_read_on(cx) {
         PeerState::HungUp => Poll::Ready(Ok(())),
         PeerState::Connected => connection.as_mut().poll(cx),
     });
