--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of the local upstream.
+//! Receives the announcements of the local upstream.
 
 use std::{convert::Infallible, pin::Pin, sync::Arc, time::Duration};
 
@@ -15,36 +15,38 @@
 use crate::{
     clock::Clock,
     gate::UpstreamClock,
-    ingress::read,
+    ingress::read_body,
     report::{Announcement, Report, Reporter, UpstreamId},
 };
 
-/// The largest announcement, in bytes: one that names 300 ranges of keys with the tokens of as many more
-/// has about 30 KB.
-const BYTES_MAX: usize = 64 << 10;
+/// Size limit of an announcement. One that lists 300 ranges of keys and the tokens of as many more has about
+/// 30 KB.
+const ANNOUNCEMENT_BYTES_MAX: usize = 64 << 10;
 
-/// What an upstream says of itself.
+/// A message from the local upstream about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpstreamMessage {
     Announced {
         announcement: Announcement,
-        /// What its monotonic clock shows, in milliseconds, if it says so.
+        /// The upstream's monotonic clock, in milliseconds, if the message contains it.
         clock_ms: Option<u64>,
-        /// What it says of its keys, where it is granted them by its announcements.
+        /// The keys that the upstream holds and has released, if it is granted keys in the responses to its
+        /// announcements.
         keys: Option<HeldKeys>,
     },
-    /// It leaves for good.
+    /// The upstream is stopping and will not announce itself again.
     Leaving {
         upstream_id: UpstreamId,
-        /// When this life of it began, in milliseconds of its time of day, if it says so.
+        /// Start time of this incarnation by the upstream's wall clock, in milliseconds, if the message
+        /// contains it.
         incarnation_start_ms: Option<u64>,
     },
 }
 
-/// Who knows what the upstream is to hold.
+/// Decides which keys the local upstream is granted.
 pub(crate) trait KeyGranter: Send + Sync {
-    /// Takes in what the upstream says of its keys, and resolves to what it is to be told, within a second.
-    /// None: nothing.
+    /// Processes the keys that the upstream reports, and resolves within a second to the keys that it is to
+    /// hold. Resolves to `None` if the response is to list no keys.
     fn keys_to_hold(
         &self,
         announcement: Announcement,
@@ -53,20 +55,20 @@
     ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>>;
 }
 
-/// How the local upstream announces itself.
+/// The format in which the local upstream announces itself.
 pub trait AnnounceProtocol: Send + Sync {
-    /// Whether a request at the caller address is an announcement and not a caller's.
+    /// Returns whether a request at the caller address is an announcement rather than a caller's request.
     fn is_announcement(&self, head: &Parts) -> bool;
-    /// Reads an announcement; the error is what the upstream is told, and its status.
+    /// Reads an announcement. An error is the status and the body of the response.
     fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)>;
-    /// The response to one that has been taken; with what the upstream is to hold, if there is something
-    /// to say about that.
+    /// Builds the response to an accepted announcement, with the keys that the upstream is to hold if there
+    /// are any to list.
     fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response;
-    /// The most runs of keys that fit into a response.
+    /// Returns the largest number of key ranges that fit into a response.
     fn ranges_max(&self) -> usize;
 }
 
-/// Takes announcements to control.
+/// Passes announcements on to control.
 #[derive(Clone)]
 pub(crate) struct Announcements {
     pub(crate) protocol: Arc<dyn AnnounceProtocol>,
@@ -81,9 +83,9 @@
         self.protocol.is_announcement(head)
     }
 
-    /// Takes an announcement and passes it on to control.
+    /// Reads an announcement, passes it on to control and builds the response.
     pub(super) async fn handle(&self, head: &Parts, body: Body) -> Response {
-        let body: Result<Bytes, _> = read(body, BYTES_MAX).await;
+        let body: Result<Bytes, _> = read_body(body, ANNOUNCEMENT_BYTES_MAX).await;
         let message = match body {
             Ok(body) => self.protocol.read(head, &body),
             Err(error) => Err((StatusCode::BAD_REQUEST, error.to_string())),
@@ -94,7 +96,7 @@
                 self.protocol.acknowledge(keys.as_ref())
             }
             Err((status, text)) => {
-                log::warn!(target: "ingress", "Refused an announcement: {text}.");
+                log::warn!(target: "ingress", "Rejected an announcement of the upstream: {text}.");
                 let mut response = Response::new(Body::from(text));
                 *response.status_mut() = status;
                 response
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Resolves to what the upstream is to hold, if there is something to say about that.
+    /// Reports the message to control. Resolves to the keys that the upstream is to hold, if the response is
+    /// to list them.
     async fn forward_to_control(&self, message: UpstreamMessage) -> Option<KeysToHold> {
         match message {
             UpstreamMessage::Announced { announcement, clock_ms, keys } => {
@@ -134,22 +137,22 @@
     }
 }
 
-/// Serves an address that is for announcements alone, for ever.
+/// Serves a separate address for announcements until the process ends.
 pub(crate) async fn serve_announcements(listener: TcpListener, announcements: Announcements) {
     let server = Server::new(announcements)
-        // Signals are none of its business: it ends with the process.
+        // Never shut down by a signal: the server ends with the process.
         .register_shutdown_hook(|| Box::pin(std::future::pending()));
     if let Err(error) = server.run(DefaultIncoming::from(listener)).await {
-        log::error!(target: "ingress", "The server for announcements ended: {error}.");
+        log::error!(target: "ingress", "The announcement server failed and no longer answers: {error}.");
     }
 }
 
-/// The product's own form.
+/// The default format: JSON in the body of a POST.
 #[derive(Debug)]
 pub(crate) struct DefaultAnnounceProtocol;
 
 impl DefaultAnnounceProtocol {
-    /// Paths that are the upstream's own.
+    /// Prefix of the paths that are reserved for the upstream.
     const PREFIX: &str = "/upstream/";
     const PATH: &str = "/upstream/announce";
 }
@@ -162,9 +165,12 @@
     fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
         let refuse = |status, text: &str| Err((status, text.to_owned()));
         match () {
-            _ if head.uri.path() != Self::PATH => refuse(StatusCode::NOT_FOUND, "no such call"),
+            _ if head.uri.path() != Self::PATH => refuse(
+                StatusCode::NOT_FOUND,
+                "unknown path; announcements go to /upstream/announce",
+            ),
             _ if head.method != Method::POST => {
-                refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement is a POST")
+                refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement must be sent by POST")
             }
             _ => {
                 let announced: Announced = serde_json::from_slice(body)
@@ -183,7 +189,7 @@
         Response::new(Body::from(String::new()))
     }
 
-    /// Its upstreams are told of grants by calls.
+    /// Returns 0, since upstreams of this protocol get their grants by calls of the agent.
     fn ranges_max(&self) -> usize {
         0
     }
--- a/crates/agent/src/ingress/answer.rs
+++ b/crates/agent/src/ingress/answer.rs
@@ -1,4 +1,4 @@
-//! Responses on their way to the caller's connection.
+//! Adapts responses before they are passed to the caller's connection.
 
 use std::{
     pin::Pin,
@@ -11,13 +11,13 @@
 
 use crate::ingress::InFlightGuard;
 
-/// Asks the caller to close its connection.
-pub(super) fn closing(mut response: Response) -> Response {
+/// Adds the header that asks the caller to close its connection.
+pub(super) fn with_connection_close(mut response: Response) -> Response {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// Counts the request as in flight until the connection has taken the whole answer.
+/// Keeps the request counted as in flight until the connection has consumed the whole body.
 pub(super) fn guard_until_sent(response: Response, guard: InFlightGuard) -> Response {
     response.map(|body| Body::from_body(GuardedBody { body, _guard: guard }))
 }
--- a/crates/agent/src/ingress/caller_timeouts.rs
+++ b/crates/agent/src/ingress/caller_timeouts.rs
@@ -1,4 +1,4 @@
-//! What callers of each route usually bring in time, by which those that come back are known.
+//! Estimates the usual timeout of each route's callers. A request with less time left is probably a retry.
 
 use std::{
     collections::HashMap,
@@ -9,22 +9,23 @@
 use settings::HostRoute;
 use traffic::TimeoutEstimate;
 
-/// Routes whose callers are known; more start anew.
+/// Largest number of routes with an estimate; beyond it all estimates are discarded.
 const ROUTES_MAX: usize = 4096;
 
+/// Timeout estimates by the name of the host route.
 #[derive(Debug, Default)]
 pub(super) struct CallerTimeouts {
     routes: Mutex<HashMap<Arc<str>, TimeoutEstimate>>,
 }
 
 impl CallerTimeouts {
-    /// How long a caller has waited before, that waits for `left` from now on; none: there is no sign that
-    /// it has.
+    /// Updates the route's estimate with the time left of one caller. Returns how long the caller has probably
+    /// waited before this sending, or `None` if this looks like its first one.
     pub(super) fn time_waited_before(&self, route: &HostRoute, left: Duration) -> Option<Duration> {
-        let mut all = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
-        if all.len() >= ROUTES_MAX && !all.contains_key(&route.name) {
-            all.clear();
+        let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
+        if routes.len() >= ROUTES_MAX && !routes.contains_key(&route.name) {
+            routes.clear();
         }
-        all.entry(Arc::clone(&route.name)).or_default().observe(left)
+        routes.entry(Arc::clone(&route.name)).or_default().observe(left)
     }
 }
--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Where callers come in: HTTP on the caller address, in the form that [`CallerProtocol`] reads.
+//! Receives callers' requests: HTTP on the caller address, in the format that a [`CallerProtocol`] reads.
 
 mod read_ahead;
 mod announce;
@@ -61,21 +61,20 @@
 pub(crate) use default_protocol::DefaultCallerProtocol;
 pub(crate) use server::serve;
 
-/// How long a first request waits for the routes of a service that this agent has not met.
-const ROUTES_WAIT: Duration = Duration::from_secs(1);
-/// When callers may come back to an instance that is stopping: a stop that is near its end and the
-/// start that may follow it take about this long.
+/// Longest wait of a request for the routes of a service that this agent has not seen before.
+const ROUTES_WAIT_MAX: Duration = Duration::from_secs(1);
+/// Retry-after time while the instance stops: about the time for the end of the stop and a start after it.
 const RETRY_AFTER_STOP: Duration = Duration::from_millis(1_500);
-/// When callers may come back after a refusal that names no time.
+/// Retry-after time for refusals that specify none.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
 
-/// What ingress is made from.
+/// Parts from which ingress is built.
 pub(crate) struct IngressParts {
     pub(crate) clock: Clock,
     pub(crate) snapshots: Arc<SnapshotCell>,
     pub(crate) forwarder: Forwarder,
     pub(crate) reporter: Reporter,
-    /// None where the upstream announces itself at an address of its own.
+    /// `None` if the upstream announces itself at a separate address.
     pub(crate) announcements: Option<Announcements>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Arc<RequestLog>,
@@ -88,12 +87,12 @@
     destinations: Destinations,
     caller_timeouts: CallerTimeouts,
     in_flight: AtomicUsize,
-    /// When the last request came; on the process's clock.
+    /// Arrival time of the last request on the process's clock, in nanoseconds.
     last_request_ns: AtomicU64,
-    /// The instance is leaving: callers are asked to connect elsewhere.
-    leaving: AtomicBool,
-    /// The process is about to end: nothing more is taken.
-    closed: AtomicBool,
+    /// Set while the instance is leaving and callers are asked to connect elsewhere.
+    is_leaving: AtomicBool,
+    /// Set shortly before the process ends, when new requests are refused.
+    is_closed: AtomicBool,
 }
 
 impl Ingress {
@@ -104,23 +103,23 @@
             caller_timeouts: CallerTimeouts::default(),
             in_flight: AtomicUsize::new(0),
             last_request_ns: AtomicU64::new(0),
-            leaving: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
+            is_leaving: AtomicBool::new(false),
+            is_closed: AtomicBool::new(false),
         }
     }
 
-    /// Requests whose answer has not been handed to the connection.
+    /// Returns how many requests have responses that have not been passed to the connection in full.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Waits until no request has come for `quiet`, but no longer than `max`.
+    /// Waits until no request has arrived for `quiet`, but at most for `max`.
     pub(crate) async fn wait_quiet(&self, quiet: Duration, max: Duration) {
         let clock = self.parts.clock;
-        let began = clock.now();
+        let started = clock.now();
         loop {
             let last = Timestamp { ns: self.last_request_ns.load(Ordering::Relaxed) };
-            let until = (last.max(began) + quiet).min(began + max);
+            let until = (last.max(started) + quiet).min(started + max);
             if clock.now() >= until {
                 return;
             }
@@ -128,14 +127,14 @@
         }
     }
 
-    /// Serves on, and asks callers to connect elsewhere.
+    /// Continues to serve, but asks callers to connect elsewhere.
     pub(crate) fn leave(&self) {
-        self.leaving.store(true, Ordering::SeqCst);
+        self.is_leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Refuses everything from now on, as not run.
+    /// Refuses all further requests as not run.
     pub(crate) fn close(&self) {
-        self.closed.store(true, Ordering::SeqCst);
+        self.is_closed.store(true, Ordering::SeqCst);
     }
 
     /// Serves one request. Dropping the future cancels it.
@@ -147,13 +146,13 @@
         answer::guard_until_sent(response, guard)
     }
 
-    /// Whether callers are asked to connect elsewhere.
+    /// Returns whether callers are asked to connect elsewhere.
     fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::SeqCst)
+        self.is_leaving.load(Ordering::SeqCst)
     }
 
-    /// Whether a request may be started before it is its turn: it may be repeated, in case that its answer
-    /// does not reach the caller.
+    /// Returns whether a pipelined request may be started before the earlier ones are answered. It has to be
+    /// idempotent, since its caller sends it again if the answer does not arrive.
     fn may_start_early(&self, parts: &Parts) -> bool {
         if self.is_leaving() {
             return false;
@@ -175,14 +174,14 @@
         };
         let id = head.id.unwrap_or_else(|| RequestId(rand::random()));
         let id = CallId { id, text: head.id_text.clone() };
-        if self.closed.load(Ordering::SeqCst) {
+        if self.is_closed.load(Ordering::SeqCst) {
             let reply = GateReply::not_run(NotRunReason::Draining);
             let final_reply = FinalReply { reply, retry_after: Some(RETRY_AFTER_STOP) };
-            let resent = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
+            let is_resend = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
             return self
                 .parts
                 .protocol
-                .answer(if resent { as_resend_reply(final_reply) } else { final_reply }, &id);
+                .answer(if is_resend { as_resend_reply(final_reply) } else { final_reply }, &id);
         }
         let started = self.parts.clock.now();
         match self.forward(&parts, head, id.id, body).await {
@@ -201,7 +200,7 @@
     }
 
     fn refuse(&self, refusal: &Refusal, id: Option<RequestId>) -> Response {
-        self.parts.log.refused(id, refusal);
+        self.parts.log.log_refusal(id, refusal);
         self.parts.protocol.refuse(refusal)
     }
 
@@ -212,26 +211,26 @@
         id: RequestId,
         body: Body,
     ) -> Result<ForwardedRequest, Refusal> {
-        let arrived = self.parts.clock.now();
+        let arrived_at = self.parts.clock.now();
         let destination =
             self.destinations.find(&head, &parts.uri, &self.parts.snapshots.load())?;
-        let wait_max = head.deadline.map_or(ROUTES_WAIT, |it| it.min(ROUTES_WAIT));
+        let wait_max = head.deadline.map_or(ROUTES_WAIT_MAX, |it| it.min(ROUTES_WAIT_MAX));
         let Some(routes) = self.routes(&destination.service, wait_max).await else {
             return Err(Refusal::RoutesUnknown);
         };
         let limits = &routes.document.limits;
-        check_size(&parts.headers, &parts.uri, limits.header_bytes_max)?;
-        let left = head.deadline;
+        check_header_size(&parts.headers, &parts.uri, limits.header_bytes_max)?;
+        let timeout_left = head.deadline;
         let mut request = gate_request(&routes, &destination, parts, head, id)?;
-        request.body = read(body, limits.body_bytes_max).await?;
+        request.body = read_body(body, limits.body_bytes_max).await?;
         request.fingerprint = request_fingerprint(&request);
-        if let (Some(route), Some(left)) = (&destination.route, left) {
-            let waited = self.caller_timeouts.time_waited_before(route, left);
-            request.is_caller_retry = waited.is_some();
-            let waited = waited.unwrap_or_default();
-            request.objective = request.objective.map(|it| it.saturating_sub(waited));
+        if let (Some(route), Some(left)) = (&destination.route, timeout_left) {
+            let waited_before = self.caller_timeouts.time_waited_before(route, left);
+            request.is_caller_retry = waited_before.is_some();
+            let waited_before = waited_before.unwrap_or_default();
+            request.objective = request.objective.map(|it| it.saturating_sub(waited_before));
         }
-        let spent = self.parts.clock.now().since(arrived);
+        let spent = self.parts.clock.now().since(arrived_at);
         request.remaining = request.remaining.saturating_sub(spent);
         request.objective = request.objective.map(|it| it.saturating_sub(spent));
         let team = routes.document.team.clone();
@@ -239,7 +238,7 @@
         drop(routes);
         let mut final_reply = self.parts.forwarder.send(request, &team).await;
         match final_reply.reply.outcome() {
-            // Coming back is of no use.
+            // A retry would be refused as well.
             Outcome::NotRun(NotRunReason::Quarantined) => {}
             Outcome::NotRun(_) => drop(final_reply.retry_after.get_or_insert(RETRY_AFTER_DEFAULT)),
             Outcome::Answered | Outcome::Unknown(_) => {}
@@ -248,44 +247,44 @@
         Ok(ForwardedRequest { team, class, final_reply })
     }
 
-    /// The service's routes. For one that this agent has not met, control is asked; if it learns
-    /// of nobody in time, the routes lead nowhere.
+    /// Returns the service's routes. Asks control to look up a service that has no known instance, and waits
+    /// for the result up to `wait_max`; the routes returned then may still have no instance.
     async fn routes(
         &self,
         service: &ServiceName,
         wait_max: Duration,
     ) -> Option<Arc<ServiceRoutes>> {
-        let known = || self.parts.snapshots.load().services.get(service).cloned();
+        let current = || self.parts.snapshots.load().services.get(service).cloned();
         let has_instances = |it: &Arc<ServiceRoutes>| it.routes.instances().next().is_some();
-        if let Some(routes) = known().filter(has_instances) {
+        if let Some(routes) = current().filter(has_instances) {
             return Some(routes);
         }
         let mut changes = self.parts.snapshots.changes();
         self.parts.reporter.try_report(Report::UnknownService { service: service.clone() });
         let waiting = async {
-            while known().filter(has_instances).is_none() && changes.changed().await.is_ok() {}
+            while current().filter(has_instances).is_none() && changes.changed().await.is_ok() {}
         };
-        // Whatever is known when the time is over has to do.
+        // After a timeout, the routes known so far are used.
         _ = timeout(wait_max, waiting).await;
-        known()
+        current()
     }
 }
 
-/// The end of a request that was sent before, with an end that its caller doesn't know: though
-/// this sending was refused, the earlier one may have run.
+/// Replaces a not-run outcome by an unknown one, for a request that its caller sent before without learning
+/// the outcome: this sending was refused, but the earlier one may have run.
 fn as_resend_reply(final_reply: FinalReply) -> FinalReply {
     let Outcome::NotRun(_) = final_reply.reply.outcome() else { return final_reply };
     FinalReply { reply: GateReply::unknown(UnknownReason::NoRecord), ..final_reply }
 }
 
-/// A request that was sent on, with its labels.
+/// The reply to a forwarded request, with the labels of its metrics.
 struct ForwardedRequest {
     team: TeamName,
     class: ClassName,
     final_reply: FinalReply,
 }
 
-/// Counts a request down when its answer has left, or its caller.
+/// Counts a request as in flight until it is dropped, when the response has been sent or the caller has left.
 pub(crate) struct InFlightGuard(Arc<Ingress>);
 
 impl Drop for InFlightGuard {
@@ -294,12 +293,12 @@
     }
 }
 
-/// Requests of one host route are of one kind. There are more routes than kinds, so some share theirs.
+/// Returns the kind of a host route's requests. There are more routes than kinds, so some routes share one.
 fn kind_of(route: &HostRoute) -> u8 {
     key_hash(route.name.as_bytes()).0 as u8
 }
 
-/// The request for the gate; its body is still to come.
+/// Builds the request for the gate, without its body.
 fn gate_request(
     routes: &ServiceRoutes,
     destination: &destination::Destination,
@@ -338,7 +337,7 @@
     })
 }
 
-/// What a request asks for, once its body is there.
+/// Computes the fingerprint of a request whose body is complete, from that of its headers.
 fn request_fingerprint(request: &GateRequest) -> Fingerprint {
     Fingerprint::of([
         &request.fingerprint.0.to_le_bytes()[..],
@@ -348,7 +347,7 @@
     ])
 }
 
-fn check_size(headers: &HeaderMap, uri: &Uri, bytes_max: usize) -> Result<(), Refusal> {
+fn check_header_size(headers: &HeaderMap, uri: &Uri, bytes_max: usize) -> Result<(), Refusal> {
     let all = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
     let uri = uri.path_and_query().map_or(0, |it| it.as_str().len());
     match all.sum::<usize>() + uri {
@@ -357,7 +356,7 @@
     }
 }
 
-/// Takes out what is about one connection only.
+/// Removes the headers that apply to a single connection only.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -384,8 +383,8 @@
     headers.remove("keep-alive");
 }
 
-async fn read(body: Body, bytes_max: usize) -> Result<bytes::Bytes, Refusal> {
-    // What says that it is too large is refused before it is sent.
+async fn read_body(body: Body, bytes_max: usize) -> Result<bytes::Bytes, Refusal> {
+    // A body whose announced length is too large is refused before it is received.
     if http_body::Body::size_hint(&body).lower() > bytes_max as u64 {
         return Err(Refusal::BodyTooLarge { bytes_max });
     }
--- a/crates/agent/src/ingress/server.rs
+++ b/crates/agent/src/ingress/server.rs
@@ -134,7 +134,11 @@
             // A connection that closes may leave nothing behind that was given to an upstream.
             let more = caller_stream.answered();
             let closes = ingress.is_leaving() && !more;
-            Ok::<_, Infallible>(if closes { answer::closing(response) } else { response })
+            Ok::<_, Infallible>(if closes {
+                answer::with_connection_close(response)
+            } else {
+                response
+            })
         }
     });
     let mut connection =
--- a/crates/agent/src/request_log/mod.rs
+++ b/crates/agent/src/request_log/mod.rs
@@ -77,7 +77,7 @@
 
     /// A request that goes nowhere: its head or its body is not as it has to be. One whose head can't be
     /// read has no id; zero stands for it.
-    pub(crate) fn refused(&self, id: Option<RequestId>, refusal: &Refusal) {
+    pub(crate) fn log_refusal(&self, id: Option<RequestId>, refusal: &Refusal) {
         let Some(left_out) = self.ingress.take(self.clock.now()) else { return };
         log::info!(
             target: TARGET,
