--- a/crates/agent/src/ingress/default_protocol.rs
+++ b/crates/agent/src/ingress/default_protocol.rs
@@ -1,8 +1,8 @@
-//! The product's own form of callers' requests and answers.
+//! The default HTTP protocol between callers and the agent.
 //!
-//! A caller sends an id again only after the former sending has ended: by its answer, by closing
-//! the connection, or by its deadline. `x-first-sent-ms` is then the time since the first sending
-//! that did not end as not run; if all did, the header is left out.
+//! A caller resends an id only after the previous sending has ended: by its response, by closing the
+//! connection or by its deadline. `x-first-sent-ms` is then the time since the first sending that did not
+//! end as not run. The header is omitted if all of them ended so.
 
 use std::time::Duration;
 
@@ -27,34 +27,34 @@
     request::GateReply,
 };
 
-/// The header that names the time left, in milliseconds.
+/// Header with the time left until the deadline, in milliseconds.
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The header that names the time, in milliseconds, since the first sending of the same id whose end
-/// the caller does not know. Sendings that ended as not run don't count.
+/// Header with the time in milliseconds since the first sending of the same id whose outcome the caller does
+/// not know. Sendings that ended as not run do not count.
 pub(super) const FIRST_SENT_HEADER: HeaderName = HeaderName::from_static("x-first-sent-ms");
-/// Headers in which attempts of the same request may differ, beside those above.
-const OF_ONE_ATTEMPT: [HeaderName; 4] = [
+/// Headers that may differ between attempts of the same request, besides those above.
+const VARIES_BY_ATTEMPT: [HeaderName; 4] = [
     DATE,
     USER_AGENT,
     HeaderName::from_static("traceparent"),
     HeaderName::from_static("tracestate"),
 ];
 const OUTCOME: HeaderName = HeaderName::from_static(OUTCOME_HEADER);
-/// The time of `retry-after` to the millisecond.
+/// Header with the `retry-after` time in milliseconds.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 
-/// The product's own form.
+/// The default protocol, see the module documentation.
 #[derive(Debug)]
 pub(crate) struct DefaultCallerProtocol;
 
 impl CallerProtocol for DefaultCallerProtocol {
     fn read(&self, head: &Parts) -> Result<CallHead, Refusal> {
-        let given = head.headers.get(REQUEST_ID_HEADER);
-        let id = given.map(|it| parse_id(it.to_str().unwrap_or_default())).transpose()?;
+        let id_value = head.headers.get(REQUEST_ID_HEADER);
+        let id = id_value.map(|it| parse_id(it.to_str().unwrap_or_default())).transpose()?;
         let deadline = parse_ms(&head.headers, DEADLINE_HEADER)?;
         let age = parse_ms(&head.headers, FIRST_SENT_HEADER)?.unwrap_or_default();
         let mut headers = head.headers.clone();
-        strip(&mut headers);
+        strip_own_headers(&mut headers);
         let fingerprint = headers_fingerprint(&headers);
         Ok(CallHead { host: None, id, id_text: None, deadline, age, fingerprint, headers })
     }
@@ -95,10 +95,12 @@
     }
 }
 
-/// Of all that the upstream is given but for what traces a single attempt.
+/// Computes the fingerprint of the headers passed to the upstream, without those that vary by attempt.
 fn headers_fingerprint(headers: &HeaderMap) -> Fingerprint {
-    let counted = headers.iter().filter(|(name, _)| !OF_ONE_ATTEMPT.contains(name));
-    Fingerprint::of(counted.flat_map(|(name, value)| [name.as_str().as_bytes(), value.as_bytes()]))
+    let fingerprinted = headers.iter().filter(|(name, _)| !VARIES_BY_ATTEMPT.contains(name));
+    Fingerprint::of(
+        fingerprinted.flat_map(|(name, value)| [name.as_str().as_bytes(), value.as_bytes()]),
+    )
 }
 
 fn outcome_value(outcome: Outcome) -> HeaderValue {
@@ -115,12 +117,13 @@
 }
 
 fn parse_id(text: &str) -> Result<RequestId, Refusal> {
-    let reason = "1 to 32 hexadecimal digits";
-    let wrong = || Refusal::Header { header: HeaderName::from_static(REQUEST_ID_HEADER), reason };
-    let digits = !text.is_empty() && text.bytes().all(|it| it.is_ascii_hexdigit());
+    let expected = "1 to 32 hexadecimal digits";
+    let invalid =
+        || Refusal::Header { header: HeaderName::from_static(REQUEST_ID_HEADER), expected };
+    let is_hexadecimal = !text.is_empty() && text.bytes().all(|it| it.is_ascii_hexdigit());
     match u128::from_str_radix(text, 16) {
-        Ok(id) if digits && text.len() <= 32 => Ok(RequestId(id)),
-        _ => Err(wrong()),
+        Ok(id) if is_hexadecimal && text.len() <= 32 => Ok(RequestId(id)),
+        _ => Err(invalid()),
     }
 }
 
@@ -128,12 +131,12 @@
     let Some(value) = headers.get(&header) else { return Ok(None) };
     match value.to_str().ok().and_then(|it| it.trim().parse().ok()) {
         Some(ms) => Ok(Some(Duration::from_millis(ms))),
-        None => Err(Refusal::Header { header, reason: "a whole number of milliseconds" }),
+        None => Err(Refusal::Header { header, expected: "a whole number of milliseconds" }),
     }
 }
 
-/// Takes out what belongs to the caller's connection and what the gate sets itself.
-fn strip(headers: &mut HeaderMap) {
+/// Removes the headers that belong to the caller's connection and those that the gate sets itself.
+fn strip_own_headers(headers: &mut HeaderMap) {
     strip_hop_by_hop_headers(headers);
     headers.remove(HOST);
     headers.remove(DEADLINE_HEADER);
--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -1,4 +1,4 @@
-//! Where a request is to go: by the first segment of its path, or by host and longest prefix.
+//! Finds the service that a request is for: by the first segment of its path, or by host and longest prefix.
 
 use std::{
     collections::HashMap,
@@ -15,23 +15,23 @@
     snapshot::{ServiceRoutes, Snapshot},
 };
 
-/// First segments that mean something else to upstreams or this agent.
+/// First path segments that are reserved for calls to upstreams or to this agent.
 const RESERVED: [&str; 3] = ["control", "upstream", "admin"];
-/// Routes over several services whose turns are kept; more start anew.
-const TURNS_MAX: usize = 4096;
+/// Largest number of host routes with a round-robin state; beyond it all states are discarded.
+const ROUND_ROBINS_MAX: usize = 4096;
 
-/// Where a request is to go.
+/// The service that a request is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Destination {
     pub(super) service: ServiceName,
-    /// The route of the host, where hosts select the service.
+    /// The host route, if hosts select the service.
     pub(super) route: Option<Arc<HostRoute>>,
 }
 
-/// Finds destinations; remembers whose turn it is where a route leads to several services.
+/// Finds destinations, and keeps the round-robin state of host routes with several services.
 #[derive(Debug, Default)]
 pub(super) struct Destinations {
-    turns: Mutex<HashMap<Arc<str>, WeightedRoundRobin>>,
+    round_robins: Mutex<HashMap<Arc<str>, WeightedRoundRobin>>,
 }
 
 impl Destinations {
@@ -43,13 +43,13 @@
     ) -> Result<Destination, Refusal> {
         match (&head.host, &snapshot.routing) {
             (None, _) => by_segment(uri),
-            // Whether there is such a route is not for an agent to say that knows of none at all.
+            // Without any host routes the agent cannot tell whether this one exists.
             (Some(_), None) => Err(Refusal::RoutesUnknown),
             (Some(host), Some(table)) => self.by_host(host, uri, table),
         }
     }
 
-    /// Whether the route of a request says that it may be repeated; false where there is none.
+    /// Returns whether the request's route marks it as idempotent; false if there is no route.
     pub(super) fn is_idempotent(
         &self,
         head: &CallHead,
@@ -69,24 +69,24 @@
         let route = table.find(host, uri.path()).ok_or(Refusal::NoHostRoute)?;
         let backend = match route.backends.as_slice() {
             [only] => only,
-            several => &several[self.turn(route)],
+            several => &several[self.next_backend(route)],
         };
         Ok(Destination { service: backend.service.clone(), route: Some(Arc::clone(route)) })
     }
 
-    fn turn(&self, route: &HostRoute) -> usize {
+    fn next_backend(&self, route: &HostRoute) -> usize {
         let weights: Vec<u32> = route.backends.iter().map(|it| it.weight).collect();
-        let mut all = self.turns.lock().unwrap_or_else(PoisonError::into_inner);
-        if all.len() >= TURNS_MAX {
+        let mut all = self.round_robins.lock().unwrap_or_else(PoisonError::into_inner);
+        if all.len() >= ROUND_ROBINS_MAX {
             all.clear();
         }
-        let turns = all
+        let round_robin = all
             .entry(Arc::clone(&route.name))
             .or_insert_with(|| WeightedRoundRobin::new(weights.clone(), &mut rand::rng()));
-        if turns.weights() != weights {
-            *turns = WeightedRoundRobin::new(weights, &mut rand::rng());
+        if round_robin.weights() != weights {
+            *round_robin = WeightedRoundRobin::new(weights, &mut rand::rng());
         }
-        turns.next_index().unwrap_or(0)
+        round_robin.next_index().unwrap_or(0)
     }
 }
 
@@ -102,7 +102,8 @@
     }
 }
 
-/// The same as [`Destinations::is_idempotent`], where the first segment of the path names the service.
+/// Like [`Destinations::is_idempotent`], for requests whose first path segment is the service. `None` if there
+/// is no route.
 fn is_idempotent_by_segment(head: &CallHead, parts: &Parts, snapshot: &Snapshot) -> Option<bool> {
     let destination = by_segment(&parts.uri).ok()?;
     let routes = snapshot.services.get(&destination.service)?;
@@ -112,7 +113,7 @@
 }
 
 impl Destination {
-    /// The path that the routes of the service's document are about.
+    /// Returns the path to match against the routes of the service's document.
     pub(super) fn document_path<'a>(&self, uri: &'a Uri) -> &'a str {
         match self.route {
             Some(_) => uri.path(),
@@ -124,7 +125,7 @@
     }
 }
 
-/// The route of the document, and the place of the key.
+/// Finds the document's route for a request, and the hash of the key if the route has one.
 pub(super) fn route_and_key<'a>(
     routes: &'a ServiceRoutes,
     method: &str,
@@ -138,19 +139,19 @@
         RouteError::NoHeader(_) | RouteError::EmptySegment(_) => Refusal::NoKey(error),
     })?;
     let key = match &found.key {
-        Some(key) => Some(place(document, key)?),
+        Some(key) => Some(hash_key(document, key)?),
         None => None,
     };
     Ok((found, key))
 }
 
-fn place(document: &ServiceDocument, key: &[u8]) -> Result<KeyHash, Refusal> {
+fn hash_key(document: &ServiceDocument, key: &[u8]) -> Result<KeyHash, Refusal> {
     match document.ordered_keys {
         None => Ok(key_hash(key)),
-        Some(keys) => ordered_place(keys, key).ok_or(Refusal::KeyOutOfRange),
+        Some(keys) => ordered_key_hash(keys, key).ok_or(Refusal::KeyOutOfRange),
     }
 }
 
-fn ordered_place(keys: OrderedKeys, key: &[u8]) -> Option<KeyHash> {
+fn ordered_key_hash(keys: OrderedKeys, key: &[u8]) -> Option<KeyHash> {
     keys.place(std::str::from_utf8(key).ok()?.parse().ok()?)
 }
--- a/crates/agent/src/ingress/protocol.rs
+++ b/crates/agent/src/ingress/protocol.rs
@@ -1,4 +1,4 @@
-//! The form of callers' requests, and of what they are answered, as a trait.
+//! The protocol between callers and the agent, as a trait.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,44 +12,44 @@
     ingress::{refusal::Refusal, strip_hop_by_hop_headers},
 };
 
-/// What the head of a request says, apart from its method and path.
+/// The head of a request, apart from its method and path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallHead {
-    /// Selects the route, together with the path. None: the first segment of the path names the
-    /// service.
+    /// Selects the route, together with the path. `None` if the first segment of the path is the service.
     pub host: Option<Arc<str>>,
-    /// None: the caller has given the request no name.
+    /// `None` if the caller has given the request no id.
     pub id: Option<RequestId>,
-    /// The name as the caller wrote it, to be given back.
+    /// The id as the caller wrote it, returned with the response.
     pub id_text: Option<HeaderValue>,
-    /// How long the caller waits, if it says so.
+    /// Time that the caller waits for the answer, if it states one.
     pub deadline: Option<Duration>,
-    /// Time since the first sending of this id whose end the caller does not know; zero: this is it.
+    /// Time since the first sending of this id whose outcome the caller does not know; zero if this is the
+    /// first.
     pub age: Duration,
-    /// Of the headers that count for what is asked for: attempts of the same request agree in them.
+    /// Fingerprint of the headers in which attempts of the same request agree.
     pub fingerprint: Fingerprint,
-    /// What the upstream is given of the headers.
+    /// The headers to pass to the upstream.
     pub headers: HeaderMap,
 }
 
-/// How callers speak.
+/// The format of callers' requests and of the responses to them.
 pub trait CallerProtocol: Send + Sync {
     /// Reads the head of a request.
     fn read(&self, head: &Parts) -> Result<CallHead, Refusal>;
-    /// The response for the end of a request.
+    /// Builds the response from the final reply to a request.
     fn answer(&self, final_reply: FinalReply, id: &CallId) -> Response;
-    /// The response to a request that goes nowhere.
+    /// Builds the response to a request that ingress refuses.
     fn refuse(&self, refusal: &Refusal) -> Response;
 }
 
-/// The name of a request: as it is known in here, and as its caller wrote it.
+/// The id of a request, parsed and as its caller wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallId {
     pub id: RequestId,
     pub text: Option<HeaderValue>,
 }
 
-/// An upstream's whole answer as the response to its caller: all but what is about one connection.
+/// Builds the response to a caller from an upstream's answer, without hop-by-hop headers.
 pub fn answer_response(answer: Answer) -> Response {
     let mut response = Response::new(Body::from(answer.body));
     *response.status_mut() = answer.status;
@@ -58,7 +58,8 @@
     response
 }
 
-/// The status for an outcome: 503 promises that the request has not run; 502 and 504 promise nothing.
+/// Returns the HTTP status for an outcome. 503 guarantees that the request was not run; 502 and 504 leave
+/// that open.
 pub fn status_of(outcome: Outcome) -> StatusCode {
     match outcome {
         Outcome::Answered => StatusCode::OK,
--- a/crates/agent/src/ingress/refusal.rs
+++ b/crates/agent/src/ingress/refusal.rs
@@ -1,36 +1,36 @@
-//! Why a request goes nowhere.
+//! Refusals: the reasons for which ingress does not forward a request.
 
 use http::{HeaderName, StatusCode};
 use settings::RouteError;
 
-/// Why a request goes nowhere.
+/// The reason for which ingress does not forward a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Refusal {
-    #[error("the path's first segment names no service")]
+    #[error("the first segment of the path is not the name of a service")]
     NoService,
-    #[error("no route leads on from this host and path")]
+    #[error("there is no route for this host and path")]
     NoHostRoute,
-    #[error("the routes of this service are not known here yet")]
+    #[error("this agent does not know the routes of the service yet")]
     RoutesUnknown,
     #[error("{0}")]
     NoRoute(RouteError),
     #[error("{0}")]
     NoKey(RouteError),
-    #[error("the key is no whole number, or too large a one")]
+    #[error("the key is not a whole number or is out of range")]
     KeyOutOfRange,
-    #[error("{header}: {reason}")]
-    Header { header: HeaderName, reason: &'static str },
-    #[error("the headers have more than {bytes_max} bytes")]
+    #[error("the header {header} is not {expected}")]
+    Header { header: HeaderName, expected: &'static str },
+    #[error("the path and headers exceed {bytes_max} bytes")]
     HeadersTooLarge { bytes_max: usize },
-    #[error("the body has more than {bytes_max} bytes")]
+    #[error("the body exceeds {bytes_max} bytes")]
     BodyTooLarge { bytes_max: usize },
-    #[error("the body broke off")]
+    #[error("the body ended before it was complete")]
     BodyBroken,
 }
 
 impl Refusal {
-    /// The status that says so in HTTP.
+    /// Returns the HTTP status of the refusal.
     pub fn status(&self) -> StatusCode {
         match self {
             Refusal::NoService | Refusal::NoHostRoute | Refusal::NoRoute(_) => {
