--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -138,7 +138,7 @@
     }
 
     /// Serves one request. Dropping the future cancels it.
-    pub(crate) async fn serve_request(self: &Arc<Ingress>, request: Request) -> Response {
+    pub(crate) async fn serve(self: &Arc<Ingress>, request: Request) -> Response {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         self.last_request_ns.store(self.parts.clock.now().ns, Ordering::Relaxed);
         let guard = InFlightGuard(Arc::clone(self));
--- a/crates/agent/src/ingress/read_ahead.rs
+++ b/crates/agent/src/ingress/read_ahead.rs
@@ -1,13 +1,13 @@
-//! Requests that a caller sends before its earlier ones on the connection are answered.
+//! HTTP pipelining: starts requests that a caller sends before its earlier ones are answered.
 //!
-//! The load that this answers: callers that send two or more reads at once. Served one after the other, the
-//! second waits for the first: of 4,250 requests of a calm day 1,015 had used over half of their objective before
-//! an upstream saw them. What is read is looked through for heads of further requests; those that may be
-//! repeated are started at once, and their answers are taken when it is their turn.
+//! Many callers send two or more reads at once. Served one after the other, the second waits for the first: of
+//! 4,250 requests under low load, 1,015 had used over half of their objective before an upstream saw them. So
+//! the bytes read from the caller are scanned for heads of further requests. Idempotent ones are started
+//! early, and the server takes their responses when their turn comes.
 //!
-//! Invariants: answers go out in the order of the requests, which is the server's doing; only what may be
-//! repeated is started ahead, so that a request behind an answer that closes the connection can be sent
-//! again by its caller; no more is read or started than the bounds say.
+//! Invariants: the server sends responses in the order of the requests. Only idempotent requests are started
+//! early, so that a caller can resend those that follow a response which closes the connection. The limits
+//! below bound how much is read ahead and how many requests are started early.
 
 use std::{
     collections::VecDeque,
@@ -29,25 +29,24 @@
 
 use crate::ingress::Ingress;
 
-/// How much is read that the server has not asked for yet, in bytes: some hundred heads, or a body's part.
-const READ_AHEAD_MAX: usize = 64 << 10;
-/// How many requests of one connection are started ahead. Callers that send more at once have the rest
-/// served in turn.
-const STARTED_MAX: usize = 8;
-/// The longest head that is looked through, in bytes, and its most headers; a request with a longer one
-/// and those behind it are served in turn.
-const HEAD_BYTES_MAX: usize = 16 << 10;
-const HEADERS_MAX: usize = 64;
-
-/// Whether the caller is still there.
+/// Limit of bytes read before the server asks for them: some hundred heads, or a part of a body.
+const READ_AHEAD_BYTES_MAX: usize = 64 << 10;
+/// Largest number of requests of one connection that are started early. Further ones are served in turn.
+const EARLY_REQUESTS_MAX: usize = 8;
+/// Largest head that is scanned, in bytes and by its number of headers. A request with a larger one, and those
+/// that follow it, are served in turn.
+const SCANNED_HEAD_BYTES_MAX: usize = 16 << 10;
+const SCANNED_HEADERS_MAX: usize = 64;
+
+/// Whether the caller is still connected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PeerState {
     Connected,
-    /// It has hung up while something that it asked is unanswered.
-    HungUp,
+    /// The caller has closed its connection before all of its requests were answered.
+    Disconnected,
 }
 
-/// One connection, read ahead of the server. Clones share it.
+/// A caller's connection that is read ahead of the server. Clones share it.
 #[derive(Clone)]
 pub(super) struct ReadAheadStream {
     shared: Arc<Mutex<Shared>>,
@@ -56,20 +55,22 @@
 
 struct Shared {
     stream: TcpStream,
-    /// Read from the caller, and not yet by the server.
+    /// Bytes read from the caller but not yet by the server.
     unread: BytesMut,
     is_at_end: bool,
-    scan: Scan,
-    /// Requests that the server has begun to serve, and those that it has answered.
-    begun: u64,
-    answered: u64,
-    started: VecDeque<(u64, EarlyRequest)>,
-    /// The last request that may not be repeated. Those behind it wait for its answer: they may be meant to
-    /// see what it does.
+    scanner: HeadScanner,
+    /// Number of requests that the server has begun to serve.
+    begun_count: u64,
+    /// Number of requests that the server has answered.
+    answered_count: u64,
+    /// Requests started early, with their numbers on the connection.
+    early_requests: VecDeque<(u64, EarlyRequest)>,
+    /// Number of the last request that is not idempotent. Later ones start only after it is answered, since
+    /// they may depend on its effect.
     barrier: Option<u64>,
 }
 
-/// A request that was started ahead. Dropping it cancels it.
+/// A request that was started before its turn. Dropping it cancels the request.
 pub(super) struct EarlyRequest {
     head: Parts,
     task: JoinHandle<Response>,
@@ -82,18 +83,20 @@
 }
 
 impl EarlyRequest {
-    /// None: it has ended without an answer, so it has to be served anew.
+    /// Waits for the response. Returns `None` if the task failed, in which case the request has to be served
+    /// again.
     pub(super) async fn answer(mut self) -> Option<Response> {
         match (&mut self.task).await {
             Ok(response) => Some(response),
             Err(error) => {
-                log::warn!(target: "ingress", "A request that was started ahead has failed: {error}.");
+                log::warn!(target: "ingress", "The task of a request that was started early has failed; serving the request again: {error}.");
                 None
             }
         }
     }
 
-    fn is_of(&self, head: &Parts) -> bool {
+    /// Returns whether the request was started from the same head.
+    fn is_for(&self, head: &Parts) -> bool {
         self.head.method == head.method
             && self.head.uri == head.uri
             && self.head.headers == head.headers
@@ -106,10 +109,10 @@
             stream,
             unread: BytesMut::new(),
             is_at_end: false,
-            scan: Scan::default(),
-            begun: 0,
-            answered: 0,
-            started: VecDeque::new(),
+            scanner: HeadScanner::default(),
+            begun_count: 0,
+            answered_count: 0,
+            early_requests: VecDeque::new(),
             barrier: None,
         };
         ReadAheadStream { shared: Arc::new(Mutex::new(shared)), ingress }
@@ -119,48 +122,49 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The server begins to serve the next request; this is what was started of it, if so.
-    pub(super) fn take_started(&self, head: &Parts) -> Option<EarlyRequest> {
+    /// Records that the server begins to serve the next request, and returns that request if it was started
+    /// early.
+    pub(super) fn take_early(&self, head: &Parts) -> Option<EarlyRequest> {
         let mut shared = self.shared();
-        let number = shared.begun;
-        shared.begun += 1;
-        let (_, started) = shared.started.pop_front_if(|it| it.0 == number)?;
-        let is_same = started.is_of(head);
+        let number = shared.begun_count;
+        shared.begun_count += 1;
+        let (_, early) = shared.early_requests.pop_front_if(|it| it.0 == number)?;
+        let is_same = early.is_for(head);
         if !is_same {
-            log::warn!(target: "ingress", "A request was read in two ways; it is served anew.");
+            log::warn!(target: "ingress", "The head scanner and the server parsed a request differently; serving the request again.");
         }
-        is_same.then_some(started)
+        is_same.then_some(early)
     }
 
-    /// The server has the answer of a request. Says whether others behind it have been started.
-    pub(super) fn answered(&self) -> bool {
+    /// Records that the server has the response to a request. Returns whether later requests have been started.
+    pub(super) fn record_answer(&self) -> bool {
         let mut shared = self.shared();
-        shared.answered += 1;
-        !shared.started.is_empty()
+        shared.answered_count += 1;
+        !shared.early_requests.is_empty()
     }
 
-    /// Reads on, and starts what may be started.
-    pub(super) fn poll_read_on(&self, cx: &mut Context<'_>) -> PeerState {
+    /// Reads ahead and starts the requests that may be started early.
+    pub(super) fn poll_read_ahead(&self, cx: &mut Context<'_>) -> PeerState {
         let mut shared = self.shared();
-        // An error shows when the server reads.
+        // The server sees the error when it reads.
         let _: Poll<io::Result<()>> = shared.poll_fill(cx, &self.ingress);
-        match shared.is_at_end && shared.begun > shared.answered {
-            true => PeerState::HungUp,
+        match shared.is_at_end && shared.begun_count > shared.answered_count {
+            true => PeerState::Disconnected,
             false => PeerState::Connected,
         }
     }
 }
 
 impl Shared {
-    /// Reads what is there, up to the bound.
+    /// Reads the available bytes, up to [`READ_AHEAD_BYTES_MAX`].
     fn poll_fill(&mut self, cx: &mut Context<'_>, ingress: &Arc<Ingress>) -> Poll<io::Result<()>> {
-        while !self.is_at_end && self.unread.len() < READ_AHEAD_MAX {
+        while !self.is_at_end && self.unread.len() < READ_AHEAD_BYTES_MAX {
             ready!(self.stream.poll_read_ready(cx))?;
-            let known = self.unread.len();
+            let scanned_len = self.unread.len();
             self.unread.reserve(4096);
             match self.stream.try_read_buf(&mut self.unread) {
                 Ok(0) => self.is_at_end = true,
-                Ok(_) => self.look_through(known, ingress),
+                Ok(_) => self.start_early_requests(scanned_len, ingress),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => {
                     self.is_at_end = true;
@@ -171,23 +175,23 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Looks for heads in what was read from `known` on.
-    fn look_through(&mut self, known: usize, ingress: &Arc<Ingress>) {
-        for (number, head) in self.scan.take(&self.unread[known..]) {
+    /// Scans the unread bytes from `scanned_len` on for heads, and starts the requests that may be started.
+    fn start_early_requests(&mut self, scanned_len: usize, ingress: &Arc<Ingress>) {
+        for (number, head) in self.scanner.scan(&self.unread[scanned_len..]) {
             let Some(head) = head.filter(|it| ingress.may_start_early(it)) else {
                 self.barrier = Some(number);
                 continue;
             };
-            let is_free = self.barrier.is_none_or(|it| it < self.answered);
-            // The server takes one that nothing is before by itself.
-            let is_behind = number > self.answered;
-            if !is_behind || !is_free || self.started.len() >= STARTED_MAX {
+            let is_past_barrier = self.barrier.is_none_or(|it| it < self.answered_count);
+            // The server itself starts a request that has no unanswered one before it.
+            let has_earlier = number > self.answered_count;
+            if !has_earlier || !is_past_barrier || self.early_requests.len() >= EARLY_REQUESTS_MAX {
                 continue;
             }
             let request = Request::from_parts(head.clone(), Body::empty());
             let ingress = Arc::clone(ingress);
-            let task = tokio::spawn(async move { ingress.serve_request(request).await });
-            self.started.push_back((number, EarlyRequest { head, task }));
+            let task = tokio::spawn(async move { ingress.serve(request).await });
+            self.early_requests.push_back((number, EarlyRequest { head, task }));
         }
     }
 }
@@ -243,66 +247,66 @@
     }
 }
 
-/// Finds the heads of requests in what a caller sends.
+/// Finds the heads of requests in the bytes that a caller sends.
 #[derive(Debug, Default)]
-pub(super) struct Scan {
-    place: Place,
-    /// Requests whose head has been found.
-    found: u64,
+pub(super) struct HeadScanner {
+    state: ScanState,
+    /// Number of heads found.
+    head_count: u64,
 }
 
 #[derive(Debug)]
-enum Place {
-    /// In a head, of which this is known.
+enum ScanState {
+    /// Inside a head, with its bytes so far.
     Head(BytesMut),
-    /// In a body with so many bytes to come.
+    /// Inside a body, with the number of bytes left.
     Body(u64),
-    /// Where the next request begins is not known, nor for those behind it.
-    Lost,
+    /// The start of the next request cannot be determined, so that no further heads are found.
+    Unknown,
 }
 
-impl Default for Place {
-    fn default() -> Place {
-        Place::Head(BytesMut::new())
+impl Default for ScanState {
+    fn default() -> ScanState {
+        ScanState::Head(BytesMut::new())
     }
 }
 
-impl Scan {
-    /// Goes on through the bytes. Returns the requests whose heads end there by their numbers on the
-    /// connection, from 0, with their heads if they have no body.
-    pub(super) fn take(&mut self, mut bytes: &[u8]) -> Vec<(u64, Option<Parts>)> {
+impl HeadScanner {
+    /// Scans further bytes. Returns the requests whose heads end in them: their numbers on the connection,
+    /// counted from 0, and their heads if they have no body.
+    pub(super) fn scan(&mut self, mut bytes: &[u8]) -> Vec<(u64, Option<Parts>)> {
         let mut heads = Vec::new();
         while !bytes.is_empty() {
-            match &mut self.place {
-                Place::Lost => return heads,
-                Place::Body(left) => {
+            match &mut self.state {
+                ScanState::Unknown => return heads,
+                ScanState::Body(left) => {
                     let skipped = usize::try_from(*left).unwrap_or(usize::MAX).min(bytes.len());
                     bytes = &bytes[skipped..];
                     *left -= skipped as u64;
                     if *left == 0 {
-                        self.place = Place::default();
+                        self.state = ScanState::default();
                     }
                 }
-                Place::Head(known) => {
-                    let before = known.len();
-                    known.extend_from_slice(bytes);
-                    let (len, head) = match parse(known) {
-                        Parsed::Partial if known.len() < HEAD_BYTES_MAX => return heads,
-                        Parsed::Partial | Parsed::Unclear => {
-                            self.place = Place::Lost;
+                ScanState::Head(partial) => {
+                    let before = partial.len();
+                    partial.extend_from_slice(bytes);
+                    let (len, head) = match parse(partial) {
+                        Parsed::Partial if partial.len() < SCANNED_HEAD_BYTES_MAX => return heads,
+                        Parsed::Partial | Parsed::Invalid => {
+                            self.state = ScanState::Unknown;
                             return heads;
                         }
                         Parsed::Head(len, head) => (len, head),
                     };
                     bytes = &bytes[len - before..];
-                    let number = self.found;
-                    self.found += 1;
+                    let number = self.head_count;
+                    self.head_count += 1;
                     let len = body_len(&head.headers);
                     heads.push((number, Some(*head).filter(|_| len == Some(0))));
-                    self.place = match len {
-                        Some(0) => Place::default(),
-                        Some(len) => Place::Body(len),
-                        None => Place::Lost,
+                    self.state = match len {
+                        Some(0) => ScanState::default(),
+                        Some(len) => ScanState::Body(len),
+                        None => ScanState::Unknown,
                     };
                 }
             }
@@ -313,26 +317,26 @@
 
 enum Parsed {
     Partial,
-    /// It is for the server to say what is wrong with it, if anything.
-    Unclear,
-    /// A head of so many bytes.
+    /// The head cannot be parsed here; the server decides whether it is an error.
+    Invalid,
+    /// The length of the head in bytes, and the head.
     Head(usize, Box<Parts>),
 }
 
 fn parse(bytes: &[u8]) -> Parsed {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut headers = [httparse::EMPTY_HEADER; SCANNED_HEADERS_MAX];
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
-        Ok(httparse::Status::Complete(len)) => match parts(&request) {
+        Ok(httparse::Status::Complete(len)) => match request_head(&request) {
             Some(head) => Parsed::Head(len, Box::new(head)),
-            None => Parsed::Unclear,
+            None => Parsed::Invalid,
         },
         Ok(httparse::Status::Partial) => Parsed::Partial,
-        Err(_) => Parsed::Unclear,
+        Err(_) => Parsed::Invalid,
     }
 }
 
-fn parts(request: &httparse::Request<'_, '_>) -> Option<Parts> {
+fn request_head(request: &httparse::Request<'_, '_>) -> Option<Parts> {
     let mut headers = HeaderMap::with_capacity(request.headers.len());
     for it in request.headers.iter() {
         let name = HeaderName::from_bytes(it.name.as_bytes()).ok()?;
@@ -342,11 +346,11 @@
     head.method = Method::from_bytes(request.method?.as_bytes()).ok()?;
     head.uri = request.path?.parse::<Uri>().ok()?;
     head.headers = headers;
-    // A caller of HTTP/1.0 waits for each answer.
+    // HTTP/1.0 has no pipelining.
     (request.version == Some(1)).then_some(head)
 }
 
-/// None: it is not known where the body ends.
+/// Returns the length of the body in bytes, or `None` if it cannot be determined from the headers.
 fn body_len(headers: &HeaderMap) -> Option<u64> {
     let special = [TRANSFER_ENCODING, EXPECT, UPGRADE];
     if special.iter().any(|it| headers.contains_key(it)) {
--- a/crates/agent/src/ingress/server.rs
+++ b/crates/agent/src/ingress/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server for callers.
 //!
-//! Callers may send further requests on a connection before the first is answered. The library serves
-//! them one after the other; [`super::caller_stream`] starts those that may be repeated as soon as they are there.
+//! Callers may send further requests on a connection before the first is answered. `hyper` serves them one
+//! after the other; [`super::read_ahead`] starts the idempotent ones as soon as their heads are received.
 
 use std::{
     convert::Infallible, future::poll_fn, io, net::TcpListener as StdListener, pin::pin, sync::Arc,
@@ -22,47 +22,48 @@
     read_ahead::{PeerState, ReadAheadStream},
 };
 
-/// How long to wait after a failure to accept, as when there are too many open files.
+/// Pause after a failure to accept a connection, for instance when too many files are open.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves callers until `drained` resolves; connections end after their last answer then. Once `closing`
-/// says so, no new ones are taken but those that the system has made already, for closing the
-/// socket would reset them.
+/// Serves callers until `drained` resolves, then closes each connection after its last response. Once
+/// `closing` becomes true, only connections that are already in the accept queue are accepted, since closing
+/// the socket would reset them.
 pub(crate) async fn serve(
     listener: TcpListener,
     mut closing: watch::Receiver<bool>,
     ingress: Arc<Ingress>,
     mut drained: oneshot::Receiver<()>,
 ) -> anyhow::Result<()> {
-    let (ending, ends) = watch::channel(false);
+    let (end_connections, server_end) = watch::channel(false);
     let mut connections = JoinSet::new();
     let mut socket = Socket::Open(listener);
     loop {
         let stream = tokio::select! {
-            // An error means that nobody will say so any more: end then too.
+            // An error means that the sender was dropped, which ends the server as well.
             _ = &mut drained => break,
             stream = socket.accept(&mut closing) => stream?,
             Some(_) = connections.join_next() => continue,
         };
         if let Some(stream) = stream {
-            connections.spawn(serve_connection(stream, Arc::clone(&ingress), ends.clone()));
+            connections.spawn(serve_connection(stream, Arc::clone(&ingress), server_end.clone()));
         }
     }
-    ending.send_replace(true);
+    end_connections.send_replace(true);
     while connections.join_next().await.is_some() {}
     Ok(())
 }
 
+/// The listening socket and its steps towards closing.
 #[derive(Debug)]
 enum Socket {
     Open(TcpListener),
-    /// Asked directly what is still in its queue: the runtime may not have heard of all of it.
+    /// Accepts the rest of the queue directly, since the runtime may not have been notified of all of it.
     Closing(StdListener),
     Closed,
 }
 
 impl Socket {
-    /// The next connection; none: look again.
+    /// Accepts the next connection. Returns `None` if there was none and the caller should call again.
     async fn accept(
         &mut self,
         closing: &mut watch::Receiver<bool>,
@@ -71,7 +72,7 @@
             Socket::Open(listener) => tokio::select! {
                 biased;
                 accepted = listener.accept() => Some(accepted.map(|(stream, _)| stream)),
-                // The error means that nobody will tell any more: close then too.
+                // An error means that the sender was dropped, which closes the socket as well.
                 _ = closing.wait_for(|it| *it) => None,
             },
             Socket::Closing(listener) => match listener.accept() {
@@ -87,13 +88,13 @@
         };
         let accepted = accepted.and_then(|stream| stream.set_nodelay(true).map(|()| stream));
         if let Err(error) = &accepted {
-            log::warn!(target: "ingress", "Accepting a caller failed: {error}.");
+            log::warn!(target: "ingress", "Cannot accept a caller's connection; retrying: {error}.");
             sleep(ACCEPT_PAUSE).await;
         }
         Ok(accepted.ok())
     }
 
-    /// The next step towards closing.
+    /// Takes the next step towards closing the socket.
     fn close(&mut self) -> io::Result<()> {
         *self = match std::mem::replace(self, Socket::Closed) {
             Socket::Open(listener) => Socket::Closing(listener.into_std()?),
@@ -108,33 +109,29 @@
     TcpStream::from_std(stream)
 }
 
-/// Serves one connection. When the caller hangs up, all that it asked is cancelled.
+/// Serves one connection. Cancels its requests when the caller closes the connection.
 async fn serve_connection(
     stream: TcpStream,
     ingress: Arc<Ingress>,
-    mut ends: watch::Receiver<bool>,
+    mut server_end: watch::Receiver<bool>,
 ) {
     let caller_stream = ReadAheadStream::new(stream, Arc::clone(&ingress));
     let service = service_fn(|request: http::Request<hyper::body::Incoming>| {
         let (caller_stream, ingress) = (caller_stream.clone(), Arc::clone(&ingress));
         async move {
             let (head, body) = request.into_parts();
-            let response = match caller_stream.take_started(&head) {
-                Some(started) => started.answer().await,
+            let response = match caller_stream.take_early(&head) {
+                Some(early) => early.answer().await,
                 None => None,
             };
             let response = match response {
                 Some(response) => response,
-                None => {
-                    ingress
-                        .serve_request(http::Request::from_parts(head, Body::from_body(body)))
-                        .await
-                }
+                None => ingress.serve(http::Request::from_parts(head, Body::from_body(body))).await,
             };
-            // A connection that closes may leave nothing behind that was given to an upstream.
-            let more = caller_stream.answered();
-            let closes = ingress.is_leaving() && !more;
-            Ok::<_, Infallible>(if closes {
+            // The connection is not closed while a request that was started early may be at an upstream.
+            let has_early_requests = caller_stream.record_answer();
+            let must_close = ingress.is_leaving() && !has_early_requests;
+            Ok::<_, Infallible>(if must_close {
                 answer::with_connection_close(response)
             } else {
                 response
@@ -143,26 +140,26 @@
     });
     let mut connection =
         pin!(http1::Builder::new().serve_connection(caller_stream.clone(), service));
-    let served = poll_fn(|cx| match caller_stream.poll_read_on(cx) {
-        PeerState::HungUp => Poll::Ready(Ok(())),
+    let served = poll_fn(|cx| match caller_stream.poll_read_ahead(cx) {
+        PeerState::Disconnected => Poll::Ready(Ok(())),
         PeerState::Connected => connection.as_mut().poll(cx),
     });
     let server_ends = async {
-        // The error means that the server has ended.
-        _ = ends.wait_for(|it| *it).await;
+        // An error means that the server has ended.
+        _ = server_end.wait_for(|it| *it).await;
     };
-    let ended = tokio::select! {
-        ended = served => Some(ended),
+    let result = tokio::select! {
+        result = served => Some(result),
         () = server_ends => None,
     };
-    let ended = match ended {
-        Some(ended) => ended,
+    let result = match result {
+        Some(result) => result,
         None => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        log::debug!(target: "ingress", "A caller's connection ended: {error}.");
+    if let Err(error) = result {
+        log::debug!(target: "ingress", "A caller's connection ended with an error: {error}.");
     }
 }
