--- a/crates/ownership/src/sim/random.rs
+++ b/crates/ownership/src/sim/random.rs
@@ -18,7 +18,7 @@
     pub slots: u16,
     pub tracked_keys: usize,
     pub duration: Duration,
-    /// Longest time from one fault to the next; the shortest is [`FAULT_GAP_MIN`].
+    /// Longest time from one fault to the next; the shortest is `FAULT_GAP_MIN`.
     pub fault_gap_max: Duration,
     /// Uses ordered slots, longer leases, and a full lease for the coordinator's own slots, as for upstreams that
     /// enforce leases.
