--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,8 +5,8 @@
 //! reported together; a later step runs only where the earlier one found none.
 
 mod agent_settings;
-mod document;
 mod central;
+mod document;
 mod objects;
 mod parse;
 mod problem;
--- a/crates/settings/src/objects.rs
+++ b/crates/settings/src/objects.rs
@@ -1,10 +1,12 @@
-//! Objects of the platform that agents and the operators' client share.
+//! Objects in the platform's store that agents and the operators' client share.
 //!
-//! - `services/S`: the document as its team wrote it, the text as it is.
-//! - `accepted/S`: [`AcceptedDocument`], the version in force; only rises.
-//! - `status/S/G`: [`GroupStatus`] of one group, written by its coordinator.
-//! - `ends/I`: [`CrashesObject`], under which requests the upstream beside an instance has ended.
-//! - `zones/Z`: [`ZoneObject`], whether an operator has closed an availability zone.
+//! - `services/S`: the unmodified text of the document of service S, written by its team.
+//! - `accepted/S`: [`AcceptedDocument`] of service S; its version only increases.
+//! - `status/S/G`: [`GroupStatus`] of group G of service S, written by the coordinator of the
+//!   group.
+//! - `ends/I`: [`CrashesObject`], the crashes of upstreams beside instance I with the requests they
+//!   were running.
+//! - `zones/Z`: [`ZoneObject`], whether an operator has closed availability zone Z.
 
 use std::num::ParseIntError;
 
@@ -14,56 +16,57 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Where a service's document is.
+/// Returns the path of the document that the team of a service wrote.
 pub fn service_path(service: &ServiceName) -> String {
     format!("services/{service}")
 }
 
-/// Where the accepted document of a service is.
+/// Returns the path of the accepted document of a service.
 pub fn accepted_path(service: &ServiceName) -> String {
     format!("accepted/{service}")
 }
 
-/// Where the status of one group is.
+/// Returns the path of the status of a group.
 pub fn status_path(service: &ServiceName, group: GroupId) -> String {
     format!("status/{service}/{group}")
 }
 
-/// What the status of all groups of a service begins with.
+/// Returns the common prefix of the paths of the statuses of all groups of a service.
 pub fn status_prefix(service: &ServiceName) -> String {
     format!("status/{service}/")
 }
 
-/// What the objects of availability zones begin with.
+/// The path prefix of the objects of availability zones.
 pub const ZONES_PREFIX: &str = "zones/";
 
-/// Where it is said whether a zone is closed.
+/// Returns the path of the object of an availability zone.
 pub fn zone_path(zone: &Zone) -> String {
     format!("{ZONES_PREFIX}{zone}")
 }
 
-/// The zone that an object is about.
+/// Returns the availability zone of an object path, or `None` if the path is not that of a zone.
 pub fn zone_of_path(path: &str) -> Option<Zone> {
     Zone::new(path.strip_prefix(ZONES_PREFIX)?).ok()
 }
 
-/// Whether the upstreams of an availability zone are to be given nothing. A zone without one is open.
+/// State of an availability zone as set by an operator. A zone without this object is open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneObject {
+    /// Whether the upstreams of the zone receive no requests.
     pub closed: bool,
 }
 
-/// What the objects begin with that tell of ended upstreams.
+/// The path prefix of the crash records of all instances.
 pub const CRASHES_PREFIX: &str = "ends/";
 
-/// Where it is said when the upstreams beside an instance have ended.
+/// Returns the path of the crash records of the upstreams beside an instance.
 pub fn crashes_path(instance: &InstanceName) -> String {
     format!("{CRASHES_PREFIX}{instance}")
 }
 
-/// The ends of upstreams beside one instance, the latest last.
+/// Crashes of the upstreams beside one instance, the latest last.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -72,17 +75,18 @@
     pub crashes: Vec<CrashRecord>,
 }
 
-/// One end of an upstream, and what it had at work.
+/// Crash of an upstream, with the requests that were running on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "WireEnd", into = "WireEnd")]
 pub struct CrashRecord {
-    /// Drawn at random; tells one end from another.
+    /// Random number that identifies the crash.
     pub id: u64,
     pub requests: Vec<Fingerprint>,
 }
 
-/// In hexadecimal digits: not every store keeps whole numbers of 64 bits.
+/// Stored form of a [`CrashRecord`]. Its numbers are written in hexadecimal digits, since some
+/// stores do not preserve 64-bit integers.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WireEnd {
@@ -91,9 +95,9 @@
 }
 
 impl From<CrashRecord> for WireEnd {
-    fn from(end: CrashRecord) -> WireEnd {
-        let requests = end.requests.iter().map(ToString::to_string).collect();
-        WireEnd { id: format!("{:016x}", end.id), requests }
+    fn from(crash: CrashRecord) -> WireEnd {
+        let requests = crash.requests.iter().map(ToString::to_string).collect();
+        WireEnd { id: format!("{:016x}", crash.id), requests }
     }
 }
 
@@ -107,21 +111,21 @@
     }
 }
 
-/// The document that is in force, or on its way to be.
+/// Document of a service that a coordinator has accepted and that agents put in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AcceptedDocument {
     pub service: ServiceName,
-    /// The object version of `services/S` from which it was accepted.
+    /// Object version of `services/S` from which the document was accepted.
     pub version: ConfigVersion,
-    /// The text as it was written.
+    /// Unmodified text of the document.
     pub document: String,
 }
 
 impl AcceptedDocument {
-    /// What `accepted/S` becomes when `services/S` has this version and text; none if that would
-    /// not raise the version.
+    /// Returns the new value of `accepted/S` for this version and text of `services/S`, or `None`
+    /// if the current version is the same or newer.
     pub fn raised(
         current: Option<&AcceptedDocument>,
         service: ServiceName,
@@ -129,82 +133,86 @@
         document: String,
     ) -> Option<AcceptedDocument> {
         let version = ConfigVersion(version.0);
-        let rises = current.is_none_or(|it| it.version < version);
-        rises.then_some(AcceptedDocument { service, version, document })
+        let is_newer = current.is_none_or(|it| it.version < version);
+        is_newer.then_some(AcceptedDocument { service, version, document })
     }
 }
 
-/// What the coordinator of a group reports. Fields that are not known are passed over, since agents
-/// and the client may be of different versions.
+/// Status of a group, written by its coordinator. Unknown fields are ignored, since agents and the
+/// client may have different program versions.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct GroupStatus {
     pub service: ServiceName,
     pub group: GroupId,
-    /// When it was written, by the writer's wall clock, in milliseconds since 1970; for people only.
+    /// Time of the write by the writer's wall clock, in milliseconds since 1970. For display only:
+    /// no decision depends on it.
     pub written_at_unix_ms: u64,
-    /// None until a document has been accepted.
+    /// Version of the accepted document; `None` until one has been accepted.
     pub accepted: Option<ConfigVersion>,
     pub in_force: InForceStatus,
-    /// The newest document that was not accepted; none if the newest was.
+    /// The newest document, if it was refused; `None` if it was accepted.
     pub refused: Option<RefusedDocument>,
     pub coordinator: CoordinatorStatus,
     pub owners: Vec<OwnerStatus>,
     pub upstreams: Vec<UpstreamStatus>,
-    /// One for each slot, in order; empty for services that have none and for groups of more than
-    /// [`GRANTS_MAX`] slots.
+    /// The grant of each slot, in slot order. Empty for services without keys and for groups of
+    /// more than [`GRANTS_MAX`] slots.
     #[serde(default)]
     pub grants: Vec<GrantStatus>,
     pub hot_keys: Vec<HotKeyStatus>,
     pub measures: Measures,
-    /// The newest first; at most 32.
+    /// Recent changes of owner, the newest first; at most 32.
     pub moves: Vec<MoveStatus>,
 }
 
-/// On how many instances of the group the accepted version is in force.
+/// Number of instances of the group on which the accepted version is in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct InForceStatus {
     pub instances: u32,
+    /// Number of instances in the group.
     pub of: u32,
-    /// Since when it is in force on all of them; none while it is not.
+    /// Time since which the version is in force on all instances, in milliseconds since 1970;
+    /// `None` while it is not in force on all.
     pub since_unix_ms: Option<u64>,
 }
 
-/// A document that was not accepted; the former one stays in force.
+/// Document that was refused. The previously accepted document stays in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RefusedDocument {
-    /// The object version of `services/S`.
+    /// Object version of `services/S`.
     pub version: ConfigVersion,
-    /// One sentence each, with line and field.
+    /// The problems of the document, each with line, column and field.
     pub reasons: Vec<String>,
 }
 
-/// Who coordinates the group.
+/// The coordinator of the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CoordinatorStatus {
     pub instance: InstanceName,
     pub zone: Zone,
     pub term: Term,
-    /// No earlier term can renew or grant any more.
+    /// Whether coordinators of earlier terms can no longer renew leases or grant slots.
     pub settled: bool,
 }
 
-/// One instance with what it owns.
+/// Instance with the number of slots that it owns and their load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OwnerStatus {
     pub instance: InstanceName,
     pub zone: Zone,
     pub slots: u32,
+    /// Microseconds of service time per second.
     pub load_us_per_s: u64,
-    /// The version of the document in force on it.
+    /// Version of the document in force on the instance.
     pub config: ConfigVersion,
 }
 
-/// The upstream beside an instance.
+/// State of the upstream beside an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UpstreamStatus {
@@ -213,29 +221,30 @@
     pub state: UpstreamStateName,
 }
 
-/// The state of an upstream, as the status names it.
+/// State of an upstream as written in the status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamStateName {
-    /// Up, but not ready for work.
+    /// Running, but not ready to accept requests.
     Starting,
     Ready,
-    /// Leaving: no new work.
+    /// Stopping: finishes requests in flight and accepts no new ones.
     Draining,
-    /// Hung or gone.
+    /// Stopped responding.
     Lost,
 }
 
-/// The most slots whose grants a status tells one by one.
+/// The largest number of slots for which a status lists the grants.
 pub const GRANTS_MAX: usize = 512;
 
-/// The grant in force of one slot; written as `[owner, term, sequence]`, since there are many.
+/// Current grant of a slot. Written as `[owner, term, sequence]`, which keeps a status with
+/// hundreds of slots short.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(from = "RawGrant", into = "RawGrant")]
 pub struct GrantStatus {
-    /// Index into [`GroupStatus::owners`]; none while nobody owns the slot.
+    /// Index into [`GroupStatus::owners`]; `None` while the slot has no owner.
     pub owner: Option<u16>,
     pub token: Token,
 }
@@ -254,37 +263,36 @@
     }
 }
 
-/// A key with an owner of its own.
+/// Hot key, whose owner may differ from that of its slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HotKeyStatus {
     pub key_hash: KeyHash,
-    /// None: that of its slot.
+    /// Owner of the key; `None` if the owner of its slot owns the key too.
     pub owner: Option<InstanceName>,
 }
 
-/// The three measures of the group.
+/// Load balance, churn and unavailability of the group.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Measures {
-    /// Busiest member's load over the mean; 1.0 is even.
+    /// Ratio of the busiest member's load to the mean load; 1.0 means an even distribution.
     pub imbalance: f64,
-    /// Share of all slots that changed their owner within the last minute; counted over the moves
-    /// that the status keeps.
+    /// Share of all slots that changed their owner within the last minute, computed from `moves`.
     pub churn_per_minute: f64,
-    /// Longest time within the last minute that a slot had no owner, as the coordinator saw it; the
-    /// time before the first grants is left out.
+    /// Longest time within the last minute that a slot had no owner, as observed by the
+    /// coordinator, without the time before the first grants.
     pub unavailable_ms_max: u64,
 }
 
-/// A change of owner.
+/// Change of the owner of a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MoveStatus {
     pub slot: Slot,
     pub token: Token,
     pub to: InstanceName,
-    /// `first`, `loss`, `leave` or `rebalance`.
+    /// Reason for the change: `first`, `loss`, `leave` or `rebalance`.
     pub reason: String,
     pub at_unix_ms: u64,
 }
--- a/crates/settings/src/tests/mod.rs
+++ b/crates/settings/src/tests/mod.rs
@@ -1,9 +1,9 @@
 //! Tests of settings and documents.
 
 mod agent_settings;
+mod central;
 mod document;
 mod examples;
-mod central;
 mod fuzz;
 mod objects;
 mod problems;
