--- a/crates/settings/src/versions.rs
+++ b/crates/settings/src/versions.rs
@@ -1,4 +1,5 @@
-//! Which version of a document is accepted, and which one an agent goes by: only ever a higher one.
+//! Acceptance of document versions by coordinators, and the documents in force on an agent. Both
+//! versions only increase.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,18 +7,20 @@
 
 use crate::{AcceptedDocument, Problems, RefusedDocument, ServiceDocument};
 
-/// What a coordinator does about the state of `services/S`.
+/// Decision of a coordinator on a version of `services/S`.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DocumentDecision {
-    /// It is accepted already, or older than what is.
+    /// The same version or a newer one has already been accepted.
     Keep,
-    /// `accepted/S` becomes this, on condition that it is still as it was read.
+    /// The document is valid: it is to replace `accepted/S`, on condition that `accepted/S` has not
+    /// changed since it was read.
     Raise(AcceptedDocument),
-    /// The former version stays in force.
+    /// The document is invalid: the previously accepted version stays in force.
     Refuse(RefusedDocument),
 }
 
-/// Judges a document against the accepted one; the same on every coordinator at any time.
+/// Decides whether a document replaces the accepted one. The result depends on the arguments alone,
+/// so that all coordinators come to the same decision.
 pub fn decide_document(
     service: &ServiceName,
     accepted: Option<&AcceptedDocument>,
@@ -32,13 +35,16 @@
     };
     let raised = AcceptedDocument::raised(accepted, service.clone(), version, text.to_owned());
     let Some(raised) = raised else { return DocumentDecision::Keep };
-    let former = accepted.map(|it| (it.version, ServiceDocument::parse(&it.document)));
-    let parsed = match &former {
+    let previous = accepted.map(|it| (it.version, ServiceDocument::parse(&it.document)));
+    let parsed = match &previous {
         None => ServiceDocument::parse_for(service, text),
-        Some((_, Ok(former))) => ServiceDocument::parse_change(text, former),
-        // A newer program accepted it. What may not change can't be checked, so nothing changes.
+        Some((_, Ok(previous))) => ServiceDocument::parse_change(text, previous),
+        // The accepted document was written for a newer program version and cannot be parsed here,
+        // so that changes of its fixed fields would not be detected.
         Some((version, Err(_))) => {
-            let reason = format!("the coordinator's program is too old to read version {version}.");
+            let reason = format!(
+                "the coordinator's program version is too old to read accepted version {version}."
+            );
             return refuse(vec![reason]);
         }
     };
@@ -48,7 +54,7 @@
     }
 }
 
-/// A document with its version and its text, as it is handed on.
+/// Parsed document with its version and its text, which the agent sends to other agents unmodified.
 #[derive(Debug, Clone)]
 pub struct VersionedDocument {
     pub version: ConfigVersion,
@@ -56,8 +62,8 @@
     pub document: Arc<ServiceDocument>,
 }
 
-/// The documents that an agent goes by, each at the highest version seen. Nothing here goes back,
-/// whatever order versions come in.
+/// The documents in force on an agent, each at the highest valid version received. Versions never
+/// decrease, whatever order they are received in.
 #[derive(Debug, Default)]
 pub struct DocumentTable {
     entries: BTreeMap<ServiceName, Entry>,
@@ -66,8 +72,8 @@
 #[derive(Debug, Default)]
 struct Entry {
     in_force: Option<VersionedDocument>,
-    /// The highest version that does not hold for this agent; 0 if there is none.
-    unreadable: ConfigVersion,
+    /// The highest version that this agent could not parse; 0 if there is none.
+    invalid: ConfigVersion,
 }
 
 impl Entry {
@@ -77,8 +83,9 @@
 }
 
 impl DocumentTable {
-    /// Takes an accepted version; true if it is in force here from now on. One that does not hold,
-    /// because this agent is older than the program that accepted it, leaves the former in force.
+    /// Puts an accepted version in force and returns whether it was newer than the current one. A
+    /// version that this agent cannot parse, since a newer program accepted it, leaves the current
+    /// one in force.
     pub fn raise(
         &mut self,
         service: &ServiceName,
@@ -92,7 +99,7 @@
         let document = match ServiceDocument::parse_for(service, text) {
             Ok(document) => Arc::new(document),
             Err(problems) => {
-                entry.unreadable = entry.unreadable.max(version);
+                entry.invalid = entry.invalid.max(version);
                 return Err(problems);
             }
         };
@@ -100,22 +107,23 @@
         Ok(true)
     }
 
-    /// Whether the text of a version that a peer knows of is worth fetching.
+    /// Returns whether a version that a peer announced is newer than the one in force and than all
+    /// that could not be parsed.
     pub fn should_fetch(&self, service: &ServiceName, version: ConfigVersion) -> bool {
-        self.entries.get(service).is_none_or(|it| version > it.version().max(it.unreadable))
+        self.entries.get(service).is_none_or(|it| version > it.version().max(it.invalid))
     }
 
-    /// The document in force here.
+    /// Returns the document in force for a service.
     pub fn in_force(&self, service: &ServiceName) -> Option<&VersionedDocument> {
         self.entries.get(service)?.in_force.as_ref()
     }
 
-    /// The version in force here; 0 if there is none.
+    /// Returns the version in force for a service, or 0 if there is none.
     pub fn version(&self, service: &ServiceName) -> ConfigVersion {
         self.entries.get(service).map_or(ConfigVersion(0), Entry::version)
     }
 
-    /// All services with a document in force here.
+    /// Returns the documents in force, with their services.
     pub fn iter(&self) -> impl Iterator<Item = (&ServiceName, &VersionedDocument)> {
         self.entries.iter().filter_map(|(service, it)| Some((service, it.in_force.as_ref()?)))
     }
