--- a/crates/settings/src/document/raw.rs
+++ b/crates/settings/src/document/raw.rs
@@ -1,46 +1,50 @@
-//! The document as it is written: the source of its JSON schema.
+//! Serialised form of the service document, from which its JSON schema is generated.
+//!
+//! The doc comments of types and fields become the descriptions in the schema.
 
 use std::ops::RangeInclusive;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What a service is and how it should be reached.
+/// Description of a service and of how requests are routed to it.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawDocument {
-    /// The JSON schema of this document, for editors.
+    /// Location of the JSON schema of this document, for editors.
     #[serde(rename = "$schema", default)]
     pub(crate) schema: Option<String>,
-    /// The name of the service: the first segment of a caller's path.
+    /// Name of the service: the first path segment of a request.
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     pub(crate) service: String,
-    /// The team that owns the service; the `tenant` label of histograms.
+    /// Team that owns the service; the value of the `tenant` label of histograms.
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     pub(crate) team: String,
-    /// Whether the service is divided by key, each key owned by one instance alone.
+    /// Whether requests are partitioned by key, with each key owned by one instance at a time.
+    /// Cannot be changed while the service is running.
     pub(crate) keyed: bool,
-    /// How many slots the keys of one group are spread over. May not change while the service runs.
+    /// Number of slots that the keys of a group are distributed over. Cannot be changed while the
+    /// service is running.
     #[serde(default = "default_slot_count")]
     #[schemars(range(min = 1, max = 4096))]
     pub(crate) slot_count: u16,
-    /// How many keys there are, where keys are whole numbers from 0 and busy ones are neighbours: a
-    /// slot is a range of them then. Keys are any text and hashed, if left out. May not change while
-    /// the service runs.
+    /// Number of keys, if keys are integers from 0 and busy keys are adjacent: a slot is then a
+    /// range of keys. If omitted, keys are arbitrary text and are distributed over the slots by
+    /// hash. Cannot be changed while the service is running.
     #[serde(default)]
     #[schemars(range(min = 1, max = 4_294_967_295_u64))]
     pub(crate) ordered_keys: Option<u32>,
-    /// Whether callers send a request that is not idempotent again under the id of its first sending.
-    /// If not, no records of answers are kept.
+    /// Whether callers resend a non-idempotent request under the request id of its first attempt.
+    /// If false, no answers are recorded for resent requests.
     #[serde(default = "default_resends")]
     pub(crate) resends: bool,
     #[serde(default)]
     pub(crate) upstream: RawUpstream,
-    /// The classes of requests.
+    /// Request classes of the service.
     #[schemars(length(min = 1, max = 32))]
     pub(crate) classes: Vec<RawClass>,
-    /// Tried in order; the first that matches a request counts.
+    /// Routes, tried in order: the first one that matches a request applies.
     #[schemars(length(min = 1, max = 256))]
     pub(crate) routes: Vec<RawRoute>,
     #[serde(default)]
@@ -59,39 +63,42 @@
     true
 }
 
-// What the schema below says of some fields, for documents that are made from a fleet's configuration.
+// Ranges of some fields, equal to those in the schema below. Values from a central configuration
+// are limited to them.
 
-/// The rates that a cold upstream may be said to bear, in requests a second.
+/// Request rates of a cold upstream, in requests per second.
 pub(crate) const COLD_RATES: RangeInclusive<f64> = 0.001..=10_000.0;
-/// Connections that an upstream takes.
+/// Number of connections to an upstream.
 pub(crate) const CONNECTIONS: RangeInclusive<u64> = 1..=65_536;
-/// The longest body, in bytes.
+/// Largest body size, in bytes.
 pub(crate) const BODY_BYTES: RangeInclusive<u64> = 1_024..=67_108_864;
-/// All headers together, in bytes.
+/// Largest total size of the headers, in bytes.
 pub(crate) const HEADER_BYTES: RangeInclusive<u64> = 1_024..=262_144;
 
-/// What each upstream of the service can do.
+/// Capacity and features of each upstream of the service.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawUpstream {
-    /// How many requests it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     #[schemars(range(min = 1, max = 4096))]
     pub(crate) slots: u32,
-    /// How many connections it takes.
+    /// Number of connections that the upstream accepts.
     #[schemars(range(min = 1, max = 65536))]
     pub(crate) connections_max: u32,
-    /// Whether it refuses requests whose fence token is older than one it has seen.
+    /// Whether the upstream rejects requests whose fence token is older than one that it has
+    /// received.
     pub(crate) checks_fence: bool,
-    /// Whether it runs requests only for ranges of keys that it has been granted, until their time is
-    /// over; for ordered keys only.
+    /// Whether the upstream runs requests only for ranges of keys that it holds an unexpired grant
+    /// for. Requires `ordered_keys`.
     pub(crate) enforces_leases: bool,
-    /// How it is granted keys, if it enforces leases.
+    /// How grants of keys are sent to an upstream that enforces leases.
     pub(crate) key_grants: KeyGrants,
-    /// How long a new upstream takes to reach its full share of the load.
+    /// Time in milliseconds until a new upstream receives its full share of the load.
     #[schemars(range(max = 600_000))]
     pub(crate) warmup_ms: u64,
-    /// How many requests a second it bears while it says that it is cold; none: as many as its slots take.
+    /// Requests per second that the upstream can process while it reports that it is cold. If
+    /// omitted, only `slots` limits it.
     #[schemars(range(min = 0.001, max = 10_000.0))]
     pub(crate) cold_requests_per_s: Option<f64>,
 }
@@ -110,30 +117,30 @@
     }
 }
 
-/// How an upstream that enforces leases is granted keys.
+/// Way in which grants of keys are sent to an upstream that enforces leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyGrants {
-    /// By calls to it.
+    /// In calls to the upstream.
     Calls,
-    /// By the answers to its announcements, in which it says what it holds.
+    /// In the responses to the announcements of the upstream, which list the grants that it holds.
     Announcements,
 }
 
-/// A class of requests.
+/// Class of requests that share a queue and a weight.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawClass {
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     pub(crate) name: String,
-    /// Its share of a full target against the other classes.
+    /// Share of the class in the capacity of an overloaded upstream, relative to the other classes.
     #[serde(default = "default_weight")]
     #[schemars(range(min = 1, max = 1000))]
     pub(crate) weight: u32,
-    /// Whether its requests wait for a free slot beyond the time in which an answer is of full use. If
-    /// not, one that is not expected to make that is refused at once and told when to come back.
+    /// Whether requests of the class are queued even if they are expected to miss their latency
+    /// objective. If false, such a request is refused at once, with a time after which to retry.
     #[serde(default = "default_queues_past_objective")]
     pub(crate) queues_past_objective: bool,
 }
@@ -146,26 +153,27 @@
     1
 }
 
-/// One kind of request.
+/// Requests with a common path pattern, and how they are handled.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawRoute {
-    /// The HTTP method; any, if left out.
+    /// HTTP method; any method if omitted.
     #[serde(default)]
     pub(crate) method: Option<RawMethod>,
-    /// The path after the service's own segment: `{name}` stands for one segment, a last `*` for
-    /// the rest.
+    /// Pattern for the path after the segment with the service name: `{name}` matches one segment,
+    /// a final `*` matches the rest.
     #[schemars(length(min = 1, max = 512))]
     pub(crate) path: String,
-    /// Where the key is; for services divided by key the header `x-key`, if left out.
+    /// Location of the key in the request. If omitted, the key of a keyed service is read from the
+    /// header `x-key`.
     #[serde(default)]
     pub(crate) key: Option<RawKey>,
-    /// One of `classes`.
+    /// Name of one of `classes`.
     pub(crate) class: String,
-    /// Whether running a request twice does no more than running it once.
+    /// Whether running a request twice has the same effect as running it once.
     pub(crate) idempotent: bool,
-    /// How long a request may take, if the caller names no shorter time.
+    /// Deadline of a request in milliseconds, if the caller does not set a shorter one.
     #[serde(default = "default_deadline_ms")]
     #[schemars(range(min = 1, max = 60_000))]
     pub(crate) deadline_ms: u64,
@@ -175,7 +183,7 @@
     1_000
 }
 
-/// An HTTP method.
+/// HTTP method.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "UPPERCASE")]
@@ -188,20 +196,20 @@
     Delete,
 }
 
-/// Where a request carries its key: one of the two.
+/// Location of the key in a request: exactly one of the fields is required.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawKey {
-    /// The name of a header.
+    /// Name of a header.
     #[serde(default)]
     pub(crate) header: Option<String>,
-    /// The name of a `{segment}` of the path.
+    /// Name of a `{segment}` of the path.
     #[serde(default)]
     pub(crate) segment: Option<String>,
 }
 
-/// Which retries count towards the share of fresh requests.
+/// Retries that count against the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
@@ -210,43 +218,45 @@
     AfterUpstream,
 }
 
-/// What a gate takes on.
+/// Limits on the requests that an agent accepts.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawLimits {
-    /// The longest time that a request waits for a free slot of the target.
+    /// Longest time in milliseconds that a request waits in the queue of an upstream.
     #[schemars(range(max = 60_000))]
     pub(crate) queue_ms_max: u64,
-    /// How many requests may wait at once.
+    /// Largest number of requests in the queue of an upstream.
     #[schemars(range(max = 100_000))]
     pub(crate) queue_length_max: u32,
-    /// Retries as a share of fresh requests.
+    /// Retry budget: largest number of retries as a share of first attempts.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub(crate) retry_share: f64,
-    /// Retries of one agent that may be saved up while there is nothing to retry.
+    /// Largest number of unused retries that the retry budget of an agent accumulates.
     #[schemars(range(max = 1_000))]
     pub(crate) retry_burst: u32,
-    /// Whether retries are counted each, or only those after a sending that may have reached an
-    /// upstream.
+    /// Whether all retries count against the retry budget, or only those after an attempt that may
+    /// have reached an upstream.
     pub(crate) retry_count: RawRetryCount,
-    /// How long a request waits for a key that nobody owns at the moment.
+    /// Longest time in milliseconds that a request waits while its key has no owner.
     #[schemars(range(max = 10_000))]
     pub(crate) unowned_wait_ms: u64,
-    /// How much longer a request may take in the own availability zone before another one is preferred:
-    /// what the way there takes, and what its bytes are held to cost.
+    /// Additional latency in milliseconds that is assumed for an upstream in another availability
+    /// zone when upstreams are compared: the network latency between zones, plus an allowance for
+    /// the cost of the traffic.
     #[schemars(range(max = 10_000))]
     pub(crate) zone_penalty_ms: u64,
-    /// The longest body of a request or an answer.
+    /// Largest body of a request or an answer, in bytes.
     #[schemars(range(min = 1024, max = 67_108_864))]
     pub(crate) body_bytes_max: u64,
-    /// All headers of a request together.
+    /// Largest total size of the headers of a request, in bytes.
     #[schemars(range(min = 1024, max = 262_144))]
     pub(crate) header_bytes_max: u64,
-    /// What answers to requests that are not idempotent may take up in memory.
+    /// Memory in bytes for recorded answers to non-idempotent requests.
     #[schemars(range(min = 65_536, max = 1_073_741_824))]
     pub(crate) records_bytes_max: u64,
-    /// How long such an answer is kept for a caller that asks again.
+    /// Time in milliseconds for which an answer is recorded, to be returned if the caller resends
+    /// the request.
     #[schemars(range(min = 1_000, max = 3_600_000))]
     pub(crate) records_ms: u64,
 }
@@ -269,45 +279,49 @@
     }
 }
 
-/// Times and targets of ownership.
+/// Timing of leases and targets of rebalancing.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawOwnership {
-    /// How long a member's lease lasts.
+    /// Duration of the lease of a group member, in milliseconds.
     #[schemars(range(min = 100, max = 60_000))]
     pub(crate) lease_ms: u64,
-    /// How often a member renews its lease.
+    /// Interval in milliseconds at which a member renews its lease.
     #[schemars(range(min = 20, max = 30_000))]
     pub(crate) renew_every_ms: u64,
-    /// How far clocks may drift apart within one lease.
+    /// Largest drift between clocks during one lease, in milliseconds.
     #[schemars(range(min = 1, max = 1_000))]
     pub(crate) drift_margin_ms: u64,
-    /// How long one confirmation of a coordinator by witnesses is good for.
+    /// Validity in milliseconds of a confirmation of the coordinator by witnesses.
     #[schemars(range(min = 50, max = 30_000))]
     pub(crate) confirmation_ms: u64,
-    /// The same where the platform confirms.
+    /// Validity in milliseconds of a confirmation of the coordinator by the platform.
     #[schemars(range(min = 50, max = 30_000))]
     pub(crate) platform_confirmation_ms: u64,
-    /// How long members wait for a silent coordinator before one of them takes the term.
+    /// Time in milliseconds without a response from the coordinator after which a member starts a
+    /// new term.
     #[schemars(range(min = 50, max = 60_000))]
     pub(crate) takeover_after_ms: u64,
-    /// The longest time that a coordinator goes on without reaching the platform.
+    /// Longest time in seconds that a coordinator continues without reaching the platform.
     #[schemars(range(min = 5, max = 86_400))]
     pub(crate) platform_absence_max_s: u64,
-    /// A gap between ticks above this counts as a pause and drops the lease.
+    /// Longest gap in milliseconds between timer ticks of an agent. After a longer gap, the agent
+    /// treats its lease as expired.
     #[schemars(range(min = 60, max = 30_000))]
     pub(crate) pause_max_ms: u64,
-    /// How long a slot's old owner may take to finish what is in flight.
+    /// Longest time in milliseconds for the previous owner of a slot to finish its requests in
+    /// flight.
     #[schemars(range(min = 100, max = 60_000))]
     pub(crate) handover_max_ms: u64,
-    /// The busiest member's load over the mean that is aimed at.
+    /// Target for the ratio of the busiest member's load to the mean load.
     #[schemars(range(min = 1.01, max = 10.0))]
     pub(crate) imbalance_target: f64,
-    /// The largest share of all keys that rebalancing may move in a minute.
+    /// Largest share of all keys that rebalancing moves per minute.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub(crate) churn_per_minute_max: f64,
-    /// 0 spares churn above all, 1 spares unavailable time above all.
+    /// Balance between two goals: 0 minimises moves of keys, 1 minimises the time in which keys are
+    /// unavailable.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub(crate) availability_weight: f64,
 }
@@ -331,18 +345,20 @@
     }
 }
 
-/// How an instance leaves.
+/// Timing of the drain of an instance.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawDrain {
-    /// When, after the announcement, no new work may reach the upstream any more.
+    /// Time in milliseconds after the announcement of the drain from which the upstream receives no
+    /// new requests.
     #[schemars(range(max = 3_000))]
     pub(crate) no_new_work_ms: u64,
-    /// When, after its availability zone was closed, no new work may reach the upstream any more.
+    /// Time in milliseconds after the closing of its availability zone from which the upstream
+    /// receives no new requests.
     #[schemars(range(max = 60_000))]
     pub(crate) zone_no_new_work_ms: u64,
-    /// How long the instance waits for what is in flight.
+    /// Longest time in milliseconds that the instance waits for requests in flight.
     #[schemars(range(min = 100, max = 600_000))]
     pub(crate) in_flight_ms_max: u64,
 }
