--- a/crates/client/tests/cli/check.rs
+++ b/crates/client/tests/cli/check.rs
@@ -26,9 +26,9 @@
 fn all_problems_come_at_once_with_their_places() {
     let text = DOCUMENT.replace("\"keyed\": true", "\"keyd\": 1, \"slot_count\": 0");
     let expected = [
-        "pomelohill: file.jsonc:1:1: keyed: the field is missing and has no default.",
+        "pomelohill: file.jsonc:1:1: keyed: this required field is missing.",
         "file.jsonc:5:3: keyd: unknown field, did you mean \"keyed\"?",
-        "file.jsonc:5:14: slot_count: 0 is too little, the least is 1.",
+        "file.jsonc:5:14: slot_count: 0 is too small: expected at least 1.",
         "file.jsonc: 3 problems.",
     ];
     check("problems", &text, &["check", "file.jsonc"], (1, &[], &expected));
@@ -36,7 +36,7 @@
 
 #[test]
 fn settings_of_an_agent_are_checked_too() {
-    let expected = "instance: the field is missing and has no default.";
+    let expected = "instance: this required field is missing.";
     check("agent", "{}", &["check", "--agent", "file.jsonc"], (1, &[], &[expected]));
 }
 
--- a/crates/settings/src/agent_settings.rs
+++ b/crates/settings/src/agent_settings.rs
@@ -255,7 +255,7 @@
         let len = self.parsed.raw.link_key.len();
         if len < LINK_KEY_MIN_BYTES {
             let message =
-                format!("{len} bytes are too few, at least {LINK_KEY_MIN_BYTES} are needed.");
+                format!("{len} bytes are too few: expected at least {LINK_KEY_MIN_BYTES}.");
             self.report("link_key", message);
         }
     }
@@ -263,16 +263,22 @@
     fn address(&mut self, field: &str, text: &str) -> Option<SocketAddr> {
         match text.parse::<SocketAddr>() {
             Ok(address) if address.port() == 0 => {
-                self.report(field, "a port of 1 to 65535 is needed.");
+                self.report(field, "expected a port from 1 to 65535.");
                 None
             }
             Ok(address) if address.ip().is_unspecified() => {
-                self.report(field, "peers reach this address, so it may not be unspecified.");
+                self.report(
+                    field,
+                    "must not be an unspecified address, since other processes connect to it.",
+                );
                 None
             }
             Ok(address) => Some(address),
             Err(_) => {
-                self.report(field, format!("{text:?} is no IP:PORT; names are not looked up."));
+                self.report(
+                    field,
+                    format!("expected IP:PORT, not {text:?}; host names are not resolved."),
+                );
                 None
             }
         }
@@ -294,7 +300,7 @@
         for (index, (field, address)) in addresses.iter().enumerate() {
             let same = addresses[..index].iter().find(|it| address.is_some() && it.1 == *address);
             if let Some((first, _)) = same {
-                self.report(field, format!("the address is that of {first} already."));
+                self.report(field, format!("must differ from the address in {first}."));
             }
         }
     }
--- a/crates/settings/src/document/route.rs
+++ b/crates/settings/src/document/route.rs
@@ -68,9 +68,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum RouteError {
-    #[error("no route fits {method} {path}")]
+    #[error("no route matches {method} {path}")]
     NoRoute { method: String, path: String },
-    #[error("the request has no key in its header {0:?}")]
+    #[error("the request has no key in the header {0:?}")]
     NoHeader(String),
     #[error("the key in segment {0} of the path is empty")]
     EmptySegment(usize),
@@ -94,10 +94,10 @@
     /// Parses a pattern; the error is a sentence.
     pub(crate) fn parse(text: &str) -> Result<PathPattern, String> {
         let Some(rest) = text.strip_prefix('/') else {
-            return Err("a path begins with '/'.".to_owned());
+            return Err("a path must start with '/'.".to_owned());
         };
         if let Some(bad) = rest.chars().find(|it| matches!(it, '?' | '#' | '%' | ' ')) {
-            return Err(format!("a path pattern holds no {bad:?}."));
+            return Err(format!("a path pattern must not contain {bad:?}."));
         }
         let mut parts: Vec<&str> = rest.split('/').collect();
         let open = parts.last() == Some(&"*");
@@ -110,7 +110,7 @@
         };
         let pattern = PathPattern { segments, open };
         match pattern.doubled_name() {
-            Some(name) => Err(format!("the segment {{{name}}} stands twice.")),
+            Some(name) => Err(format!("the segment name {{{name}}} is used twice.")),
             None => Ok(pattern),
         }
     }
@@ -164,11 +164,13 @@
 fn segment(text: &str) -> Result<Segment, String> {
     let name = text.strip_prefix('{').and_then(|it| it.strip_suffix('}'));
     match name {
-        Some("") => Err("a segment {} needs a name.".to_owned()),
+        Some("") => Err("the segment {} has no name.".to_owned()),
         Some(name) if !name.contains(['{', '}', '*']) => Ok(Segment::Named(name.to_owned())),
-        None if text.is_empty() => Err("a path has no empty segment.".to_owned()),
+        None if text.is_empty() => Err("a path must not contain an empty segment.".to_owned()),
         None if !text.contains(['{', '}', '*']) => Ok(Segment::Literal(text.to_owned())),
-        _ => Err(format!("{text:?}: braces stand around a whole segment, '*' stands last.")),
+        _ => Err(format!(
+            "invalid segment {text:?}: braces must enclose a whole segment, and '*' must be the last segment."
+        )),
     }
 }
 
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -54,7 +54,7 @@
 ) {
     let mut rules = Rules { source: &parsed.source, problems };
     rules.require(parsed.raw.service == service.as_str(), "service", || {
-        format!("the document is that of {service}; another service needs one of its own.")
+        format!("must be {service}, the service that the document is stored for.")
     });
 }
 
@@ -68,16 +68,23 @@
     let raw = &parsed.raw;
     let mut rules = Rules { source: &parsed.source, problems };
     rules.require(raw.keyed == former.keyed, "keyed", || {
-        format!("may not change while the service runs; it is {}.", former.keyed)
+        format!(
+            "cannot be changed while the service is running; the current value is {}.",
+            former.keyed
+        )
     });
     let slot_count = former.slot_count.count();
     rules.require(raw.slot_count == slot_count, "slot_count", || {
-        format!("may not change while the service runs; it is {slot_count}.")
+        format!(
+            "cannot be changed while the service is running; the current value is {slot_count}."
+        )
     });
     let ordered_keys = former.ordered_keys.map(OrderedKeys::count);
     rules.require(raw.ordered_keys == ordered_keys, "ordered_keys", || match ordered_keys {
-        Some(count) => format!("may not change while the service runs; it is {count}."),
-        None => "may not be set while the service runs.".to_owned(),
+        Some(count) => {
+            format!("cannot be changed while the service is running; the current value is {count}.")
+        }
+        None => "cannot be set while the service is running.".to_owned(),
     });
 }
 
@@ -114,7 +121,7 @@
             "upstream.connections_max",
             || {
                 format!(
-                    "{} connections cannot fill {} slots.",
+                    "{} connections are too few for {} slots: expected at least one per slot.",
                     upstream.connections_max, upstream.slots
                 )
             },
@@ -125,18 +132,18 @@
         let leases = raw.upstream.enforces_leases;
         let ordered = raw.ordered_keys;
         self.require(!leases || ordered.is_some(), "upstream.enforces_leases", || {
-            "grants are ranges of keys, so the service needs ordered_keys.".to_owned()
+            "requires ordered_keys, since grants are ranges of keys.".to_owned()
         });
         let by_calls = raw.upstream.key_grants == KeyGrants::Calls;
         self.require(leases || by_calls, "upstream.key_grants", || {
-            "the upstream takes no grants, so enforces_leases is needed.".to_owned()
+            "requires enforces_leases, since the upstream receives no grants without it.".to_owned()
         });
         self.require(ordered.is_none() || raw.keyed, "ordered_keys", || {
-            "the service is not divided by key.".to_owned()
+            "requires keyed: true.".to_owned()
         });
         let enough = ordered.is_none_or(|it| it >= u32::from(raw.slot_count));
         self.require(enough, "ordered_keys", || {
-            format!("{} slots need as many keys at least.", raw.slot_count)
+            format!("must be at least slot_count, {}.", raw.slot_count)
         });
     }
 
@@ -145,7 +152,7 @@
         let lease = it.lease_ms;
         self.require(it.renew_every_ms * 2 < lease, "ownership.renew_every_ms", || {
             format!(
-                "two renewals must fit into a lease: less than {} ms, half of lease_ms.",
+                "must be less than {} ms, half of lease_ms, so that two renewals fit into a lease.",
                 lease / 2
             )
         });
@@ -180,14 +187,14 @@
             |routes: &mut dyn Iterator<Item = &RawRoute>| routes.map(|it| it.deadline_ms).max();
         let deadline_ms = longest(&mut raw.routes.iter()).unwrap_or(0);
         self.require(raw.limits.queue_ms_max <= deadline_ms, "limits.queue_ms_max", || {
-            format!("nothing may wait longer than the longest deadline, {deadline_ms} ms.")
+            format!("must not exceed the longest deadline of a route, {deadline_ms} ms.")
         });
         self.require(raw.drain.in_flight_ms_max >= deadline_ms, "drain.in_flight_ms_max", || {
-            format!("would cut off requests in flight: the longest deadline is {deadline_ms} ms.")
+            format!("must be at least the longest deadline of a route, {deadline_ms} ms, so that requests in flight can finish.")
         });
         let once_ms = longest(&mut raw.routes.iter().filter(|it| !it.idempotent)).unwrap_or(0);
         self.require(raw.limits.records_ms >= 2 * once_ms, "limits.records_ms", || {
-            format!("must be at least twice the deadline of routes not idempotent, {once_ms} ms.")
+            format!("must be at least twice the longest deadline of a non-idempotent route, {once_ms} ms.")
         });
     }
 
@@ -197,7 +204,7 @@
         for (index, class) in raw.classes.iter().enumerate() {
             let field = format!("classes[{index}].name");
             if let Some(first) = seen.insert(&class.name, index) {
-                self.report(&field, format!("the class is the same as classes[{first}]."));
+                self.report(&field, format!("duplicate name: already used by classes[{first}]."));
             }
             let name = self.name(&field, ClassName::new(&class.name));
             let queues_past_objective = class.queues_past_objective;
@@ -251,7 +258,9 @@
             })
         };
         if let Some(first) = earlier.iter().position(hides) {
-            let message = format!("no request gets here: routes[{first}] takes all that would.");
+            let message = format!(
+                "unreachable: routes[{first}] matches all requests that this route matches."
+            );
             self.report(field, message);
         }
     }
@@ -262,7 +271,7 @@
             return ClassName::new(&route.class).ok();
         }
         let hint = hint(&route.class, &mut known);
-        self.report(field, format!("{:?} is not among classes{hint}", route.class));
+        self.report(field, format!("{:?} is not defined in classes{hint}", route.class));
         None
     }
 
@@ -279,13 +288,13 @@
         };
         match (&key.header, &key.segment) {
             _ if !raw.keyed => {
-                self.report(field, "the service is not divided by key, so no route has one.");
+                self.report(field, "requires keyed: true.");
                 None
             }
             (Some(header), None) => self.key_header(header, &format!("{field}.header")),
             (None, Some(segment)) => self.key_segment(segment, path?, &format!("{field}.segment")),
             _ => {
-                self.report(field, "the key is in a header or in a segment: name one of the two.");
+                self.report(field, "expected exactly one of header and segment.");
                 None
             }
         }
@@ -295,7 +304,12 @@
     fn key_header(&mut self, header: &str, field: &str) -> Option<KeySource> {
         let allowed = |it: char| it.is_ascii_alphanumeric() || it == '-' || it == '_';
         if header.is_empty() || !header.chars().all(allowed) {
-            self.report(field, format!("{header:?} is no name of a header."));
+            self.report(
+                field,
+                format!(
+                    "{header:?} is not a valid header name: expected letters, digits, '-' and '_'."
+                ),
+            );
             return None;
         }
         Some(KeySource::Header(header.to_ascii_lowercase()))
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -78,7 +78,7 @@
             return;
         }
         let hint = hint(text, choices.iter().copied());
-        self.report(field, format!("{text:?} is none of {}{hint}", list(choices)));
+        self.report(field, format!("expected one of {}, not {text:?}{hint}", list(choices)));
     }
 
     fn object(&mut self, object: &Map<String, Value>, schema: &'a Value, field: &str) {
@@ -96,7 +96,7 @@
         let required = schema["required"].as_array().into_iter().flatten();
         for name in required.filter_map(Value::as_str) {
             if !object.contains_key(name) {
-                self.report(&child(field, name), "the field is missing and has no default.");
+                self.report(&child(field, name), "this required field is missing.");
             }
         }
     }
@@ -117,10 +117,10 @@
         let len = len as u64;
         match bounds.map(|it| schema[it].as_u64()) {
             [Some(min), _] if len < min => {
-                self.report(field, format!("{len} {what} are too few, at least {min} are needed."));
+                self.report(field, format!("{len} {what} are too few: expected at least {min}."));
             }
             [_, Some(max)] if len > max => {
-                self.report(field, format!("{len} {what} are too many, at most {max} are taken."));
+                self.report(field, format!("{len} {what} are too many: expected at most {max}."));
             }
             _ => {}
         }
@@ -130,10 +130,13 @@
         let unit = unit(field);
         match ["minimum", "maximum"].map(|it| schema[it].as_f64()) {
             [Some(min), _] if number < min => {
-                self.report(field, format!("{number}{unit} is too little, the least is {min}."));
+                self.report(
+                    field,
+                    format!("{number}{unit} is too small: expected at least {min}."),
+                );
             }
             [_, Some(max)] if number > max => {
-                self.report(field, format!("{number}{unit} is too much, the most is {max}."));
+                self.report(field, format!("{number}{unit} is too large: expected at most {max}."));
             }
             _ => {}
         }
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -29,7 +29,7 @@
     pub(crate) fn parse(text: &str, problems: &mut Problems) -> Option<Source> {
         if text.len() > TEXT_MAX_BYTES {
             let message =
-                format!("the text has {} bytes, at most {TEXT_MAX_BYTES} are taken.", text.len());
+                format!("the text has {} bytes: expected at most {TEXT_MAX_BYTES}.", text.len());
             problems.push(START, "", message);
             return None;
         }
@@ -43,7 +43,7 @@
             }
         };
         let Some(ast) = ast else {
-            problems.push(START, "", "the text holds no value, an object is expected.");
+            problems.push(START, "", "the text contains no value: expected an object.");
             return None;
         };
         let mut reader =
@@ -115,7 +115,11 @@
 
     fn number(&mut self, text: &str, position: Position, field: &str) -> serde_json::Value {
         let Ok(number) = text.parse::<Number>() else {
-            self.problems.push(position, field, format!("{text} is no number that can be held."));
+            self.problems.push(
+                position,
+                field,
+                format!("{text} cannot be represented as a number."),
+            );
             return serde_json::Value::from(0);
         };
         serde_json::Value::Number(number)
@@ -128,7 +132,7 @@
             let field = child(field, name);
             let position = self.name_position(property);
             if map.contains_key(name) {
-                self.problems.push(position, field, "the field stands here a second time.");
+                self.problems.push(position, field, "duplicate field.");
                 continue;
             }
             self.positions.insert(field.clone(), position);
--- a/crates/settings/src/tests/agent_settings.rs
+++ b/crates/settings/src/tests/agent_settings.rs
@@ -25,26 +25,26 @@
     check(("", ""), &[]);
     check(
         ("0123456789abcdef", "short"),
-        &["line 7, column 3: link_key: 5 bytes are too few, at least 16 are needed."],
+        &["line 7, column 3: link_key: 5 bytes are too few: expected at least 16."],
     );
     check(
         ("127.0.0.1:7003", "localhost:7003"),
         &[
-            "line 5, column 3: control_address: \"localhost:7003\" is no IP:PORT; names are not looked up.",
+            "line 5, column 3: control_address: expected IP:PORT, not \"localhost:7003\"; host names are not resolved.",
         ],
     );
     check(
         ("127.0.0.1:7003", "127.0.0.1:7002"),
-        &["line 5, column 3: control_address: the address is that of traffic_address already."],
+        &["line 5, column 3: control_address: must differ from the address in traffic_address."],
     );
     check(
         ("\"link_key\"", "\"peers\": [\"127.0.0.1:0\"], \"link_key\""),
-        &["line 7, column 13: peers[0]: a port of 1 to 65535 is needed."],
+        &["line 7, column 13: peers[0]: expected a port from 1 to 65535."],
     );
     check(
         ("127.0.0.1:7001", "0.0.0.0:7001"),
         &[
-            "line 4, column 3: caller_address: peers reach this address, so it may not be unspecified.",
+            "line 4, column 3: caller_address: must not be an unspecified address, since other processes connect to it.",
         ],
     );
 }
--- a/crates/settings/src/tests/central.rs
+++ b/crates/settings/src/tests/central.rs
@@ -112,6 +112,6 @@
         );
     };
     check("true", 96, "true", "");
-    check("true", 95, "true", "96 slots need as many keys at least");
-    check("false", 96, "false", "the service is not divided by key");
+    check("true", 95, "true", "must be at least slot_count, 96");
+    check("false", 96, "false", "requires keyed: true");
 }
--- a/crates/settings/src/tests/document.rs
+++ b/crates/settings/src/tests/document.rs
@@ -73,7 +73,7 @@
     check_section(
         r#""ownership": { "renew_every_ms": 375 }"#,
         &[
-            "ownership.renew_every_ms: two renewals must fit into a lease: less than 375 ms, half of lease_ms.",
+            "ownership.renew_every_ms: must be less than 375 ms, half of lease_ms, so that two renewals fit into a lease.",
         ],
     );
     check_section(
@@ -101,14 +101,16 @@
     check_section(
         r#""limits": { "queue_ms_max": 1001, "records_ms": 1999 }, "drain": { "in_flight_ms_max": 999 }"#,
         &[
-            "limits.queue_ms_max: nothing may wait longer than the longest deadline, 1000 ms.",
-            "limits.records_ms: must be at least twice the deadline of routes not idempotent, 1000 ms.",
-            "drain.in_flight_ms_max: would cut off requests in flight: the longest deadline is 1000 ms.",
+            "limits.queue_ms_max: must not exceed the longest deadline of a route, 1000 ms.",
+            "limits.records_ms: must be at least twice the longest deadline of a non-idempotent route, 1000 ms.",
+            "drain.in_flight_ms_max: must be at least the longest deadline of a route, 1000 ms, so that requests in flight can finish.",
         ],
     );
     check_section(
         r#""upstream": { "slots": 100 }"#,
-        &["upstream.connections_max: 85 connections cannot fill 100 slots."],
+        &[
+            "upstream.connections_max: 85 connections are too few for 100 slots: expected at least one per slot.",
+        ],
     );
 }
 
@@ -117,13 +119,13 @@
     check(
         (r#"{ "name": "lap" }"#, r#"{ "name": "lap" }, { "name": "lap" }, { "name": "Lap" }"#),
         &[
-            "classes[1].name: the class is the same as classes[0].",
+            "classes[1].name: duplicate name: already used by classes[0].",
             "classes[2].name: a name holds a-z, 0-9, '-', '_' and '.', not 'L'.",
         ],
     );
     check(
         (r#""class": "lap""#, r#""class": "laps""#),
-        &[r#"routes[0].class: "laps" is not among classes, did you mean "lap"?"#],
+        &[r#"routes[0].class: "laps" is not defined in classes, did you mean "lap"?"#],
     );
 }
 
@@ -143,15 +145,14 @@
     );
     check_key(
         r#"{ "segment": "car", "header": "x-key" }"#,
-        &["routes[0].key: the key is in a header or in a segment: name one of the two."],
-    );
-    check_key(
-        "{}",
-        &["routes[0].key: the key is in a header or in a segment: name one of the two."],
+        &["routes[0].key: expected exactly one of header and segment."],
     );
+    check_key("{}", &["routes[0].key: expected exactly one of header and segment."]);
     check_key(
         r#"{ "header": "x key" }"#,
-        &[r#"routes[0].key.header: "x key" is no name of a header."#],
+        &[
+            r#"routes[0].key.header: "x key" is not a valid header name: expected letters, digits, '-' and '_'."#,
+        ],
     );
 }
 
--- a/crates/settings/src/tests/problems.rs
+++ b/crates/settings/src/tests/problems.rs
@@ -8,7 +8,7 @@
     check(
         (r#""keyed""#, r#""keyd""#),
         &[
-            r#"keyed: the field is missing and has no default."#,
+            r#"keyed: this required field is missing."#,
             r#"keyd: unknown field, did you mean "keyed"?"#,
         ],
     );
@@ -27,20 +27,20 @@
         (r#""keyed": true,"#, r#""keyed": "yes", "slot_count": 0, "upstream": { "slots": 1.5 },"#),
         &[
             r#"keyed: expected true or false, not "yes"."#,
-            "slot_count: 0 is too little, the least is 1.",
+            "slot_count: 0 is too small: expected at least 1.",
             "upstream.slots: expected a whole number, not 1.5.",
         ],
     );
     check(
         (r#""class": "lap""#, r#""class": "lap", "method": "post", "deadline_ms": 60001"#),
         &[
-            r#"routes[0].method: "post" is none of "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"."#,
-            "routes[0].deadline_ms: 60001 ms is too much, the most is 60000.",
+            r#"routes[0].method: expected one of "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", not "post"."#,
+            "routes[0].deadline_ms: 60001 ms is too large: expected at most 60000.",
         ],
     );
     check(
         (r#"[{ "name": "lap" }]"#, "[]"),
-        &["classes: 0 entries are too few, at least 1 are needed."],
+        &["classes: 0 entries are too few: expected at least 1."],
     );
 }
 
@@ -59,7 +59,7 @@
     let check = |text: &str, expected: &str| {
         assert_eq!(ServiceDocument::parse(text).unwrap_err().to_string(), expected);
     };
-    check("", "line 1, column 1: the text holds no value, an object is expected.");
+    check("", "line 1, column 1: the text contains no value: expected an object.");
     check(
         "{\n  \"service\" \"x\"}",
         "line 2, column 13: Expected colon after the string or word in object property.",
@@ -69,8 +69,5 @@
 
 #[test]
 fn doubled_fields_are_found() {
-    check(
-        (r#""keyed": true,"#, r#""keyed": true, "keyed": false,"#),
-        &["keyed: the field stands here a second time."],
-    );
+    check((r#""keyed": true,"#, r#""keyed": true, "keyed": false,"#), &["keyed: duplicate field."]);
 }
--- a/crates/settings/src/tests/route.rs
+++ b/crates/settings/src/tests/route.rs
@@ -66,10 +66,10 @@
     assert_eq!(
         found,
         [
-            "routes[1]: no request gets here: routes[0] takes all that would.",
-            "routes[3].path: a path begins with '/'.",
-            "routes[4].path: the segment {x} stands twice.",
-            "routes[5].path: \"a{x}\": braces stand around a whole segment, '*' stands last.",
+            "routes[1]: unreachable: routes[0] matches all requests that this route matches.",
+            "routes[3].path: a path must start with '/'.",
+            "routes[4].path: the segment name {x} is used twice.",
+            "routes[5].path: invalid segment \"a{x}\": braces must enclose a whole segment, and '*' must be the last segment.",
         ]
     );
 }
--- a/crates/settings/src/tests/versions.rs
+++ b/crates/settings/src/tests/versions.rs
@@ -109,7 +109,7 @@
     check_judge(Some(4), 4, MINIMAL, Ok(None));
     check_judge(Some(5), 4, "{", Ok(None));
     check_judge(Some(4), 5, "{", Err("line 1, column 1: Unterminated object."));
-    let keyed = "line 4, column 3: keyed: may not change while the service runs; it is true.";
+    let keyed = "line 4, column 3: keyed: cannot be changed while the service is running; the current value is true.";
     check_judge(Some(4), 5, &MINIMAL.replace("true", "false"), Err(keyed));
     let other = MINIMAL.replace("standings", "lapboard");
     check_judge(
@@ -117,7 +117,7 @@
         5,
         &other,
         Err(
-            "line 2, column 3: service: the document is that of standings; another service needs one of its own.",
+            "line 2, column 3: service: must be standings, the service that the document is stored for.",
         ),
     );
     // Without the accepted text nobody knows whether a service would change under its owners.
