--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode, request::Parts};
 use ownership::UpstreamState;
 use tokio::net::TcpListener;
-use upstream::{Announced, HealthState, HeldKeys, KeysToHold};
+use upstream::{AnnouncedKeys, AnnouncementBody, AssignedKeys, HealthState};
 use volo::{Service, net::incoming::DefaultIncoming};
 use volo_http::{
     body::Body, context::ServerContext, request::Request, response::Response, server::Server,
@@ -31,7 +31,7 @@
         /// What its monotonic clock shows, in milliseconds, if it says so.
         clock_ms: Option<u64>,
         /// What it says of its keys, where it is granted them by its announcements.
-        keys: Option<HeldKeys>,
+        keys: Option<AnnouncedKeys>,
     },
     /// It leaves for good.
     Leaving {
@@ -48,9 +48,9 @@
     fn keys_to_hold(
         &self,
         announcement: Announcement,
-        held: HeldKeys,
+        held: AnnouncedKeys,
         ranges_max: usize,
-    ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>>;
+    ) -> Pin<Box<dyn Future<Output = Option<AssignedKeys>> + Send + '_>>;
 }
 
 /// How the local upstream announces itself.
@@ -61,7 +61,7 @@
     fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)>;
     /// The response to one that has been taken; with what the upstream is to hold, if there is something
     /// to say about that.
-    fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response;
+    fn acknowledge(&self, keys: Option<&AssignedKeys>) -> Response;
     /// The most runs of keys that fit into a response.
     fn ranges_max(&self) -> usize;
 }
@@ -103,7 +103,7 @@
     }
 
     /// Resolves to what the upstream is to hold, if there is something to say about that.
-    async fn pass_on(&self, heard: UpstreamMessage) -> Option<KeysToHold> {
+    async fn pass_on(&self, heard: UpstreamMessage) -> Option<AssignedKeys> {
         match heard {
             UpstreamMessage::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.update(clock_ms, self.clock.now());
@@ -167,7 +167,7 @@
                 refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement is a POST")
             }
             _ => {
-                let announced: Announced = serde_json::from_slice(body)
+                let announced: AnnouncementBody = serde_json::from_slice(body)
                     .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
                 let clock_ms = announced.clock_ms;
                 Ok(UpstreamMessage::Announced {
@@ -179,7 +179,7 @@
         }
     }
 
-    fn acknowledge(&self, _keys: Option<&KeysToHold>) -> Response {
+    fn acknowledge(&self, _keys: Option<&AssignedKeys>) -> Response {
         Response::new(Body::from(String::new()))
     }
 
@@ -189,8 +189,8 @@
     }
 }
 
-impl From<Announced> for Announcement {
-    fn from(announced: Announced) -> Announcement {
+impl From<AnnouncementBody> for Announcement {
+    fn from(announced: AnnouncementBody) -> Announcement {
         Announcement {
             service: announced.service,
             address: announced.address,
--- a/crates/settings/src/tests/fleet.rs
+++ b/crates/settings/src/tests/central.rs
@@ -5,7 +5,7 @@
 use model::{ClassName, OrderedKeys, ServiceName, TeamName};
 
 use crate::{
-    AgentSettings, Backend, Class, FleetService, HostRoute, KeyGrants, RoutingTable,
+    AgentSettings, Backend, CentralServiceConfig, HostRoute, KeyGrants, RequestClass, RoutingTable,
     ServiceDocument,
 };
 
@@ -18,7 +18,7 @@
         idempotent: true,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(600),
-        attempts: 2,
+        attempts_max: 2,
     }
 }
 
@@ -55,24 +55,24 @@
 fn documents_are_made_from_the_defaults_and_pass_the_check() {
     let settings = AgentSettings::parse(SETTINGS).unwrap();
     assert_eq!(settings.ready_address, Some("127.0.0.1:7005".parse().unwrap()));
-    let service = FleetService {
+    let service = CentralServiceConfig {
         service: ServiceName::new("standings").unwrap(),
         team: TeamName::new("karerang").unwrap(),
         keys: OrderedKeys::new(65_536),
         key_grants: KeyGrants::Announcements,
         key_header: "x-place",
-        classes: vec![Class {
+        classes: vec![RequestClass {
             name: ClassName::new("rank-1").unwrap(),
             weight: 4,
             queues_past_objective: false,
         }],
         cold_requests_per_s: Some(12.0),
         connections_max: 120,
-        request_max: Duration::from_millis(2_900),
+        timeout_max: Duration::from_millis(2_900),
         header_bytes_max: 16_384,
         body_bytes_max: 1 << 20,
     };
-    let text = settings.document_defaults.document(&service);
+    let text = settings.document_defaults.build_document(&service);
     let document = ServiceDocument::parse_for(&service.service, &text).unwrap();
     assert!(document.keyed && document.upstream.enforces_leases && !document.resends);
     assert_eq!(document.upstream.key_grants, KeyGrants::Announcements);
