--- a/crates/settings/src/document/mod.rs
+++ b/crates/settings/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The document in which a team says what its service is and how it should be reached.
+//! Service document: the description of a service by its team, with its routes and limits.
 
 mod raw;
 mod route;
@@ -21,84 +21,92 @@
     RawLimits, RawOwnership, RawRoute, RawUpstream, default_slot_count,
 };
 
-/// Made once: each agent parses many documents.
+/// Generated once, since each agent parses many documents.
 static SCHEMA: LazyLock<serde_json::Value> = LazyLock::new(schema_of::<RawDocument>);
 
-/// A checked service document.
+/// Validated service document.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceDocument {
     pub service: ServiceName,
     pub team: TeamName,
-    /// Whether each key is owned by one instance alone.
+    /// Whether requests are partitioned by key, with each key owned by one instance at a time.
     pub keyed: bool,
-    /// How many slots the keys of one group are spread over.
+    /// Number of slots that the keys of a group are distributed over.
     pub slot_count: SlotCount,
-    /// Set where keys are whole numbers and slots are ranges of them.
+    /// Set if keys are integers and slots are ranges of keys; otherwise keys are hashed.
     pub ordered_keys: Option<OrderedKeys>,
-    /// Whether a request may come again under the id of its first sending.
+    /// Whether callers resend a non-idempotent request under the request id of its first attempt.
     pub resends: bool,
     pub upstream: UpstreamProperties,
     pub classes: Vec<RequestClass>,
-    /// In the order in which they are tried.
+    /// Routes in the order in which they are tried.
     pub routes: Vec<Route>,
     pub limits: TrafficLimits,
     pub ownership: OwnershipLimits,
     pub drain: DrainLimits,
 }
 
-/// What each upstream of a service can do.
+/// Capacity and features of each upstream of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamProperties {
-    /// Requests that it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
     pub connections_max: u32,
-    /// Whether it refuses requests whose fence token is older than one it has seen.
+    /// Whether the upstream rejects requests whose fence token is older than one that it has
+    /// received.
     pub checks_fence: bool,
-    /// Whether it runs requests only for ranges of keys that it holds a grant of.
+    /// Whether the upstream runs requests only for ranges of keys that it holds a grant for.
     pub enforces_leases: bool,
-    /// How it is granted keys, if it enforces leases.
+    /// How grants of keys are sent to an upstream that enforces leases.
     pub key_grants: KeyGrants,
-    /// How long a new upstream takes to reach its full share of the load.
+    /// Time until a new upstream receives its full share of the load.
     pub warmup: Duration,
-    /// How many requests a second it bears while it says that it is cold; none: as many as its slots take.
+    /// Requests per second that the upstream can process while it reports that it is cold; `None`
+    /// if only `slots` limits it.
     pub cold_requests_per_s: Option<f64>,
 }
 
-/// A class of requests.
+/// Class of requests that share a queue and a weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestClass {
     pub name: ClassName,
-    /// Its share of a full target against the other classes; at least 1.
+    /// Share of the class in the capacity of an overloaded upstream, relative to the other classes;
+    /// at least 1.
     pub weight: u32,
-    /// Whether its requests wait beyond the time in which an answer is of full use.
+    /// Whether requests of the class are queued even if they are expected to miss their latency
+    /// objective.
     pub queues_past_objective: bool,
 }
 
-/// What a gate takes on.
+/// Limits on the requests that an agent accepts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficLimits {
-    /// The longest wait for a free slot of the target.
+    /// Longest time that a request waits in the queue of an upstream.
     pub queue_wait_max: Duration,
+    /// Largest number of requests in the queue of an upstream.
     pub queue_length_max: u32,
-    /// Retries as a share of fresh requests, 0.0 to 1.0.
+    /// Retry budget: retries as a share of first attempts, from 0.0 to 1.0.
     pub retry_share: f64,
-    /// Retries of one agent that may be saved up.
+    /// Largest number of unused retries that the retry budget of an agent accumulates.
     pub retry_burst: u32,
-    /// Whether a retry counts only after a sending that may have reached an upstream.
+    /// Whether a retry counts against the retry budget only after an attempt that may have reached
+    /// an upstream.
     pub retries_count_after_upstream: bool,
-    /// How long a request waits for a key that nobody owns.
+    /// Longest time that a request waits while its key has no owner.
     pub unowned_wait: Duration,
-    /// How much longer a request may take in the own availability zone before another is preferred.
+    /// Additional latency that is assumed for an upstream in another availability zone when
+    /// upstreams are compared.
     pub zone_penalty: Duration,
     pub body_bytes_max: usize,
     pub header_bytes_max: usize,
-    /// What kept answers to requests that are not idempotent may take up in memory.
+    /// Memory for recorded answers to non-idempotent requests.
     pub records_bytes_max: usize,
-    /// How long such an answer is kept.
+    /// Time for which an answer is recorded.
     pub records_retention: Duration,
 }
 
-/// Times and targets of ownership; the same fields as in the crate that decides on ownership.
+/// Timing of leases and targets of rebalancing, with the same fields as `Limits` of the `ownership`
+/// crate.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OwnershipLimits {
     pub lease: Duration,
@@ -110,27 +118,31 @@
     pub platform_absence_max: Duration,
     pub pause_max: Duration,
     pub handover_max: Duration,
-    /// Busiest member's load over the mean.
+    /// Target for the ratio of the busiest member's load to the mean load.
     pub imbalance_target: f64,
-    /// Share of all keys, 0.0 to 1.0.
+    /// Largest share of all keys that rebalancing moves per minute, from 0.0 to 1.0.
     pub churn_per_minute_max: f64,
-    /// 0 spares churn above all, 1 spares unavailable time above all.
+    /// Balance between two goals: 0 minimises moves of keys, 1 minimises the time in which keys are
+    /// unavailable.
     pub availability_weight: f64,
 }
 
-/// How an instance leaves.
+/// Timing of the drain of an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainLimits {
-    /// When, after the announcement, no new work may reach the upstream; 3 s at the most.
+    /// Time after the announcement of the drain from which the upstream receives no new requests;
+    /// at most 3 s.
     pub no_new_work_after: Duration,
-    /// The same after the availability zone of the upstream was closed.
+    /// Time after the closing of the availability zone from which the upstream receives no new
+    /// requests.
     pub zone_no_new_work_after: Duration,
-    /// How long the instance waits for what is in flight.
+    /// Longest time that the instance waits for requests in flight.
     pub in_flight_max: Duration,
 }
 
 impl ServiceDocument {
-    /// Parses and checks a document in JSON with comments; reports all problems at once.
+    /// Parses and validates a document in JSON with comments. The error contains all problems
+    /// found.
     pub fn parse(text: &str) -> Result<ServiceDocument, Problems> {
         let mut problems = Problems::default();
         let document = parse::<RawDocument>(text, &SCHEMA, &mut problems)
@@ -138,7 +150,7 @@
         problems.or(document)
     }
 
-    /// Parses and checks a document that stands where that of `service` belongs.
+    /// Parses and validates a document that is stored for `service`.
     pub fn parse_for(service: &ServiceName, text: &str) -> Result<ServiceDocument, Problems> {
         let mut problems = Problems::default();
         let parsed = parse::<RawDocument>(text, &SCHEMA, &mut problems);
@@ -149,33 +161,36 @@
         problems.or(document)
     }
 
-    /// Parses and checks a document that is to follow `former`: what lies at the root of ownership
-    /// may not change under a running service.
-    pub fn parse_change(text: &str, former: &ServiceDocument) -> Result<ServiceDocument, Problems> {
+    /// Parses and validates a document that is to replace `previous`. Fields on which ownership
+    /// depends cannot be changed while a service is running.
+    pub fn parse_change(
+        text: &str,
+        previous: &ServiceDocument,
+    ) -> Result<ServiceDocument, Problems> {
         let mut problems = Problems::default();
         let parsed = parse::<RawDocument>(text, &SCHEMA, &mut problems);
         let document = parsed.as_ref().and_then(|it| {
-            rules::check_change(it, former, &mut problems);
+            rules::check_change(it, previous, &mut problems);
             rules::check(it, &mut problems)
         });
         problems.or(document)
     }
 
-    /// The JSON schema of the text.
+    /// Returns the JSON schema of documents.
     pub fn json_schema() -> serde_json::Value {
         SCHEMA.clone()
     }
 
-    /// Finds the route of a request and its key. `path` is what follows the service's segment,
-    /// with its leading slash and without a query; `header` looks a header up by its name in
-    /// lower case.
+    /// Finds the route and the key of a request. `path` is the path after the segment with the
+    /// service name, with a leading slash and without the query. `header` returns the value of a
+    /// header by its lower-case name.
     pub fn route<'a>(
         &self,
         method: &str,
         path: &str,
         header: impl Fn(&str) -> Option<&'a str>,
     ) -> Result<RouteMatch<'_>, RouteError> {
-        route::find(&self.routes, method, path, header)
+        route::find_route(&self.routes, method, path, header)
     }
 }
 
