--- a/crates/settings/src/document/route.rs
+++ b/crates/settings/src/document/route.rs
@@ -1,11 +1,11 @@
-//! Which route a request takes, and what its key is.
+//! Matching of requests to routes, and extraction of their keys.
 
 use std::{borrow::Cow, time::Duration};
 
 use model::ClassName;
 use percent_encoding::percent_decode_str;
 
-/// An HTTP method that a route can ask for.
+/// HTTP method of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Method {
     Get,
@@ -29,42 +29,42 @@
     }
 }
 
-/// Where a request carries its key.
+/// Location of the key in a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeySource {
-    /// The name of a header, in lower case.
+    /// Name of a header, in lower case.
     Header(String),
-    /// The index of a segment of the path, the first being 0.
+    /// Index of a path segment, starting at 0.
     Segment(usize),
 }
 
-/// One kind of request.
+/// Requests with a common path pattern, and how they are handled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// None: any method.
+    /// Method that the route matches; `None` if it matches any method.
     pub method: Option<Method>,
     pub(crate) path: PathPattern,
-    /// None exactly where the service is not divided by key.
+    /// Location of the key; `None` if and only if the service is not keyed.
     pub key: Option<KeySource>,
     pub class: ClassName,
-    /// Whether running a request twice does no more than running it once.
+    /// Whether running a request twice has the same effect as running it once.
     pub idempotent: bool,
-    /// How long a request may take, if the caller names no shorter time.
+    /// Deadline of a request, if the caller does not set a shorter one.
     pub deadline: Duration,
 }
 
-/// A route that fits a request.
+/// Route that matches a request, with the key of the request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteMatch<'a> {
-    /// The index of the route in the document.
+    /// Index of the route in the document.
     pub index: usize,
     pub route: &'a Route,
-    /// The key's bytes, percent-decoded where it is a segment of the path; None exactly where the
-    /// service is not divided by key.
+    /// Bytes of the key, percent-decoded if the key is a path segment; `None` if and only if the
+    /// service is not keyed.
     pub key: Option<Vec<u8>>,
 }
 
-/// Why a request has no route.
+/// Reason why no route or no key was found for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum RouteError {
@@ -76,12 +76,13 @@
     EmptySegment(usize),
 }
 
-/// A path with `{name}` for single segments and perhaps a last `*` for the rest.
+/// Path pattern: `{name}` matches one segment, an optional final `*` matches the rest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PathPattern {
     segments: Vec<Segment>,
-    /// Whether more segments, or none, may follow.
-    open: bool,
+    /// Whether the pattern ends with `*` and matches any number of further segments, including
+    /// none.
+    matches_rest: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -91,7 +92,7 @@
 }
 
 impl PathPattern {
-    /// Parses a pattern; the error is a sentence.
+    /// Parses a pattern. The error is a message for the operator.
     pub(crate) fn parse(text: &str) -> Result<PathPattern, String> {
         let Some(rest) = text.strip_prefix('/') else {
             return Err("a path must start with '/'.".to_owned());
@@ -100,46 +101,48 @@
             return Err(format!("a path pattern must not contain {bad:?}."));
         }
         let mut parts: Vec<&str> = rest.split('/').collect();
-        let open = parts.last() == Some(&"*");
-        if open {
+        let matches_rest = parts.last() == Some(&"*");
+        if matches_rest {
             parts.pop();
         }
         let segments = match parts.as_slice() {
             [""] => Vec::new(),
-            parts => parts.iter().map(|it| segment(it)).collect::<Result<Vec<_>, String>>()?,
+            parts => {
+                parts.iter().map(|it| parse_segment(it)).collect::<Result<Vec<_>, String>>()?
+            }
         };
-        let pattern = PathPattern { segments, open };
-        match pattern.doubled_name() {
+        let pattern = PathPattern { segments, matches_rest };
+        match pattern.duplicate_name() {
             Some(name) => Err(format!("the segment name {{{name}}} is used twice.")),
             None => Ok(pattern),
         }
     }
 
-    fn doubled_name(&self) -> Option<&str> {
-        let names: Vec<&str> = self.names().collect();
+    fn duplicate_name(&self) -> Option<&str> {
+        let names: Vec<&str> = self.segment_names().collect();
         names.iter().enumerate().find(|(index, it)| names[..*index].contains(it)).map(|it| *it.1)
     }
 
-    pub(crate) fn names(&self) -> impl Iterator<Item = &str> {
+    pub(crate) fn segment_names(&self) -> impl Iterator<Item = &str> {
         self.segments.iter().filter_map(|it| match it {
             Segment::Named(name) => Some(name.as_str()),
             Segment::Literal(_) => None,
         })
     }
 
-    /// The index of a named segment.
-    pub(crate) fn index_of(&self, name: &str) -> Option<usize> {
+    /// Returns the index of a named segment.
+    pub(crate) fn segment_index(&self, name: &str) -> Option<usize> {
         self.segments.iter().position(|it| matches!(it, Segment::Named(it) if it == name))
     }
 
-    /// Whether this pattern fits every path that `other` fits.
+    /// Returns whether this pattern matches every path that `other` matches.
     pub(crate) fn covers(&self, other: &PathPattern) -> bool {
-        let length_fits = match self.open {
+        let length_matches = match self.matches_rest {
             true => other.segments.len() >= self.segments.len(),
-            false => !other.open && other.segments.len() == self.segments.len(),
+            false => !other.matches_rest && other.segments.len() == self.segments.len(),
         };
         let mut pairs = self.segments.iter().zip(&other.segments);
-        length_fits
+        length_matches
             && pairs.all(|(a, b)| match (a, b) {
                 (Segment::Named(_), _) => true,
                 (Segment::Literal(a), Segment::Literal(b)) => a == b,
@@ -147,13 +150,13 @@
             })
     }
 
-    fn fits(&self, path: &[Cow<'_, str>]) -> bool {
-        let length_fits = match self.open {
+    fn matches(&self, path: &[Cow<'_, str>]) -> bool {
+        let length_matches = match self.matches_rest {
             true => path.len() >= self.segments.len(),
             false => path.len() == self.segments.len(),
         };
         let mut pairs = self.segments.iter().zip(path);
-        length_fits
+        length_matches
             && pairs.all(|(pattern, segment)| match pattern {
                 Segment::Named(_) => true,
                 Segment::Literal(it) => it == segment,
@@ -161,7 +164,7 @@
     }
 }
 
-fn segment(text: &str) -> Result<Segment, String> {
+fn parse_segment(text: &str) -> Result<Segment, String> {
     let name = text.strip_prefix('{').and_then(|it| it.strip_suffix('}'));
     match name {
         Some("") => Err("the segment {} has no name.".to_owned()),
@@ -174,16 +177,17 @@
     }
 }
 
-pub(crate) fn find<'r, 'h>(
+/// Finds the first route that matches a request, and the key of the request.
+pub(crate) fn find_route<'r, 'h>(
     routes: &'r [Route],
     method: &str,
     path: &str,
     header: impl Fn(&str) -> Option<&'h str>,
 ) -> Result<RouteMatch<'r>, RouteError> {
-    let segments = segments(path);
-    let fits =
-        |it: &Route| it.method.is_none_or(|it| it.as_str() == method) && it.path.fits(&segments);
-    let Some(index) = routes.iter().position(fits) else {
+    let segments = decode_segments(path);
+    let matches =
+        |it: &Route| it.method.is_none_or(|it| it.as_str() == method) && it.path.matches(&segments);
+    let Some(index) = routes.iter().position(matches) else {
         return Err(RouteError::NoRoute { method: method.to_owned(), path: path.to_owned() });
     };
     let route = &routes[index];
@@ -201,8 +205,9 @@
     Ok(RouteMatch { index, route, key })
 }
 
-/// The segments, decoded: two spellings of one key must not have two owners.
-fn segments(path: &str) -> Vec<Cow<'_, str>> {
+/// Splits a path into percent-decoded segments. Without decoding, two encodings of the same key
+/// could have different owners.
+fn decode_segments(path: &str) -> Vec<Cow<'_, str>> {
     match path.strip_prefix('/').unwrap_or(path) {
         "" => Vec::new(),
         path => path.split('/').map(|it| percent_decode_str(it).decode_utf8_lossy()).collect(),
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -316,9 +316,9 @@
     }
 
     fn key_segment(&mut self, name: &str, path: &PathPattern, field: &str) -> Option<KeySource> {
-        let index = path.index_of(name);
+        let index = path.segment_index(name);
         if index.is_none() {
-            let hint = hint(name, path.names());
+            let hint = hint(name, path.segment_names());
             self.report(field, format!("the path has no segment {{{name}}}{hint}"));
         }
         index.map(KeySource::Segment)
