--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -1,4 +1,4 @@
-//! Rules across fields, and the way from the raw document to the checked one.
+//! Rules across fields, and the conversion of a raw document into a validated one.
 
 use std::collections::HashMap;
 
@@ -12,24 +12,24 @@
 };
 use crate::{parse::Parsed, problem::Problems, schema::hint, source::Source};
 
-/// Where the key is if a route of a service divided by key does not say.
+/// Header with the key for routes of keyed services that do not specify the location of the key.
 const DEFAULT_KEY_HEADER: &str = "x-key";
 
-/// Checks the rules across fields; the document is missing only if there are problems.
+/// Checks the rules across fields. Returns `None` only if it has reported a problem.
 pub(super) fn check(
     parsed: &Parsed<RawDocument>,
     problems: &mut Problems,
 ) -> Option<ServiceDocument> {
     let raw = &parsed.raw;
-    let mut rules = Rules { source: &parsed.source, problems };
-    rules.upstream(raw);
-    rules.ordered_keys(raw);
-    rules.ownership(raw);
-    rules.times(raw);
-    let service = rules.name("service", ServiceName::new(&raw.service));
-    let team = rules.name("team", model::TeamName::new(&raw.team));
-    let classes = rules.classes(raw);
-    let routes = rules.routes(raw);
+    let mut checker = RuleChecker { source: &parsed.source, problems };
+    checker.check_upstream(raw);
+    checker.check_ordered_keys(raw);
+    checker.check_ownership(raw);
+    checker.check_times(raw);
+    let service = checker.check_name("service", ServiceName::new(&raw.service));
+    let team = checker.check_name("team", model::TeamName::new(&raw.team));
+    let classes = checker.check_classes(raw);
+    let routes = checker.check_routes(raw);
     Some(ServiceDocument {
         service: service?,
         team: team?,
@@ -46,41 +46,41 @@
     })
 }
 
-/// Checks that a document is that of the service in whose place it stands.
+/// Checks that a document names the service that it is stored for.
 pub(super) fn check_service(
     parsed: &Parsed<RawDocument>,
     service: &ServiceName,
     problems: &mut Problems,
 ) {
-    let mut rules = Rules { source: &parsed.source, problems };
-    rules.require(parsed.raw.service == service.as_str(), "service", || {
+    let mut checker = RuleChecker { source: &parsed.source, problems };
+    checker.require(parsed.raw.service == service.as_str(), "service", || {
         format!("must be {service}, the service that the document is stored for.")
     });
 }
 
-/// Checks what a document may not change against the one that it follows.
+/// Checks that a document leaves the fixed fields of the previous one unchanged.
 pub(super) fn check_change(
     parsed: &Parsed<RawDocument>,
-    former: &ServiceDocument,
+    previous: &ServiceDocument,
     problems: &mut Problems,
 ) {
-    check_service(parsed, &former.service, problems);
+    check_service(parsed, &previous.service, problems);
     let raw = &parsed.raw;
-    let mut rules = Rules { source: &parsed.source, problems };
-    rules.require(raw.keyed == former.keyed, "keyed", || {
+    let mut checker = RuleChecker { source: &parsed.source, problems };
+    checker.require(raw.keyed == previous.keyed, "keyed", || {
         format!(
             "cannot be changed while the service is running; the current value is {}.",
-            former.keyed
+            previous.keyed
         )
     });
-    let slot_count = former.slot_count.count();
-    rules.require(raw.slot_count == slot_count, "slot_count", || {
+    let slot_count = previous.slot_count.count();
+    checker.require(raw.slot_count == slot_count, "slot_count", || {
         format!(
             "cannot be changed while the service is running; the current value is {slot_count}."
         )
     });
-    let ordered_keys = former.ordered_keys.map(OrderedKeys::count);
-    rules.require(raw.ordered_keys == ordered_keys, "ordered_keys", || match ordered_keys {
+    let ordered_keys = previous.ordered_keys.map(OrderedKeys::count);
+    checker.require(raw.ordered_keys == ordered_keys, "ordered_keys", || match ordered_keys {
         Some(count) => {
             format!("cannot be changed while the service is running; the current value is {count}.")
         }
@@ -88,23 +88,23 @@
     });
 }
 
-struct Rules<'a> {
+struct RuleChecker<'a> {
     source: &'a Source,
     problems: &'a mut Problems,
 }
 
-impl Rules<'_> {
+impl RuleChecker<'_> {
     fn report(&mut self, field: &str, message: impl Into<String>) {
         self.problems.push(self.source.position(field), field, message);
     }
 
-    fn require(&mut self, holds: bool, field: &str, message: impl FnOnce() -> String) {
-        if !holds {
+    fn require(&mut self, is_met: bool, field: &str, message: impl FnOnce() -> String) {
+        if !is_met {
             self.report(field, message());
         }
     }
 
-    fn name<T>(&mut self, field: &str, name: Result<T, NameError>) -> Option<T> {
+    fn check_name<T>(&mut self, field: &str, name: Result<T, NameError>) -> Option<T> {
         match name {
             Ok(name) => Some(name),
             Err(error) => {
@@ -114,7 +114,7 @@
         }
     }
 
-    fn upstream(&mut self, raw: &RawDocument) {
+    fn check_upstream(&mut self, raw: &RawDocument) {
         let upstream = &raw.upstream;
         self.require(
             upstream.connections_max >= upstream.slots,
@@ -128,47 +128,47 @@
         );
     }
 
-    fn ordered_keys(&mut self, raw: &RawDocument) {
-        let leases = raw.upstream.enforces_leases;
-        let ordered = raw.ordered_keys;
-        self.require(!leases || ordered.is_some(), "upstream.enforces_leases", || {
+    fn check_ordered_keys(&mut self, raw: &RawDocument) {
+        let enforces_leases = raw.upstream.enforces_leases;
+        let key_count = raw.ordered_keys;
+        self.require(!enforces_leases || key_count.is_some(), "upstream.enforces_leases", || {
             "requires ordered_keys, since grants are ranges of keys.".to_owned()
         });
-        let by_calls = raw.upstream.key_grants == KeyGrants::Calls;
-        self.require(leases || by_calls, "upstream.key_grants", || {
+        let is_by_calls = raw.upstream.key_grants == KeyGrants::Calls;
+        self.require(enforces_leases || is_by_calls, "upstream.key_grants", || {
             "requires enforces_leases, since the upstream receives no grants without it.".to_owned()
         });
-        self.require(ordered.is_none() || raw.keyed, "ordered_keys", || {
+        self.require(key_count.is_none() || raw.keyed, "ordered_keys", || {
             "requires keyed: true.".to_owned()
         });
-        let enough = ordered.is_none_or(|it| it >= u32::from(raw.slot_count));
-        self.require(enough, "ordered_keys", || {
+        let has_enough_keys = key_count.is_none_or(|it| it >= u32::from(raw.slot_count));
+        self.require(has_enough_keys, "ordered_keys", || {
             format!("must be at least slot_count, {}.", raw.slot_count)
         });
     }
 
-    fn ownership(&mut self, raw: &RawDocument) {
+    fn check_ownership(&mut self, raw: &RawDocument) {
         let it = &raw.ownership;
-        let lease = it.lease_ms;
-        self.require(it.renew_every_ms * 2 < lease, "ownership.renew_every_ms", || {
+        let lease_ms = it.lease_ms;
+        self.require(it.renew_every_ms * 2 < lease_ms, "ownership.renew_every_ms", || {
             format!(
                 "must be less than {} ms, half of lease_ms, so that two renewals fit into a lease.",
-                lease / 2
+                lease_ms / 2
             )
         });
         self.require(it.drift_margin_ms < it.renew_every_ms, "ownership.drift_margin_ms", || {
             format!("must be less than renew_every_ms, {} ms.", it.renew_every_ms)
         });
-        self.require(it.confirmation_ms < lease, "ownership.confirmation_ms", || {
-            format!("must be less than lease_ms, {lease} ms.")
+        self.require(it.confirmation_ms < lease_ms, "ownership.confirmation_ms", || {
+            format!("must be less than lease_ms, {lease_ms} ms.")
         });
         self.require(
             it.platform_confirmation_ms >= it.confirmation_ms,
             "ownership.platform_confirmation_ms",
             || format!("must be at least confirmation_ms, {} ms.", it.confirmation_ms),
         );
-        self.require(it.pause_max_ms < lease, "ownership.pause_max_ms", || {
-            format!("must be less than lease_ms, {lease} ms.")
+        self.require(it.pause_max_ms < lease_ms, "ownership.pause_max_ms", || {
+            format!("must be less than lease_ms, {lease_ms} ms.")
         });
         self.require(
             it.takeover_after_ms > it.renew_every_ms,
@@ -176,37 +176,38 @@
             || format!("must be more than renew_every_ms, {} ms.", it.renew_every_ms),
         );
         self.require(
-            it.platform_absence_max_s * 1_000 > 2 * lease,
+            it.platform_absence_max_s * 1_000 > 2 * lease_ms,
             "ownership.platform_absence_max_s",
-            || format!("must be more than two leases of {lease} ms."),
+            || format!("must be more than two leases of {lease_ms} ms."),
         );
     }
 
-    fn times(&mut self, raw: &RawDocument) {
-        let longest =
+    fn check_times(&mut self, raw: &RawDocument) {
+        let longest_deadline =
             |routes: &mut dyn Iterator<Item = &RawRoute>| routes.map(|it| it.deadline_ms).max();
-        let deadline_ms = longest(&mut raw.routes.iter()).unwrap_or(0);
+        let deadline_ms = longest_deadline(&mut raw.routes.iter()).unwrap_or(0);
         self.require(raw.limits.queue_ms_max <= deadline_ms, "limits.queue_ms_max", || {
             format!("must not exceed the longest deadline of a route, {deadline_ms} ms.")
         });
         self.require(raw.drain.in_flight_ms_max >= deadline_ms, "drain.in_flight_ms_max", || {
             format!("must be at least the longest deadline of a route, {deadline_ms} ms, so that requests in flight can finish.")
         });
-        let once_ms = longest(&mut raw.routes.iter().filter(|it| !it.idempotent)).unwrap_or(0);
-        self.require(raw.limits.records_ms >= 2 * once_ms, "limits.records_ms", || {
-            format!("must be at least twice the longest deadline of a non-idempotent route, {once_ms} ms.")
+        let non_idempotent_ms =
+            longest_deadline(&mut raw.routes.iter().filter(|it| !it.idempotent)).unwrap_or(0);
+        self.require(raw.limits.records_ms >= 2 * non_idempotent_ms, "limits.records_ms", || {
+            format!("must be at least twice the longest deadline of a non-idempotent route, {non_idempotent_ms} ms.")
         });
     }
 
-    fn classes(&mut self, raw: &RawDocument) -> Option<Vec<RequestClass>> {
-        let mut seen = HashMap::new();
+    fn check_classes(&mut self, raw: &RawDocument) -> Option<Vec<RequestClass>> {
+        let mut index_by_name = HashMap::new();
         let mut classes = Vec::new();
         for (index, class) in raw.classes.iter().enumerate() {
             let field = format!("classes[{index}].name");
-            if let Some(first) = seen.insert(&class.name, index) {
+            if let Some(first) = index_by_name.insert(&class.name, index) {
                 self.report(&field, format!("duplicate name: already used by classes[{first}]."));
             }
-            let name = self.name(&field, ClassName::new(&class.name));
+            let name = self.check_name(&field, ClassName::new(&class.name));
             let queues_past_objective = class.queues_past_objective;
             classes.push(name.map(|name| RequestClass {
                 name,
@@ -217,20 +218,20 @@
         classes.into_iter().collect()
     }
 
-    fn routes(&mut self, raw: &RawDocument) -> Option<Vec<Route>> {
+    fn check_routes(&mut self, raw: &RawDocument) -> Option<Vec<Route>> {
         let mut routes: Vec<Option<Route>> = Vec::new();
         for (index, route) in raw.routes.iter().enumerate() {
             let field = format!("routes[{index}]");
-            let checked = self.route(raw, route, &field);
+            let checked = self.check_route(raw, route, &field);
             if let Some(checked) = &checked {
-                self.reachable(&routes, checked, &field);
+                self.check_reachable(&routes, checked, &field);
             }
             routes.push(checked);
         }
         routes.into_iter().collect()
     }
 
-    fn route(&mut self, raw: &RawDocument, route: &RawRoute, field: &str) -> Option<Route> {
+    fn check_route(&mut self, raw: &RawDocument, route: &RawRoute, field: &str) -> Option<Route> {
         let path = match PathPattern::parse(&route.path) {
             Ok(path) => Some(path),
             Err(message) => {
@@ -238,8 +239,8 @@
                 None
             }
         };
-        let class = self.class(raw, route, &format!("{field}.class"));
-        let key = self.key(raw, route, path.as_ref(), &format!("{field}.key"));
+        let class = self.check_class(raw, route, &format!("{field}.class"));
+        let key = self.check_key(raw, route, path.as_ref(), &format!("{field}.key"));
         Some(Route {
             method: route.method.map(Method::from),
             path: path?,
@@ -250,14 +251,14 @@
         })
     }
 
-    /// A route that no request can reach is a mistake in the order.
-    fn reachable(&mut self, earlier: &[Option<Route>], route: &Route, field: &str) {
-        let hides = |it: &Option<Route>| {
+    /// Reports a route whose requests all match an earlier route.
+    fn check_reachable(&mut self, earlier: &[Option<Route>], route: &Route, field: &str) {
+        let covers_route = |it: &Option<Route>| {
             it.as_ref().is_some_and(|it| {
                 (it.method.is_none() || it.method == route.method) && it.path.covers(&route.path)
             })
         };
-        if let Some(first) = earlier.iter().position(hides) {
+        if let Some(first) = earlier.iter().position(covers_route) {
             let message = format!(
                 "unreachable: routes[{first}] matches all requests that this route matches."
             );
@@ -265,18 +266,24 @@
         }
     }
 
-    fn class(&mut self, raw: &RawDocument, route: &RawRoute, field: &str) -> Option<ClassName> {
-        let mut known = raw.classes.iter().map(|it| it.name.as_str());
-        if known.clone().any(|it| it == route.class) {
+    fn check_class(
+        &mut self,
+        raw: &RawDocument,
+        route: &RawRoute,
+        field: &str,
+    ) -> Option<ClassName> {
+        let mut class_names = raw.classes.iter().map(|it| it.name.as_str());
+        if class_names.clone().any(|it| it == route.class) {
             return ClassName::new(&route.class).ok();
         }
-        let hint = hint(&route.class, &mut known);
+        let hint = hint(&route.class, &mut class_names);
         self.report(field, format!("{:?} is not defined in classes{hint}", route.class));
         None
     }
 
-    /// The inner option is that of a service which is not divided by key.
-    fn key(
+    /// Returns the location of the key, or `Some(None)` if the service is not keyed. Reports a
+    /// problem and returns `None` if the location is invalid.
+    fn check_key(
         &mut self,
         raw: &RawDocument,
         route: &RawRoute,
@@ -291,8 +298,8 @@
                 self.report(field, "requires keyed: true.");
                 None
             }
-            (Some(header), None) => self.key_header(header, &format!("{field}.header")),
-            (None, Some(segment)) => self.key_segment(segment, path?, &format!("{field}.segment")),
+            (Some(name), None) => self.check_header(name, &format!("{field}.header")),
+            (None, Some(name)) => self.check_segment(name, path?, &format!("{field}.segment")),
             _ => {
                 self.report(field, "expected exactly one of header and segment.");
                 None
@@ -301,9 +308,9 @@
         .map(Some)
     }
 
-    fn key_header(&mut self, header: &str, field: &str) -> Option<KeySource> {
-        let allowed = |it: char| it.is_ascii_alphanumeric() || it == '-' || it == '_';
-        if header.is_empty() || !header.chars().all(allowed) {
+    fn check_header(&mut self, header: &str, field: &str) -> Option<KeySource> {
+        let is_allowed = |it: char| it.is_ascii_alphanumeric() || it == '-' || it == '_';
+        if header.is_empty() || !header.chars().all(is_allowed) {
             self.report(
                 field,
                 format!(
@@ -315,7 +322,7 @@
         Some(KeySource::Header(header.to_ascii_lowercase()))
     }
 
-    fn key_segment(&mut self, name: &str, path: &PathPattern, field: &str) -> Option<KeySource> {
+    fn check_segment(&mut self, name: &str, path: &PathPattern, field: &str) -> Option<KeySource> {
         let index = path.segment_index(name);
         if index.is_none() {
             let hint = hint(name, path.segment_names());
