--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,28 +1,29 @@
-//! Checks a value against the JSON schema of its type and reports everything that differs.
+//! Validation of a value against the JSON schema of its type.
 //!
-//! Knows the keywords that `schemars` writes for the types of this crate; a test holds the two
-//! against each other.
+//! Supports the keywords that `schemars` generates for the types of this crate; a test checks that
+//! the schemas contain no others.
 
 use serde_json::{Map, Value};
 
 use crate::{
     problem::Problems,
-    source::{Source, child},
+    source::{Source, child_path},
 };
 
-/// How alike two names must be for one to be offered for the other; 1.0 is the same.
+/// Lowest Jaro-Winkler similarity at which a name is suggested for an unknown one; 1.0 means equal
+/// names.
 const SIMILARITY_MIN: f64 = 0.75;
 
-/// Reports every difference between the source and the schema.
+/// Reports every violation of the schema by the source.
 pub(crate) fn check(source: &Source, schema: &Value, problems: &mut Problems) {
     let mut checker = Checker { source, root: schema, problems };
-    checker.value(&source.value, schema, "");
+    checker.check_value(&source.value, schema, "");
 }
 
-/// The known name that is most like the given one, if any is like it at all.
-fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let scored = known.into_iter().map(|it| (strsim::jaro_winkler(name, it), it));
-    let best = scored.max_by(|a, b| a.0.total_cmp(&b.0))?;
+/// Returns the known name that is most similar to `name`, if it is similar enough to be suggested.
+fn most_similar<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+    let candidates = known.into_iter().map(|it| (strsim::jaro_winkler(name, it), it));
+    let best = candidates.max_by(|a, b| a.0.total_cmp(&b.0))?;
     (best.0 >= SIMILARITY_MIN).then_some(best.1)
 }
 
@@ -43,50 +44,52 @@
         self.root.pointer(pointer).unwrap_or(schema)
     }
 
-    fn value(&mut self, value: &Value, schema: &'a Value, field: &str) {
+    fn check_value(&mut self, value: &Value, schema: &'a Value, field: &str) {
         let schema = self.resolve(schema);
-        if let Some(inner) = optional(schema) {
+        if let Some(inner) = optional_value(schema) {
             if !value.is_null() {
-                self.value(value, inner, field);
+                self.check_value(value, inner, field);
             }
             return;
         }
-        if let Some(choices) = choices(schema) {
-            return self.choice(value, &choices, field);
+        if let Some(allowed) = enum_values(schema) {
+            return self.check_enum(value, &allowed, field);
         }
         let types = types(schema);
-        if !types.iter().any(|it| is_a(value, it)) {
-            let expected: Vec<&str> = types.iter().map(|it| described(it)).collect();
-            let message = format!("expected {}, not {}.", expected.join(" or "), found(value));
+        if !types.iter().any(|it| has_type(value, it)) {
+            let expected: Vec<&str> = types.iter().map(|it| describe_type(it)).collect();
+            let message =
+                format!("expected {}, not {}.", expected.join(" or "), describe_value(value));
             return self.report(field, message);
         }
         match value {
-            Value::Object(it) => self.object(it, schema, field),
-            Value::Array(it) => self.array(it, schema, field),
-            Value::Number(it) => self.number(it.as_f64().unwrap_or(f64::NAN), schema, field),
-            Value::String(it) => self.string(it, schema, field),
+            Value::Object(it) => self.check_object(it, schema, field),
+            Value::Array(it) => self.check_array(it, schema, field),
+            Value::Number(it) => self.check_number(it.as_f64().unwrap_or(f64::NAN), schema, field),
+            Value::String(it) => self.check_string(it, schema, field),
             Value::Bool(_) | Value::Null => {}
         }
     }
 
-    fn choice(&mut self, value: &Value, choices: &[&str], field: &str) {
+    fn check_enum(&mut self, value: &Value, allowed: &[&str], field: &str) {
         let Some(text) = value.as_str() else {
-            let message = format!("expected one of {}, not {}.", list(choices), found(value));
+            let message =
+                format!("expected one of {}, not {}.", quote_all(allowed), describe_value(value));
             return self.report(field, message);
         };
-        if choices.contains(&text) {
+        if allowed.contains(&text) {
             return;
         }
-        let hint = hint(text, choices.iter().copied());
-        self.report(field, format!("expected one of {}, not {text:?}{hint}", list(choices)));
+        let hint = hint(text, allowed.iter().copied());
+        self.report(field, format!("expected one of {}, not {text:?}{hint}", quote_all(allowed)));
     }
 
-    fn object(&mut self, object: &Map<String, Value>, schema: &'a Value, field: &str) {
+    fn check_object(&mut self, object: &Map<String, Value>, schema: &'a Value, field: &str) {
         let Some(properties) = schema["properties"].as_object() else { return };
         for (name, value) in object {
-            let field = child(field, name);
+            let field = child_path(field, name);
             match properties.get(name) {
-                Some(schema) => self.value(value, schema, &field),
+                Some(schema) => self.check_value(value, schema, &field),
                 None => {
                     let hint = hint(name, properties.keys().map(String::as_str));
                     self.report(&field, format!("unknown field{hint}"));
@@ -96,37 +99,44 @@
         let required = schema["required"].as_array().into_iter().flatten();
         for name in required.filter_map(Value::as_str) {
             if !object.contains_key(name) {
-                self.report(&child(field, name), "this required field is missing.");
+                self.report(&child_path(field, name), "this required field is missing.");
             }
         }
     }
 
-    fn array(&mut self, array: &[Value], schema: &'a Value, field: &str) {
-        self.length(array.len(), schema, ["minItems", "maxItems"], "entries", field);
+    fn check_array(&mut self, array: &[Value], schema: &'a Value, field: &str) {
+        self.check_length(array.len(), schema, ["minItems", "maxItems"], "entries", field);
         for (index, value) in array.iter().enumerate() {
-            self.value(value, &schema["items"], &format!("{field}[{index}]"));
+            self.check_value(value, &schema["items"], &format!("{field}[{index}]"));
         }
     }
 
-    fn string(&mut self, text: &str, schema: &Value, field: &str) {
+    fn check_string(&mut self, text: &str, schema: &Value, field: &str) {
         let length = text.chars().count();
-        self.length(length, schema, ["minLength", "maxLength"], "characters", field);
+        self.check_length(length, schema, ["minLength", "maxLength"], "characters", field);
     }
 
-    fn length(&mut self, len: usize, schema: &Value, bounds: [&str; 2], what: &str, field: &str) {
+    fn check_length(
+        &mut self,
+        len: usize,
+        schema: &Value,
+        bounds: [&str; 2],
+        unit: &str,
+        field: &str,
+    ) {
         let len = len as u64;
         match bounds.map(|it| schema[it].as_u64()) {
             [Some(min), _] if len < min => {
-                self.report(field, format!("{len} {what} are too few: expected at least {min}."));
+                self.report(field, format!("{len} {unit} are too few: expected at least {min}."));
             }
             [_, Some(max)] if len > max => {
-                self.report(field, format!("{len} {what} are too many: expected at most {max}."));
+                self.report(field, format!("{len} {unit} are too many: expected at most {max}."));
             }
             _ => {}
         }
     }
 
-    fn number(&mut self, number: f64, schema: &Value, field: &str) {
+    fn check_number(&mut self, number: f64, schema: &Value, field: &str) {
         let unit = unit(field);
         match ["minimum", "maximum"].map(|it| schema[it].as_f64()) {
             [Some(min), _] if number < min => {
@@ -143,21 +153,22 @@
     }
 }
 
-/// The schema within an `Option`, whose `null` says the same as leaving the field out.
-fn optional(schema: &Value) -> Option<&Value> {
+/// Returns the schema of the value of an `Option`, for which `null` means the same as an omitted
+/// field.
+fn optional_value(schema: &Value) -> Option<&Value> {
     let branches = schema["anyOf"].as_array()?;
     branches.iter().find(|it| it["type"] != "null")
 }
 
-/// The texts of an enum without data.
-fn choices(schema: &Value) -> Option<Vec<&str>> {
-    let plain = schema["enum"].as_array().into_iter().flatten();
+/// Returns the values of an enum whose variants have no fields.
+fn enum_values(schema: &Value) -> Option<Vec<&str>> {
+    let undocumented = schema["enum"].as_array().into_iter().flatten();
     let documented = schema["oneOf"].as_array().into_iter().flatten();
     let documented = documented.flat_map(|it| match it["enum"].as_array() {
         Some(texts) => texts.iter().collect(),
         None => vec![&it["const"]],
     });
-    let texts: Vec<&str> = plain.chain(documented).filter_map(Value::as_str).collect();
+    let texts: Vec<&str> = undocumented.chain(documented).filter_map(Value::as_str).collect();
     (!texts.is_empty()).then_some(texts)
 }
 
@@ -169,7 +180,7 @@
     }
 }
 
-fn is_a(value: &Value, name: &str) -> bool {
+fn has_type(value: &Value, name: &str) -> bool {
     match name {
         "object" => value.is_object(),
         "array" => value.is_array(),
@@ -182,7 +193,7 @@
     }
 }
 
-fn described(name: &str) -> &str {
+fn describe_type(name: &str) -> &str {
     match name {
         "object" => "an object",
         "array" => "an array",
@@ -194,7 +205,7 @@
     }
 }
 
-fn found(value: &Value) -> String {
+fn describe_value(value: &Value) -> String {
     match value {
         Value::Object(_) => "an object".to_owned(),
         Value::Array(_) => "an array".to_owned(),
@@ -203,19 +214,19 @@
     }
 }
 
-fn list(names: &[&str]) -> String {
+fn quote_all(names: &[&str]) -> String {
     names.iter().map(|it| format!("{it:?}")).collect::<Vec<_>>().join(", ")
 }
 
-/// The end of a sentence about an unknown name: offers the nearest known one.
+/// Returns the end of a message about an unknown name, which suggests the most similar known name.
 pub(crate) fn hint<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
-    match nearest(name, known) {
-        Some(nearest) => format!(", did you mean {nearest:?}?"),
+    match most_similar(name, known) {
+        Some(similar) => format!(", did you mean {similar:?}?"),
         None => ".".to_owned(),
     }
 }
 
-/// The unit that a field's suffix names, to follow a number.
+/// Returns the unit in a field's suffix, with a leading space, to be appended to a number.
 fn unit(field: &str) -> &'static str {
     let name = field.rsplit('.').next().unwrap_or(field);
     let parts: Vec<&str> = name.split(['_', '[']).collect();
