--- a/crates/settings/src/agent_settings.rs
+++ b/crates/settings/src/agent_settings.rs
@@ -150,7 +150,7 @@
         let mut problems = Problems::default();
         let settings = parse::<RawAgentSettings>(text, &SCHEMA, &mut problems)
             .and_then(|it| check(&it, &mut problems));
-        problems.or(settings)
+        problems.into_result(settings)
     }
 
     /// The fields in which other settings differ, by their names in the text.
--- a/crates/settings/src/document/mod.rs
+++ b/crates/settings/src/document/mod.rs
@@ -147,7 +147,7 @@
         let mut problems = Problems::default();
         let document = parse::<RawDocument>(text, &SCHEMA, &mut problems)
             .and_then(|it| rules::check(&it, &mut problems));
-        problems.or(document)
+        problems.into_result(document)
     }
 
     /// Parses and validates a document that is stored for `service`.
@@ -158,7 +158,7 @@
             rules::check_service(it, service, &mut problems);
             rules::check(it, &mut problems)
         });
-        problems.or(document)
+        problems.into_result(document)
     }
 
     /// Parses and validates a document that is to replace `previous`. Fields on which ownership
@@ -173,7 +173,7 @@
             rules::check_change(it, previous, &mut problems);
             rules::check(it, &mut problems)
         });
-        problems.or(document)
+        problems.into_result(document)
     }
 
     /// Returns the JSON schema of documents.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! Agent settings and service documents: JSON with comments, checked as a whole.
+//! Agent settings and service documents, written in JSON with comments.
 //!
-//! A text goes through three steps: its values and where they stand (`source`), its form against
-//! the JSON schema of its type (`schema`), and rules across fields. All problems of a step are
-//! reported together; a later step runs only where the earlier one found none.
+//! A text is processed in three steps: parsing into values with their positions (`source`),
+//! validation against the JSON schema of its type (`schema`), and checks of rules across fields.
+//! All problems of a step are reported together; a later step runs only if the earlier one found
+//! none.
 
 mod agent_settings;
 mod central;
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! From a text to a raw value that fits its schema, with all problems of form.
+//! Parsing of a text into a raw value that conforms to its JSON schema.
 
 use schemars::{JsonSchema, schema_for};
 use serde::de::DeserializeOwned;
@@ -10,14 +10,14 @@
     source::Source,
 };
 
-/// A raw value and where its fields stand, while rules across fields are checked.
+/// Raw value with the positions of its fields, for checking rules across fields.
 pub(crate) struct Parsed<T> {
     pub(crate) raw: T,
     pub(crate) source: Source,
 }
 
-/// Parses a text and checks its form against the JSON schema of `T`; the raw value is missing only
-/// if the form is wrong.
+/// Parses a text and validates it against the JSON schema of `T`. Returns `None` only if it has
+/// reported a problem.
 pub(crate) fn parse<T: DeserializeOwned>(
     text: &str,
     schema: &Value,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The JSON schema of a type.
+/// Returns the JSON schema of a type.
 pub(crate) fn schema_of<T: JsonSchema>() -> Value {
     schema_for!(T).to_value()
 }
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a text, all of it at once.
+//! Problems found in a text.
 
 use std::fmt;
 
-/// Where in a text something stands; both count from 1.
+/// Position in a text; line and column start at 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     pub line: u32,
-    /// In characters.
+    /// Column in characters.
     pub column: u32,
 }
 
-/// One thing that is wrong.
+/// Problem in a text, with its position and field.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
     pub position: Position,
-    /// The field, such as `routes[2].deadline_ms`; empty for the text as a whole.
+    /// Path of the field, such as `routes[2].deadline_ms`; empty for the text as a whole.
     pub field: String,
-    /// What is wrong, as a sentence without the field's name.
+    /// Description of the problem, without the name of the field.
     pub message: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Everything that is wrong with a text, in the order of the text; never empty as an error.
+/// All problems of a text, in the order of the text. As an error, it contains at least one problem.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Problems(Vec<Problem>);
 
@@ -56,8 +56,8 @@
         self.0.push(Problem { position, field: field.into(), message: message.into() });
     }
 
-    /// `value` if nothing is wrong; otherwise the problems in the order of the text.
-    pub(crate) fn or<T>(mut self, value: Option<T>) -> Result<T, Problems> {
+    /// Returns `value` if there are no problems, or the problems in the order of the text.
+    pub(crate) fn into_result<T>(mut self, value: Option<T>) -> Result<T, Problems> {
         self.0.sort();
         self.0.dedup();
         match value {
