--- a/crates/settings/src/agent_settings.rs
+++ b/crates/settings/src/agent_settings.rs
@@ -1,4 +1,4 @@
-//! What an agent is told when it starts.
+//! Settings of an agent, read when it starts.
 
 use std::{net::SocketAddr, sync::LazyLock, time::Duration};
 
@@ -12,42 +12,45 @@
     problem::Problems,
 };
 
-/// The shortest secret that links between agents may rest on, in bytes.
+/// Shortest accepted length of the secret that authenticates links between agents.
 const LINK_KEY_MIN_BYTES: usize = 16;
 
 static SCHEMA: LazyLock<serde_json::Value> = LazyLock::new(schema_of::<RawAgentSettings>);
 
-/// Checked settings of one agent.
+/// Validated settings of an agent.
 #[derive(Clone, PartialEq)]
 pub struct AgentSettings {
     pub instance: InstanceName,
     pub zone: Zone,
     pub team: TeamName,
     pub service: ServiceName,
-    /// Where callers and the local upstream connect.
+    /// Address to which callers and the local upstream connect.
     pub caller_address: SocketAddr,
-    /// Where other agents hand requests on.
+    /// Address to which other agents forward requests.
     pub traffic_address: SocketAddr,
-    /// Where other agents exchange leases.
+    /// Address to which other agents connect to exchange control messages, such as lease renewals.
     pub control_address: SocketAddr,
     pub metrics_address: SocketAddr,
     pub platform_address: SocketAddr,
-    /// The secret that all agents share; never printed.
+    /// Secret that all agents share; never printed.
     pub link_key: String,
-    /// Control addresses of other agents, asked while the platform is down.
+    /// Control addresses of other agents, queried while the platform is unavailable.
     pub peers: Vec<SocketAddr>,
-    /// Where the agent says whether it serves callers; none: nobody asks.
+    /// Address of the readiness endpoint, which reports whether the agent serves callers; `None` if
+    /// there is no such endpoint.
     pub ready_address: Option<SocketAddr>,
-    /// Where the local upstream announces itself, if not at the caller address.
+    /// Address to which the local upstream sends announcements; `None` if it uses `caller_address`.
     pub announce_address: Option<SocketAddr>,
-    /// Where the local upstream listens, if it is known before it announces itself.
+    /// Address of the local upstream; `None` if it becomes known only by an announcement.
     pub upstream_address: Option<SocketAddr>,
+    /// Number of threads for requests.
     pub traffic_threads: usize,
-    /// How often the local upstream announces itself.
+    /// Interval at which the local upstream sends announcements.
     pub announce_interval: Duration,
-    /// How long a graceful stop may take until what still runs is cut off.
+    /// Longest duration of a graceful stop, after which requests that are still running are
+    /// aborted.
     pub stop_duration_max: Duration,
-    /// What the service documents of a fleet's configuration have in common.
+    /// Common defaults of the service documents that are built from a central configuration.
     pub document_defaults: DocumentDefaults,
     /// A filter for log lines, such as `info` or `info,gate=debug`.
     pub log: String,
@@ -64,62 +67,65 @@
     }
 }
 
-/// The settings as they are written.
+/// Serialised form of the settings, from which their JSON schema is generated.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct RawAgentSettings {
-    /// The JSON schema of these settings, for editors.
+    /// Location of the JSON schema of these settings, for editors.
     #[serde(rename = "$schema", default)]
     schema: Option<String>,
-    /// The name of this instance, unlike that of any other.
+    /// Unique name of this instance.
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     instance: String,
-    /// The availability zone.
+    /// Availability zone of this instance.
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     zone: String,
+    /// Team that owns the service.
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     team: String,
-    /// The service whose upstream runs beside this agent.
+    /// Service of the upstream beside this agent.
     #[schemars(regex(pattern = "^[a-z0-9._-]{1,63}$"))]
     service: String,
-    /// `IP:PORT` for callers and the local upstream.
+    /// `IP:PORT` to which callers and the local upstream connect.
     caller_address: String,
-    /// `IP:PORT` for requests that other agents hand on.
+    /// `IP:PORT` to which other agents forward requests.
     traffic_address: String,
-    /// `IP:PORT` for leases.
+    /// `IP:PORT` to which other agents connect for control messages, such as lease renewals.
     control_address: String,
-    /// `IP:PORT` for metrics.
+    /// `IP:PORT` of the metrics endpoint.
     metrics_address: String,
     /// `IP:PORT` of the platform's object API.
     platform_address: String,
-    /// The secret that all agents share: at least 16 bytes.
+    /// Secret that all agents share, at least 16 bytes long.
     link_key: String,
-    /// `IP:PORT` of other agents' control addresses, asked while the platform is down.
+    /// Control addresses (`IP:PORT`) of other agents, queried while the platform is unavailable.
     #[serde(default)]
     #[schemars(length(max = 64))]
     peers: Vec<String>,
-    /// `IP:PORT` for the question whether the agent serves callers.
+    /// `IP:PORT` of the readiness endpoint, which reports whether the agent serves callers. If
+    /// omitted, there is no such endpoint.
     #[serde(default)]
     ready_address: Option<String>,
-    /// `IP:PORT` for announcements of the local upstream, if not the caller address.
+    /// `IP:PORT` to which the local upstream sends announcements. If omitted, `caller_address` is
+    /// used.
     #[serde(default)]
     announce_address: Option<String>,
-    /// `IP:PORT` of the local upstream, where it is known beforehand.
+    /// `IP:PORT` of the local upstream. If omitted, it is taken from its announcements.
     #[serde(default)]
     upstream_address: Option<String>,
-    /// How often the local upstream announces itself.
+    /// Interval in milliseconds at which the local upstream sends announcements.
     #[serde(default = "default_announced_every_ms")]
     #[schemars(range(min = 50, max = 60_000))]
     announced_every_ms: u64,
-    /// How long a graceful stop may take.
+    /// Longest duration of a graceful stop, in milliseconds.
     #[serde(default = "default_stop_ms_max")]
     #[schemars(range(min = 500, max = 600_000))]
     stop_ms_max: u64,
-    /// What the service documents have in common where they are made from a configuration of the
-    /// whole fleet.
+    /// Common defaults of the service documents that are built from a central configuration.
     #[serde(default)]
     document_defaults: RawDocumentDefaults,
+    /// Number of threads for requests.
     #[serde(default = "default_traffic_threads")]
     #[schemars(range(min = 1, max = 64))]
     traffic_threads: usize,
@@ -145,7 +151,7 @@
 }
 
 impl AgentSettings {
-    /// Parses and checks settings in JSON with comments; reports all problems at once.
+    /// Parses and validates settings in JSON with comments. The error contains all problems found.
     pub fn parse(text: &str) -> Result<AgentSettings, Problems> {
         let mut problems = Problems::default();
         let settings = parse::<RawAgentSettings>(text, &SCHEMA, &mut problems)
@@ -153,7 +159,7 @@
         problems.into_result(settings)
     }
 
-    /// The fields in which other settings differ, by their names in the text.
+    /// Returns the names, as in the text, of the fields that differ in `other`.
     pub fn changed_fields(&self, other: &AgentSettings) -> Vec<&'static str> {
         let fields = [
             ("instance", self.instance == other.instance),
@@ -176,10 +182,10 @@
             ("document_defaults", self.document_defaults == other.document_defaults),
             ("log", self.log == other.log),
         ];
-        fields.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
+        fields.into_iter().filter(|(_, is_equal)| !is_equal).map(|(name, _)| name).collect()
     }
 
-    /// The JSON schema of the text.
+    /// Returns the JSON schema of settings.
     pub fn json_schema() -> serde_json::Value {
         SCHEMA.clone()
     }
@@ -187,21 +193,21 @@
 
 fn check(parsed: &Parsed<RawAgentSettings>, problems: &mut Problems) -> Option<AgentSettings> {
     let raw = &parsed.raw;
-    let mut rules = Rules { parsed, problems };
-    rules.link_key();
-    let instance = rules.taken("instance", InstanceName::new(&raw.instance));
-    let zone = rules.taken("zone", Zone::new(&raw.zone));
-    let team = rules.taken("team", TeamName::new(&raw.team));
-    let service = rules.taken("service", ServiceName::new(&raw.service));
-    let caller = rules.address("caller_address", &raw.caller_address);
-    let traffic = rules.address("traffic_address", &raw.traffic_address);
-    let control = rules.address("control_address", &raw.control_address);
-    let metrics = rules.address("metrics_address", &raw.metrics_address);
-    let platform = rules.address("platform_address", &raw.platform_address);
-    let ready = rules.optional_address("ready_address", &raw.ready_address);
-    let announce = rules.optional_address("announce_address", &raw.announce_address);
-    let upstream = rules.optional_address("upstream_address", &raw.upstream_address);
-    rules.distinct(&[
+    let mut checker = RuleChecker { parsed, problems };
+    checker.check_link_key();
+    let instance = checker.check_name("instance", InstanceName::new(&raw.instance));
+    let zone = checker.check_name("zone", Zone::new(&raw.zone));
+    let team = checker.check_name("team", TeamName::new(&raw.team));
+    let service = checker.check_name("service", ServiceName::new(&raw.service));
+    let caller = checker.check_address("caller_address", &raw.caller_address);
+    let traffic = checker.check_address("traffic_address", &raw.traffic_address);
+    let control = checker.check_address("control_address", &raw.control_address);
+    let metrics = checker.check_address("metrics_address", &raw.metrics_address);
+    let platform = checker.check_address("platform_address", &raw.platform_address);
+    let ready = checker.check_optional_address("ready_address", &raw.ready_address);
+    let announce = checker.check_optional_address("announce_address", &raw.announce_address);
+    let upstream = checker.check_optional_address("upstream_address", &raw.upstream_address);
+    checker.check_distinct(&[
         ("caller_address", caller),
         ("traffic_address", traffic),
         ("control_address", control),
@@ -213,7 +219,7 @@
     ]);
     let peers = raw.peers.iter().enumerate();
     let peers: Vec<Option<SocketAddr>> =
-        peers.map(|(index, it)| rules.address(&format!("peers[{index}]"), it)).collect();
+        peers.map(|(index, it)| checker.check_address(&format!("peers[{index}]"), it)).collect();
     Some(AgentSettings {
         instance: instance?,
         zone: zone?,
@@ -237,21 +243,21 @@
     })
 }
 
-struct Rules<'a> {
+struct RuleChecker<'a> {
     parsed: &'a Parsed<RawAgentSettings>,
     problems: &'a mut Problems,
 }
 
-impl Rules<'_> {
+impl RuleChecker<'_> {
     fn report(&mut self, field: &str, message: impl Into<String>) {
         self.problems.push(self.parsed.source.position(field), field, message);
     }
 
-    fn taken<T>(&mut self, field: &str, value: Result<T, model::NameError>) -> Option<T> {
+    fn check_name<T>(&mut self, field: &str, value: Result<T, model::NameError>) -> Option<T> {
         value.map_err(|error| self.report(field, format!("{error}."))).ok()
     }
 
-    fn link_key(&mut self) {
+    fn check_link_key(&mut self) {
         let len = self.parsed.raw.link_key.len();
         if len < LINK_KEY_MIN_BYTES {
             let message =
@@ -260,7 +266,7 @@
         }
     }
 
-    fn address(&mut self, field: &str, text: &str) -> Option<SocketAddr> {
+    fn check_address(&mut self, field: &str, text: &str) -> Option<SocketAddr> {
         match text.parse::<SocketAddr>() {
             Ok(address) if address.port() == 0 => {
                 self.report(field, "expected a port from 1 to 65535.");
@@ -284,22 +290,24 @@
         }
     }
 
-    /// None: there is one, and it is wrong.
-    fn optional_address(
+    /// Returns `Some(None)` for an omitted address. Reports a problem and returns `None` for an
+    /// invalid one.
+    fn check_optional_address(
         &mut self,
         field: &str,
         text: &Option<String>,
     ) -> Option<Option<SocketAddr>> {
         match text {
             None => Some(None),
-            Some(text) => self.address(field, text).map(Some),
+            Some(text) => self.check_address(field, text).map(Some),
         }
     }
 
-    fn distinct(&mut self, addresses: &[(&str, Option<SocketAddr>)]) {
+    fn check_distinct(&mut self, addresses: &[(&str, Option<SocketAddr>)]) {
         for (index, (field, address)) in addresses.iter().enumerate() {
-            let same = addresses[..index].iter().find(|it| address.is_some() && it.1 == *address);
-            if let Some((first, _)) = same {
+            let duplicate =
+                addresses[..index].iter().find(|it| address.is_some() && it.1 == *address);
+            if let Some((first, _)) = duplicate {
                 self.report(field, format!("must differ from the address in {first}."));
             }
         }
