--- a/crates/settings/src/central/defaults.rs
+++ b/crates/settings/src/central/defaults.rs
@@ -1,4 +1,4 @@
-//! Service documents that are made from a fleet's configuration and an agent's defaults.
+//! Construction of service documents from a central configuration and an agent's defaults.
 
 use std::{ops::RangeInclusive, time::Duration};
 
@@ -11,21 +11,23 @@
     RawKey, RawLimits, RawOwnership, RawRoute, RawUpstream, RequestClass,
 };
 
-/// How long a request may take at most: as long as documents allow. The routes of hosts say less.
+/// Deadline of the only route of such a document: the largest that documents allow. The routes of
+/// hosts set shorter timeouts.
 const DEADLINE_MS_MAX: u64 = 60_000;
 
-/// By how much a lease outlasts the longest request: two renewals of 0.4 s, and a little.
-const RENEWALS_MS: u64 = 900;
+/// Margin of a lease over the longest request: two renewals of 0.4 s each, and 0.1 s of slack.
+const RENEWAL_MARGIN_MS: u64 = 900;
+/// Leases are rounded up to a multiple of this.
 const LEASE_STEP_MS: u64 = 500;
-/// Whoever is lost for good is waited for as long as its lease.
+/// Longest lease. The slots of a lost owner stay unavailable until its lease has expired.
 const LEASE_MS_MAX: u64 = 6_000;
 
-/// What the documents of a fleet's services have in common.
+/// Common defaults of the service documents that are built from a central configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawDocumentDefaults {
-    /// How many slots the keys of a service are spread over.
+    /// Number of slots that the keys of a service are distributed over.
     #[schemars(range(min = 1, max = 4096))]
     slot_count: Option<u16>,
     limits: RawLimits,
@@ -34,7 +36,7 @@
     upstream: RawUpstream,
 }
 
-/// What the documents of a fleet's services have in common.
+/// Common defaults of the service documents that are built from a central configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct DocumentDefaults(RawDocumentDefaults);
 
@@ -44,54 +46,57 @@
     }
 }
 
-/// What a fleet's configuration says of one service.
+/// Entry of a service in a central configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CentralServiceConfig {
     pub service: ServiceName,
     pub team: TeamName,
-    /// Set where each key is owned by one instance alone, which its upstream enforces.
+    /// Range of the keys, if the service is keyed and its upstreams enforce leases.
     pub keys: Option<OrderedKeys>,
-    /// How upstreams are granted keys, if the service has any.
+    /// How grants of keys are sent to upstreams, if the service is keyed.
     pub key_grants: KeyGrants,
-    /// The header that carries the key, in lower case.
+    /// Name of the header with the key, in lower case.
     pub key_header: &'static str,
-    /// At least one.
+    /// Request classes, at least one.
     pub classes: Vec<RequestClass>,
     pub connections_max: u32,
-    /// How many requests a second an upstream bears while it is cold; none: as many as its slots take.
+    /// Requests per second that an upstream can process while it is cold; `None` if only its slots
+    /// limit it.
     pub cold_requests_per_s: Option<f64>,
-    /// The longest time that any route to the service gives a request.
+    /// Longest timeout of the routes to the service.
     pub timeout_max: Duration,
     pub header_bytes_max: u64,
     pub body_bytes_max: u64,
 }
 
-/// An upstream that enforces leases ends a request with the grant under which it began, also when the
-/// grant was renewed meanwhile. So a lease lasts as long as the longest request and two renewals, in
-/// whole steps: a small change of a route leaves the leases as they are.
+/// Returns the duration of leases of a service. An upstream that enforces leases aborts a request
+/// at the end of the grant under which it started, even if the grant has been renewed since.
+/// Therefore a lease has to last for the longest request and two renewals. It is rounded up, so
+/// that small changes of timeouts do not change it.
 fn lease_ms(default_ms: u64, service: &CentralServiceConfig) -> u64 {
     if service.keys.is_none() {
         return default_ms;
     }
-    let longest_ms = u64::try_from(service.timeout_max.as_millis()).unwrap_or(u64::MAX);
-    let needed_ms = longest_ms.min(LEASE_MS_MAX) + RENEWALS_MS;
+    let timeout_max_ms = u64::try_from(service.timeout_max.as_millis()).unwrap_or(u64::MAX);
+    let needed_ms = timeout_max_ms.min(LEASE_MS_MAX) + RENEWAL_MARGIN_MS;
     let needed_ms = needed_ms.next_multiple_of(LEASE_STEP_MS);
     needed_ms.clamp(default_ms, LEASE_MS_MAX)
 }
 
-/// A fleet may name any bound; documents keep to theirs.
-fn bounded(value: u64, range: RangeInclusive<u64>) -> u64 {
+/// Limits a value from a central configuration to the range that documents allow.
+fn clamp_to(value: u64, range: RangeInclusive<u64>) -> u64 {
     value.clamp(*range.start(), *range.end())
 }
 
-/// A fleet may say any rate; one above what documents take is no limit.
+/// Limits the rate of a cold upstream to the range that documents allow. Returns `None` (no limit)
+/// for rates above it and for rates that are not positive.
 fn cold_rate(per_s: f64) -> Option<f64> {
-    let in_reach = per_s > 0.0 && per_s <= *COLD_RATES.end();
-    in_reach.then(|| per_s.max(*COLD_RATES.start()))
+    let is_limit = per_s > 0.0 && per_s <= *COLD_RATES.end();
+    is_limit.then(|| per_s.max(*COLD_RATES.start()))
 }
 
 impl DocumentDefaults {
-    /// The document of a service, as text.
+    /// Builds the text of the document of a service.
     pub fn build_document(&self, service: &CentralServiceConfig) -> String {
         let defaults = self.0.clone();
         let class = |it: &RequestClass| RawClass {
@@ -109,7 +114,7 @@
             idempotent: false,
             deadline_ms: DEADLINE_MS_MAX,
         };
-        let connections_max = bounded(service.connections_max.into(), CONNECTIONS) as u32;
+        let connections_max = clamp_to(service.connections_max.into(), CONNECTIONS) as u32;
         let document = RawDocument {
             schema: None,
             service: service.service.as_str().to_owned(),
@@ -132,8 +137,8 @@
             classes: service.classes.iter().map(class).collect(),
             routes: vec![route],
             limits: RawLimits {
-                body_bytes_max: bounded(service.body_bytes_max, BODY_BYTES),
-                header_bytes_max: bounded(service.header_bytes_max, HEADER_BYTES),
+                body_bytes_max: clamp_to(service.body_bytes_max, BODY_BYTES),
+                header_bytes_max: clamp_to(service.header_bytes_max, HEADER_BYTES),
                 ..defaults.limits
             },
             ownership: RawOwnership {
--- a/crates/settings/src/central/mod.rs
+++ b/crates/settings/src/central/mod.rs
@@ -1,5 +1,4 @@
-//! A configuration that comes as a whole: all services and the routes of all hosts, under one
-//! version.
+//! Central configuration: all services and the routes of all hosts under one version.
 
 mod defaults;
 mod routing;
@@ -13,11 +12,11 @@
 
 pub(crate) use defaults::RawDocumentDefaults;
 
-/// One version of everything that a fleet goes by.
+/// One version of the central configuration: documents of all services and routes of all hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CentralConfig {
     pub version: ConfigVersion,
-    /// The document of each service, as text.
+    /// Text of the document of each service.
     pub documents: Vec<(ServiceName, Arc<str>)>,
     pub routing: Arc<RoutingTable>,
 }
--- a/crates/settings/src/central/routing.rs
+++ b/crates/settings/src/central/routing.rs
@@ -1,45 +1,45 @@
-//! Routes by host and path prefix.
+//! Routing of requests to services by host and path prefix.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use model::{ClassName, ServiceName};
 
-/// One of the services over which the requests of a route are spread.
+/// Service that receives a share of the requests of a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backend {
     pub service: ServiceName,
-    /// Its share against the other backends of the route.
+    /// Share of the requests, relative to the other backends of the route.
     pub weight: u32,
 }
 
-/// What becomes of the requests of one host whose path begins with a prefix.
+/// Route for the requests of a host whose path starts with a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostRoute {
     pub name: Arc<str>,
-    /// Begins and ends with a slash.
+    /// Path prefix, which starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// At least one.
+    /// Services that requests are distributed over, at least one.
     pub backends: Vec<Backend>,
     pub class: ClassName,
-    /// Whether running a request twice does no more than running it once.
+    /// Whether running a request twice has the same effect as running it once.
     pub idempotent: bool,
-    /// How long a request may take, if the caller names no shorter time.
+    /// Deadline of a request, if the caller does not set a shorter one.
     pub timeout: Duration,
-    /// How long an answer may take to be of full use to the caller.
+    /// Latency objective: time within which the answer has its full value for the caller.
     pub objective: Duration,
-    /// The most upstreams that one request may be given to.
+    /// Largest number of upstreams to which a request is sent.
     pub attempts_max: u8,
 }
 
 /// The routes of all hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RoutingTable {
-    /// Of each host in lower case, the longest prefix first.
+    /// Routes of each host, the longest prefix first. Host names are in lower case.
     hosts: HashMap<Arc<str>, Vec<Arc<HostRoute>>>,
 }
 
 impl RoutingTable {
-    /// A table of routes, each with its host.
+    /// Creates a table from routes with their hosts.
     pub fn new(routes: impl IntoIterator<Item = (Arc<str>, HostRoute)>) -> RoutingTable {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<HostRoute>>> = HashMap::new();
         for (host, route) in routes {
@@ -52,8 +52,8 @@
         RoutingTable { hosts }
     }
 
-    /// The route of the host with the longest prefix that begins the path. A port behind the host
-    /// does not count.
+    /// Finds the route of the host with the longest prefix of the path. A port after the host name
+    /// is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<HostRoute>> {
         let name = host.split(':').next().unwrap_or_default();
         let routes = match self.hosts.get(name) {
@@ -63,7 +63,7 @@
         routes.iter().find(|it| path.starts_with(&*it.prefix))
     }
 
-    /// All routes, in no order.
+    /// Returns all routes, in arbitrary order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<HostRoute>> {
         self.hosts.values().flatten()
     }
