--- /dev/null
+++ b/crates/agent/src/adapters.rs
@@ -0,0 +1,54 @@
+//! The adapters between the agent and its surroundings: callers, the local upstream and the object store.
+
+use std::sync::Arc;
+
+use object_store::{CallCounts, CountedStore, HttpObjectStore, ObjectStore, Timeouts};
+use settings::AgentSettings;
+use tokio::sync::watch;
+
+use crate::{
+    control::CentralConfigSource,
+    gate::{Connect, connect_http},
+    ingress::{AnnounceProtocol, CallerProtocol, DefaultAnnounceProtocol, DefaultCallerProtocol},
+    zones::{ClosedZones, ClosedZonesSource, follow_stored_zones},
+};
+
+/// The adapters of one agent.
+pub struct Adapters {
+    pub store: Arc<dyn ObjectStore>,
+    /// The same store for the traffic threads: the connections of a client belong to the runtime that opened
+    /// them.
+    pub traffic_store: Arc<dyn ObjectStore>,
+    pub callers: Arc<dyn CallerProtocol>,
+    pub announcements: Arc<dyn AnnounceProtocol>,
+    pub connect: Connect,
+    /// Source of the central configuration. `None` if teams publish their own documents.
+    pub central_config: Option<CentralConfigSource>,
+    pub closed_zones: ClosedZonesSource,
+}
+
+impl Adapters {
+    /// Creates the default adapters: HTTP towards callers, the upstream and the object store. Must be called
+    /// on a runtime.
+    pub(crate) fn from_settings(
+        settings: &AgentSettings,
+        calls: &Arc<CallCounts>,
+    ) -> anyhow::Result<Adapters> {
+        let store = || HttpObjectStore::new(settings.platform_address, Timeouts::default());
+        let (closed_sender, closed_zones) = watch::channel(ClosedZones::default());
+        let counted_store = || {
+            let counted = CountedStore::new(Arc::new(store()?), Arc::clone(calls));
+            anyhow::Ok(Arc::new(counted))
+        };
+        tokio::spawn(follow_stored_zones(counted_store()?, closed_sender));
+        Ok(Adapters {
+            store: Arc::new(store()?),
+            traffic_store: counted_store()?,
+            callers: Arc::new(DefaultCallerProtocol),
+            announcements: Arc::new(DefaultAnnounceProtocol),
+            connect: Box::new(connect_http),
+            central_config: None,
+            closed_zones,
+        })
+    }
+}
--- a/crates/agent/src/control/tests/agent.rs
+++ b/crates/agent/src/control/tests/agent.rs
@@ -20,7 +20,7 @@
     links::LinkKey,
     report::{Announcement, Report, Reporter},
     snapshot::{Routes, SnapshotCell},
-    zones::{ClosedZones, follow_own_zones},
+    zones::{ClosedZones, follow_stored_zones},
 };
 
 /// The time limit of each wait, far above the duration of any step. Tests fail when it expires.
@@ -96,7 +96,7 @@
         let (sender, handed_over) = oneshot::channel();
         let (closed, closed_zones) = watch::channel(ClosedZones::default());
         let store = Arc::clone(platform) as Arc<dyn object_store::ObjectStore>;
-        tokio::spawn(follow_own_zones(store, closed));
+        tokio::spawn(follow_stored_zones(store, closed));
         let task = tokio::spawn(run(ControlParts {
             settings: Arc::new(settings(service_name, name, control, peers)),
             own: own.clone(),
@@ -147,7 +147,7 @@
 
     /// Reports a caller's request for the tested service.
     pub(super) fn request_service(&self) {
-        self.reporter.hint(Report::UnknownService { service: service() });
+        self.reporter.try_report(Report::UnknownService { service: service() });
     }
 
     /// Waits until this instance's routes of the tested service contain an instance.
@@ -224,7 +224,7 @@
         slots: 12,
         checks_fence: true,
         upstream_id: None,
-        born_ms: None,
+        incarnation_start_ms: None,
         sequence: 0,
         cold_for: Duration::ZERO,
     };
@@ -245,7 +245,7 @@
                 Some(GateTask::Grant { .. } | GateTask::DropAll) => continue,
             },
         };
-        reporter.deliver(report).await;
+        reporter.report(report).await;
     }
 }
 
--- a/crates/agent/src/gate/health.rs
+++ b/crates/agent/src/gate/health.rs
@@ -21,7 +21,7 @@
     loop {
         tick.tick().await;
         let Some(bound) = gate.bound.load_full() else { continue };
-        if !bound.upstream.is_asked_for_health() {
+        if !bound.upstream.needs_health_polling() {
             continue;
         }
         let probed_at = gate.clock.now();
@@ -46,7 +46,7 @@
         }
         if reported_state != Some(state) {
             reported_state = Some(state);
-            gate.reporter.deliver(Report::Upstream(state)).await;
+            gate.reporter.report(Report::Upstream(state)).await;
         }
     }
 }
--- a/crates/agent/src/gate/leases/reconcile.rs
+++ b/crates/agent/src/gate/leases/reconcile.rs
@@ -4,7 +4,7 @@
 
 use model::{Instance, KeyRange, OrderedKeys, Slot, SlotCount, Timestamp, Token};
 use tokio::time::{sleep, timeout};
-use upstream::{GrantError, GrantedKeys, HandoverToken, KeyLeases, LeasedUpstream};
+use upstream::{GrantError, GrantedKeys, HandoverToken, KeyLeaseMode, LeaseEnforcingUpstream};
 use wire::traffic::TransferUnit;
 
 use crate::{
@@ -56,10 +56,10 @@
             sleep(BATCH_WINDOW).await;
         }
         let Some(bound) = gate.bound.load_full() else { continue };
-        match bound.upstream.key_leases() {
-            KeyLeases::NotEnforced => {}
-            KeyLeases::ByCall(_) => reconcile_by_calls(&gate, &bound).await,
-            KeyLeases::ByAnnouncement => reconcile_announced(&gate, &bound).await,
+        match bound.upstream.key_lease_mode() {
+            KeyLeaseMode::NotEnforced => {}
+            KeyLeaseMode::ByCall(_) => reconcile_by_calls(&gate, &bound).await,
+            KeyLeaseMode::ByAnnouncement => reconcile_announced(&gate, &bound).await,
         }
     }
 }
@@ -76,7 +76,7 @@
     report_closed(gate).await;
     if let Some(token) = cleared {
         gate.assume_earlier_runs(bound);
-        gate.reporter.deliver(Report::Cleared { token }).await;
+        gate.reporter.report(Report::Cleared { token }).await;
     }
 }
 
@@ -165,7 +165,7 @@
     }
     gate.leases.wakeup.notify_one();
     match handover {
-        Some(_) => gate.reporter.deliver(Report::Cleared { token }).await,
+        Some(_) => gate.reporter.report(Report::Cleared { token }).await,
         None => {
             log::warn!(target: "gate", "The upstream did not confirm the release of grants made by earlier sessions or incarnations of this agent; they are left to expire.")
         }
@@ -186,7 +186,7 @@
         Ok(Ok(())) => GrantOutcome::Accepted,
         Ok(Err(GrantError::Outdated { peer })) => {
             log::warn!(target: "gate", "Upstream {peer} refused a grant under token {} for keys {} to {}: it has seen a higher token.", range.token, granted.keys.first, granted.keys.last);
-            gate.reporter.hint(Report::GrantOutdated { token: range.token });
+            gate.reporter.try_report(Report::GrantOutdated { token: range.token });
             GrantOutcome::Outdated
         }
         Ok(Err(error)) => {
@@ -252,17 +252,19 @@
 fn leased_keys(
     bound: &BoundUpstream,
     range: SlotRange,
-) -> Option<(&dyn LeasedUpstream, GrantedKeys)> {
+) -> Option<(&dyn LeaseEnforcingUpstream, GrantedKeys)> {
     let keys = bound.document.ordered_keys?;
     let keys = keys_of(keys, bound.document.slot_count, range);
-    match bound.upstream.key_leases() {
-        KeyLeases::ByCall(upstream) => Some((upstream, GrantedKeys { keys, token: range.token })),
-        KeyLeases::NotEnforced | KeyLeases::ByAnnouncement => None,
+    match bound.upstream.key_lease_mode() {
+        KeyLeaseMode::ByCall(upstream) => {
+            Some((upstream, GrantedKeys { keys, token: range.token }))
+        }
+        KeyLeaseMode::NotEnforced | KeyLeaseMode::ByAnnouncement => None,
     }
 }
 
 fn keys_of(keys: OrderedKeys, slot_count: SlotCount, range: SlotRange) -> KeyRange {
-    keys.of_slots(slot_count, range.first, range.last)
+    keys.range_of_slots(slot_count, range.first, range.last)
 }
 
 fn handover_message(bound: &BoundUpstream, range: SlotRange, handover: &HandoverToken) -> Handover {
@@ -280,6 +282,6 @@
     let runs_until = gate.upstream_runs.latest_ends(now);
     let closed = gate.leases.lock().take_closed(now, runs_until);
     if !closed.is_empty() {
-        gate.reporter.deliver(Report::ClosedSlots(closed)).await;
+        gate.reporter.report(Report::ClosedSlots(closed)).await;
     }
 }
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -100,7 +100,7 @@
         if !self.handle.table.lease_holds(now) {
             return GateReply::not_run(NotRunReason::NoOwner);
         }
-        if bound.upstream.key_leases().are_enforced() {
+        if bound.upstream.key_lease_mode().is_enforced() {
             if bound.refuses_work(now) {
                 return GateReply::not_run(NotRunReason::Draining);
             }
@@ -183,8 +183,8 @@
     /// announcement makes it available again.
     fn report_unreachable(&self, bound: &BoundUpstream, error: &CallError) {
         let is_unreachable = matches!(error, CallError::NotSent { .. });
-        if is_unreachable && !bound.upstream.is_asked_for_health() {
-            self.reporter.hint(Report::Upstream(UpstreamState::Lost));
+        if is_unreachable && !bound.upstream.needs_health_polling() {
+            self.reporter.try_report(Report::Upstream(UpstreamState::Lost));
         }
     }
 
@@ -277,7 +277,7 @@
         &self,
         caller: &mut Caller,
     ) -> Result<Option<SemaphorePermit<'_>>, Box<GateReply>> {
-        match self.gate.quarantine.status(self.request.content) {
+        match self.gate.quarantine.status(self.request.fingerprint) {
             QuarantineStatus::Clear => return Ok(None),
             QuarantineStatus::Suspect => {}
             QuarantineStatus::Quarantined => return Err(quarantined_reply()),
@@ -369,7 +369,7 @@
         if now >= self.deadline {
             return Err(Box::new(GateReply::not_run(NotRunReason::DeadlineExceeded)));
         }
-        if self.gate.quarantine.is_quarantined(self.request.content) {
+        if self.gate.quarantine.is_quarantined(self.request.fingerprint) {
             return Err(quarantined_reply());
         }
         // The gate may have bound another state since the request arrived.
@@ -377,7 +377,7 @@
             return Err(Box::new(GateReply::not_run(NotRunReason::Draining)));
         }
         let Some(entry) = &self.entry else { return Ok(None) };
-        let enforces_leases = self.bound.upstream.key_leases().are_enforced();
+        let enforces_leases = self.bound.upstream.key_lease_mode().is_enforced();
         if enforces_leases && !self.gate.leases.is_usable(now, entry.slot()) {
             return Err(Box::new(GateReply::not_run(NotRunReason::NoOwner)));
         }
@@ -448,7 +448,7 @@
         let remaining = until.since(started_at);
         let run =
             gate.upstream_runs.begin(started_at, self.entry.as_ref().map(Entry::slot), remaining);
-        let tracked_run = gate.unanswered_runs.begin(gate.clock, self.request.content);
+        let tracked_run = gate.unanswered_runs.begin(gate.clock, self.request.fingerprint);
         let call = self.bound.upstream.call(upstream::Request {
             method: self.request.method.clone(),
             path: self.request.path.clone(),
@@ -470,7 +470,7 @@
         if let Some((slot, key_hash)) = self.load_key() {
             gate.handle.load.add(slot, key_hash, ended_at.since(started_at));
         }
-        gate.metrics.upstream(
+        gate.metrics.record_upstream_time(
             &self.bound.document.team,
             &self.request.class,
             ended_at.since(started_at),
@@ -483,7 +483,7 @@
             }
             CallEnd::Answered(answer) => {
                 gate.record_response(ended_at);
-                gate.quarantine.record_answer(self.request.content);
+                gate.quarantine.record_answer(self.request.fingerprint);
                 // An upstream that fails fast must not be measured as one that works fast.
                 permit.completion = match answer.status.is_server_error() {
                     true => Completion::Aborted,
@@ -593,7 +593,7 @@
 /// Returns the age of the request for its record: the age that the caller states, plus the time
 /// spent in this system.
 fn record_age(request: &GateRequest) -> Duration {
-    request.age + request.held
+    request.age + request.time_at_ingress
 }
 
 /// Returns whether the answer states that the upstream timed out at its deadline.
@@ -615,7 +615,7 @@
 
 fn fence_check(bound: &BoundUpstream) -> FenceCheck {
     // An upstream that enforces leases ends requests that outlast them by itself.
-    if bound.upstream.key_leases().are_enforced() {
+    if bound.upstream.key_lease_mode().is_enforced() {
         return FenceCheck::Checked;
     }
     // Both must declare the check: the announcement alone does not bind the team, which is
--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -12,12 +12,12 @@
     task::JoinHandle,
     time::timeout,
 };
-use upstream::{GrantedKeys, HeldKeys, KeysToHold, ReleasedKeys};
+use upstream::{AnnouncedKeys, AssignedKeys, GrantedKeys, ReleasedKeys};
 use volo_http::{body::Body, response::Response};
 
 use super::fakes::{Call, PATIENCE, TestAgent, check, get, token};
 use crate::{
-    ingress::{AnnounceForm, Heard},
+    ingress::{AnnounceProtocol, UpstreamMessage},
     report::{Announcement, Report},
 };
 
@@ -33,12 +33,12 @@
 /// Announcements at the callers' address, as JSON.
 pub(super) struct TestForm;
 
-impl AnnounceForm for TestForm {
+impl AnnounceProtocol for TestForm {
     fn is_announcement(&self, head: &Parts) -> bool {
         head.uri.path() == "/announce"
     }
 
-    fn read(&self, _head: &Parts, body: &[u8]) -> Result<Heard, (StatusCode, String)> {
+    fn read(&self, _head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
         let said: Said = serde_json::from_slice(body)
             .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
         let announcement = Announcement {
@@ -48,7 +48,7 @@
             slots: 2,
             checks_fence: false,
             upstream_id: None,
-            born_ms: None,
+            incarnation_start_ms: None,
             sequence: said.sequence,
             cold_for: Duration::ZERO,
         };
@@ -60,11 +60,11 @@
             keys: KeyRange { first, last },
             handover: handover.into(),
         });
-        let keys = HeldKeys { held: held.collect(), released: released.collect() };
-        Ok(Heard::Announced { announcement, clock_ms: None, keys: Some(keys) })
+        let keys = AnnouncedKeys { held: held.collect(), released: released.collect() };
+        Ok(UpstreamMessage::Announced { announcement, clock_ms: None, keys: Some(keys) })
     }
 
-    fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response {
+    fn acknowledge(&self, keys: Option<&AssignedKeys>) -> Response {
         let rows = keys.map(|keys| {
             let row = |it: &upstream::KeyGrant| {
                 let KeyRange { first, last } = it.granted.keys;
