--- a/crates/ownership/src/tests/mod.rs
+++ b/crates/ownership/src/tests/mod.rs
@@ -1,11 +1,11 @@
-//! Runs of many nodes: in order, under random faults, and along recorded traces.
+//! Simulations of many nodes with single faults, under random faults and from recorded traces; tests of single nodes.
 
-mod clear;
+mod upstream_clearing;
 mod loads;
-mod order;
+mod lifecycle;
 
 mod routes;
-mod size;
+mod large_groups;
 mod random;
-mod sabotage;
+mod disabled_rules;
 mod trace;
