--- a/crates/ownership/src/tests/lifecycle.rs
+++ b/crates/ownership/src/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A group without faults: starting, joining, leaving.
+//! Start and stop of groups, and their recovery from single faults.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -9,52 +9,54 @@
     sim::{Fault, Sim, SimConfig},
 };
 
-fn started(seed: u64) -> Sim {
+/// Starts a group with the default configuration, and waits until all slots have an owner.
+fn start_group(seed: u64) -> Sim {
     let mut sim = Sim::new(SimConfig::new(seed));
     sim.start_all();
     let served = sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0);
-    assert!(served, "unowned: {}, events: {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} slots without an owner after 5 s: {:?}", sim.unowned_slots(), sim.events());
     sim
 }
 
-fn check(sim: &Sim) {
+/// Asserts that no invariant was violated and that all slots have an owner.
+fn check_served(sim: &Sim) {
     assert_eq!(sim.violation(), None);
     assert_eq!(sim.unowned_slots(), 0, "{:?}", sim.events());
 }
 
 #[test]
 fn a_group_that_starts_together_serves_all_slots() {
-    let mut sim = started(1);
+    let mut sim = start_group(1);
     sim.run_for(Duration::from_secs(5));
-    check(&sim);
+    check_served(&sim);
     assert!(sim.is_settled());
     let owners: BTreeSet<_> = sim.slot_owners().into_iter().collect();
-    assert!(owners.len() >= 6, "{owners:?}");
+    assert!(owners.len() >= 6, "owners: {owners:?}");
 }
 
 #[test]
-fn a_lost_member_is_replaced() {
-    let mut sim = started(2);
+fn slots_of_a_lost_member_get_new_owners() {
+    let mut sim = start_group(2);
     sim.run_for(Duration::from_secs(5));
     let lost = (sim.coordinator().unwrap() + 1) % sim.host_count();
     sim.apply(Fault::Crash(lost));
     sim.run_for(Duration::from_secs(3));
-    check(&sim);
+    check_served(&sim);
 }
 
 #[test]
-fn a_lost_coordinator_is_replaced() {
-    let mut sim = started(3);
+fn a_lost_coordinator_and_its_slots_are_taken_over() {
+    let mut sim = start_group(3);
     sim.run_for(Duration::from_secs(5));
     let lost = sim.coordinator().unwrap();
     sim.apply(Fault::Crash(lost));
     sim.run_for(Duration::from_secs(3));
-    check(&sim);
+    check_served(&sim);
     assert_ne!(sim.coordinator(), Some(lost));
 }
 
 #[test]
-fn a_lone_host_serves_all_and_stops() {
+fn a_single_host_owns_all_slots_stops_and_restarts() {
     let mut sim = Sim::new(SimConfig { hosts: 1, ..SimConfig::new(4) });
     sim.start_all();
     assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
@@ -62,11 +64,11 @@
     assert!(sim.run_until(Duration::from_secs(5), |it| it.has_stopped(0)));
     sim.start_all();
     assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
-    check(&sim);
+    check_served(&sim);
 }
 
 #[test]
-fn a_lone_host_stops_without_the_platform() {
+fn a_single_host_stops_while_the_platform_is_unavailable() {
     let mut sim = Sim::new(SimConfig { hosts: 1, ..SimConfig::new(5) });
     sim.start_all();
     assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
@@ -76,8 +78,8 @@
 }
 
 #[test]
-fn the_whole_group_stops_at_once() {
-    let mut sim = started(6);
+fn all_members_of_a_group_can_stop_at_the_same_time() {
+    let mut sim = start_group(6);
     sim.run_for(Duration::from_secs(4));
     for host in 0..sim.host_count() {
         sim.apply(Fault::Stop(host));
@@ -88,22 +90,22 @@
 }
 
 #[test]
-fn the_whole_group_is_lost_and_comes_back() {
-    let mut sim = started(7);
+fn a_group_recovers_after_all_members_crashed() {
+    let mut sim = start_group(7);
     sim.run_for(Duration::from_secs(5));
     for host in 0..sim.host_count() {
         sim.apply(Fault::Crash(host));
     }
     sim.run_for(Duration::from_secs(1));
     sim.start_all();
-    // The longest absence from the platform is an hour and a half here: it is not waited for.
+    // The group has to recover without waiting for the limit on a coordinator's time without the platform, 90 minutes.
     let served = sim.run_until(Duration::from_secs(15), |it| it.unowned_slots() == 0);
     assert!(served, "{:?}", sim.events());
-    check(&sim);
+    check_served(&sim);
 }
 
 #[test]
-fn a_service_not_divided_by_key_has_members_only() {
+fn a_service_without_keys_has_members_but_no_slot_owners() {
     let mut sim = Sim::new(SimConfig { hosts: 3, keyed: false, ..SimConfig::new(8) });
     sim.start_all();
     sim.run_for(Duration::from_secs(5));
@@ -119,10 +121,10 @@
     assert!(sim.run_until(Duration::from_secs(10), stopped), "{:?}", sim.events());
 }
 
-/// A stretch of busy neighbours, 1 s after all slots were granted for the first time: what was granted
-/// without a look at its load need not rest for 10 s before it is shared out.
+/// Four adjacent slots of one owner become hot 1 s after the first grants. These were made regardless of load, so the
+/// 10 s for which a slot stays with its new owner after a move do not apply.
 #[test]
-fn busy_neighbours_are_shared_out_soon_after_the_first_grants() {
+fn a_hot_range_is_divided_soon_after_the_first_grants() {
     let limits = Limits { churn_per_minute_max: 1.0, ..Limits::default() };
     let slot_count = SlotCount::new(64).unwrap();
     let config = SimConfig { hosts: 4, ordered: true, slot_count, limits, ..SimConfig::new(12) };
@@ -131,13 +133,13 @@
     assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
     sim.run_for(Duration::from_secs(1));
     let first = sim.owned_by(0)[0].0;
-    let stretch: Vec<Slot> = (first..first + 4).map(Slot).collect();
-    for slot in &stretch {
+    let hot_range: Vec<Slot> = (first..first + 4).map(Slot).collect();
+    for slot in &hot_range {
         let us_per_s = 3_000_000;
         sim.apply(Fault::SlotLoad { slot: usize::from(slot.0), us_per_s });
     }
     let owners = |it: &Sim| {
-        let owners: BTreeSet<_> = stretch.iter().map(|slot| it.owner(*slot)).collect();
+        let owners: BTreeSet<_> = hot_range.iter().map(|slot| it.owner(*slot)).collect();
         owners.len()
     };
     assert_eq!(owners(&sim), 1);
@@ -145,10 +147,10 @@
     assert_eq!(sim.violation(), None);
 }
 
-/// Nothing confirms the coordinator of a group without keys, for nothing rests on that. Its own view, by
-/// which it answers others, has to follow its members all the same, at any time.
+/// The coordinator of a group without keys is not confirmed, since it grants nothing. Its view, from which it answers
+/// queries, must still follow joins and losses of members at any time.
 #[test]
-fn the_coordinator_of_a_group_without_keys_sees_members_come_and_go() {
+fn the_coordinator_of_a_group_without_keys_tracks_its_members() {
     let mut sim = Sim::new(SimConfig { hosts: 4, keyed: false, ..SimConfig::new(11) });
     sim.start_all();
     sim.run_for(Duration::from_secs(3));
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn a_group_takes_in_no_more_than_its_limit() {
+fn a_group_refuses_members_beyond_its_limit() {
     let hosts = GROUP_MEMBERS_MAX + 1;
     let slot_count = SlotCount::new(64).unwrap();
     let mut sim = Sim::new(SimConfig { hosts, slot_count, ..SimConfig::new(9) });
@@ -177,33 +179,33 @@
     assert!(sim.events()["JoinRefused"] > 0);
     let coordinator = sim.coordinator().unwrap();
     assert_eq!(sim.view(coordinator).unwrap().members.len(), GROUP_MEMBERS_MAX);
-    check(&sim);
+    check_served(&sim);
 }
 
-/// As many members as the largest service of the deployments in view has, and a few more.
 #[test]
-fn a_large_group_replaces_its_coordinator_and_a_member() {
+fn a_group_of_48_recovers_from_the_loss_of_its_coordinator_and_a_member() {
     let slot_count = SlotCount::new(512).unwrap();
     let mut sim = Sim::new(SimConfig { hosts: 48, slot_count, ..SimConfig::new(13) });
     sim.start_all();
     sim.run_for(Duration::from_secs(8));
-    check(&sim);
+    check_served(&sim);
     let coordinator = sim.coordinator().unwrap();
     assert_eq!(sim.view(coordinator).unwrap().members.len(), 48);
     sim.apply(Fault::Crash(coordinator));
     sim.apply(Fault::Crash((coordinator + 1) % sim.host_count()));
     sim.run_for(Duration::from_secs(4));
-    check(&sim);
+    check_served(&sim);
     let owners: BTreeSet<_> = sim.slot_owners().into_iter().collect();
-    assert!(owners.len() >= 46, "{} own a slot", owners.len());
+    assert!(owners.len() >= 46, "only {} members own a slot", owners.len());
 }
 
-/// A group whose upstreams hold what they were granted for a lease of 5 s, also without their agents.
-fn with_long_leases(seed: u64) -> Sim {
-    with_long_leases_of(SimConfig::new(seed))
+/// Starts a group whose upstreams keep their grants for a lease of 5 s, also without their agents.
+fn start_group_with_long_leases(seed: u64) -> Sim {
+    start_with_long_leases(SimConfig::new(seed))
 }
 
-fn with_long_leases_of(config: SimConfig) -> Sim {
+/// Same as [`start_group_with_long_leases`], for the given number of hosts.
+fn start_with_long_leases(config: SimConfig) -> Sim {
     let limits = Limits {
         lease: Duration::from_secs(5),
         renew_every: Duration::from_millis(400),
@@ -218,58 +220,79 @@
     let mut sim = Sim::new(SimConfig { ordered: true, limits, ..config });
     sim.start_all();
     sim.run_for(Duration::from_secs(12));
-    check(&sim);
+    check_served(&sim);
     sim
 }
 
-/// The longest wait for the leases of an earlier term whose coordinator's agent is back: a lease, stretched by
-/// the drift margin, and 0.9 s to acquire the term and to grant.
-const EARLIER_TERMS_MAX: Duration = Duration::from_secs(6);
+/// Longest wait for the leases of an earlier term once the coordinator's agent has restarted: a lease extended by the
+/// drift margin, and 0.9 s to acquire the term and to grant.
+const EARLIER_TERMS_WAIT_MAX: Duration = Duration::from_secs(6);
 
 #[test]
-fn agents_restarted_together_wait_for_the_leases_that_others_may_have_had() {
+fn agents_restarted_together_wait_for_earlier_leases_of_other_members() {
     for seed in 20..40 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         for host in 0..sim.host_count() {
             sim.apply(Fault::CrashAgent(host));
         }
         sim.start_all();
-        let early = sim.run_until(EARLIER_LEASE, |it| it.unowned_slots() < it.slot_owners().len());
-        assert!(!early, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
-        let rest = EARLIER_TERMS_MAX - EARLIER_LEASE;
+        let is_early =
+            sim.run_until(EARLIER_LEASE_MIN, |it| it.unowned_slots() < it.slot_owners().len());
+        assert!(
+            !is_early,
+            "seed {seed}: granted too early, {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
+        let rest = EARLIER_TERMS_WAIT_MAX - EARLIER_LEASE_MIN;
         let served = sim.run_until(rest, |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn agents_restarted_beside_their_upstreams_wait_for_no_lease_that_was_their_own() {
+fn agents_restarted_beside_their_upstreams_do_not_wait_for_their_own_leases() {
     for seed in 20..40 {
-        let mut sim = with_long_leases_of(SimConfig { hosts: 1, ..SimConfig::new(seed) });
+        let mut sim = start_with_long_leases(SimConfig { hosts: 1, ..SimConfig::new(seed) });
         sim.apply(Fault::CrashAgent(0));
         sim.start_all();
         let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
-        let mut sim = with_long_leases(seed);
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
+        let mut sim = start_group_with_long_leases(seed);
         let owners = sim.slot_owners();
         let coordinator = sim.coordinator().unwrap();
         sim.apply(Fault::CrashAgent(coordinator));
         sim.start_all();
         let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn agents_restarted_beside_their_upstreams_wait_for_no_upstream_without_slots() {
+fn agents_restarted_beside_their_upstreams_do_not_wait_for_an_upstream_without_slots() {
     for seed in 60..70 {
-        let mut sim = with_long_leases_of(SimConfig { hosts: 2, ..SimConfig::new(seed) });
-        // One has left, so that no plan names it, and comes back without an upstream.
+        let mut sim = start_with_long_leases(SimConfig { hosts: 2, ..SimConfig::new(seed) });
+        // One member has left, so that no plan contains it, and restarts without an upstream.
         let left = (sim.coordinator().unwrap() + 1) % sim.host_count();
         sim.apply(Fault::Stop(left));
         sim.run_for(Duration::from_secs(4));
@@ -279,63 +302,83 @@
         sim.start_all();
         sim.apply(Fault::Upstream { host: left, state: crate::UpstreamState::Starting });
         let served = sim.run_until(Duration::from_millis(1_500), |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
     }
 }
 
 #[test]
-fn members_whose_sessions_have_lapsed_wait_for_the_leases_that_others_may_have_had() {
+fn members_with_lapsed_sessions_wait_for_earlier_leases_of_other_members() {
     for seed in 70..80 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
         sim.apply(Fault::PlatformDown);
         sim.apply(Fault::CrashAgent(coordinator));
-        // No term begins without the platform, and all sessions lapse.
+        // No new term can start without the platform, so all sessions lapse.
         sim.run_for(Duration::from_secs(7));
         sim.apply(Fault::Start(coordinator));
         sim.apply(Fault::PlatformUp);
-        let served = sim.run_until(EARLIER_TERMS_MAX, |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
+        let served = sim.run_until(EARLIER_TERMS_WAIT_MAX, |it| it.unowned_slots() == 0);
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn a_member_whose_session_has_ended_gets_its_slots_back() {
+fn a_member_regains_its_slots_after_its_session_ended() {
     for seed in 70..80 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let owners = sim.slot_owners();
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
         sim.apply(Fault::Pause { host, for_ms: 1_000 });
         sim.run_for(Duration::from_millis(1_100));
         let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn an_agent_restarted_beside_its_upstream_gets_its_slots_back() {
+fn an_agent_restarted_beside_its_upstream_regains_its_slots() {
     for seed in 40..60 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let owners = sim.slot_owners();
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
         sim.apply(Fault::CrashAgent(host));
         sim.apply(Fault::Start(host));
         let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
-        assert!(served, "seed {seed}: {} slots, {:?}", sim.unowned_slots(), sim.events());
+        assert!(
+            served,
+            "seed {seed}: {} slots without an owner, {:?}",
+            sim.unowned_slots(),
+            sim.events()
+        );
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn times_change_without_a_gap() {
-    let mut sim = started(10);
+fn a_change_of_the_lease_duration_leaves_no_slot_without_an_owner() {
+    let mut sim = start_group(10);
     sim.run_for(Duration::from_secs(4));
     for lease_ms in [2000, 750] {
         let lease = Duration::from_millis(lease_ms);
@@ -345,12 +388,12 @@
         let times = sim.coordinator_object().unwrap().times;
         assert_eq!(u64::from(times.lease_ms), lease_ms);
     }
-    check(&sim);
+    check_served(&sim);
 }
 
 #[test]
-fn a_leaving_upstream_gives_its_slots_up() {
-    let mut sim = started(11);
+fn a_draining_or_lost_upstream_loses_its_slots() {
+    let mut sim = start_group(11);
     sim.run_for(Duration::from_secs(4));
     let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
     for state in [crate::UpstreamState::Draining, crate::UpstreamState::Lost] {
@@ -359,53 +402,59 @@
         sim.apply(Fault::Upstream { host, state });
         sim.run_for(Duration::from_secs(4));
         assert_eq!(sim.owned_by(host), []);
-        check(&sim);
+        check_served(&sim);
     }
 }
 
-/// A lease of 5 s that was renewed no earlier than 0.5 s before.
-const EARLIER_LEASE: Duration = Duration::from_millis(4_500);
+/// Least remaining time of a lease of 5 s that is renewed at least every 0.5 s.
+const EARLIER_LEASE_MIN: Duration = Duration::from_millis(4_500);
 
-/// Slots of `slots` that a gate other than the host's admits.
-fn owned_elsewhere(sim: &Sim, slots: &[Slot], host: usize) -> Vec<Slot> {
-    let elsewhere = |it: &Slot| sim.owner(*it).is_some_and(|owner| owner != host);
-    slots.iter().copied().filter(elsewhere).collect()
+/// Returns those of `slots` that hosts other than `host` own.
+fn owned_by_others(sim: &Sim, slots: &[Slot], host: usize) -> Vec<Slot> {
+    let is_owned_by_other = |it: &Slot| sim.owner(*it).is_some_and(|owner| owner != host);
+    slots.iter().copied().filter(is_owned_by_other).collect()
 }
 
-/// Nobody else is granted what a host had before so much time has passed.
+/// Asserts that no other host is granted the earlier slots of a host before `min_wait` has passed.
 #[track_caller]
-fn kept_from_others(sim: &mut Sim, host: usize, slots: &[Slot], early: Duration) {
-    assert!(!slots.is_empty(), "the host had nothing");
-    let taken = |it: &Sim| !owned_elsewhere(it, slots, host).is_empty();
-    assert!(!sim.run_until(early, taken), "{:?}", sim.events());
+fn assert_not_granted_to_others(sim: &mut Sim, host: usize, slots: &[Slot], min_wait: Duration) {
+    assert!(!slots.is_empty(), "host {host} owned no slots");
+    let is_granted = |it: &Sim| !owned_by_others(it, slots, host).is_empty();
+    assert!(!sim.run_until(min_wait, is_granted), "granted too early: {:?}", sim.events());
 }
 
+/// Asserts that all slots have an owner before `max` has passed.
 #[track_caller]
-fn served_within(sim: &mut Sim, max: Duration) {
+fn assert_served_within(sim: &mut Sim, max: Duration) {
     let served = sim.run_until(max, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
+    assert!(
+        served,
+        "{} slots without an owner after {max:?}: {:?}",
+        sim.unowned_slots(),
+        sim.events()
+    );
 }
 
 #[test]
-fn runs_of_an_earlier_life_may_go_on_when_another_member_is_granted_its_slots() {
+fn requests_of_an_earlier_incarnation_block_grants_to_another_member() {
     for seed in 80..90 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
         let slots = sim.owned_by(host);
         sim.apply(Fault::CrashAgent(host));
         sim.apply(Fault::Start(host));
         sim.apply(Fault::Upstream { host, state: crate::UpstreamState::Starting });
-        kept_from_others(&mut sim, host, &slots, EARLIER_LEASE);
-        served_within(&mut sim, Duration::from_secs(2));
+        assert_not_granted_to_others(&mut sim, host, &slots, EARLIER_LEASE_MIN);
+        assert_served_within(&mut sim, Duration::from_secs(2));
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn runs_of_an_earlier_life_may_go_on_when_the_later_one_gives_its_slots_up() {
+fn requests_of_an_earlier_incarnation_block_slots_that_the_later_one_releases() {
     for seed in 90..100 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
         let slots = sim.owned_by(host);
         sim.apply(Fault::CrashAgent(host));
@@ -413,17 +462,17 @@
         sim.run_for(Duration::from_secs(1));
         assert_eq!(sim.owned_by(host), slots, "seed {seed}: {:?}", sim.events());
         sim.apply(Fault::Stop(host));
-        let early = EARLIER_LEASE - Duration::from_secs(1);
-        kept_from_others(&mut sim, host, &slots, early);
-        served_within(&mut sim, Duration::from_secs(2));
-        check(&sim);
+        let min_wait = EARLIER_LEASE_MIN - Duration::from_secs(1);
+        assert_not_granted_to_others(&mut sim, host, &slots, min_wait);
+        assert_served_within(&mut sim, Duration::from_secs(2));
+        check_served(&sim);
     }
 }
 
 #[test]
-fn runs_of_an_earlier_life_may_go_on_when_a_later_term_grants_its_slots() {
+fn requests_of_an_earlier_incarnation_block_grants_of_a_later_term() {
     for seed in 100..110 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
         let host = (coordinator + 1) % sim.host_count();
         let slots = sim.owned_by(host);
@@ -432,37 +481,37 @@
         sim.apply(Fault::Start(coordinator));
         sim.apply(Fault::Start(host));
         sim.apply(Fault::Upstream { host, state: crate::UpstreamState::Starting });
-        kept_from_others(&mut sim, host, &slots, EARLIER_LEASE);
-        served_within(&mut sim, Duration::from_secs(4));
+        assert_not_granted_to_others(&mut sim, host, &slots, EARLIER_LEASE_MIN);
+        assert_served_within(&mut sim, Duration::from_secs(4));
         sim.run_for(Duration::from_secs(8));
-        check(&sim);
+        check_served(&sim);
     }
 }
 
 #[test]
-fn runs_of_an_earlier_life_may_go_on_when_a_later_term_takes_over_after_its_restart() {
+fn requests_of_an_earlier_incarnation_block_a_term_that_starts_after_its_restart() {
     for seed in 110..120 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
         let host = (coordinator + 1) % sim.host_count();
         let slots = sim.owned_by(host);
         sim.apply(Fault::CrashAgent(host));
         sim.apply(Fault::Start(host));
         sim.apply(Fault::Upstream { host, state: crate::UpstreamState::Starting });
-        // Long enough for a plan that names the upstream's slots for others.
+        // Enough time for a plan that assigns the upstream's slots to other members.
         sim.run_for(Duration::from_millis(1_500));
         sim.apply(Fault::Crash(coordinator));
-        let early = EARLIER_LEASE - Duration::from_millis(1_500);
-        kept_from_others(&mut sim, host, &slots, early);
-        served_within(&mut sim, Duration::from_secs(6));
-        check(&sim);
+        let min_wait = EARLIER_LEASE_MIN - Duration::from_millis(1_500);
+        assert_not_granted_to_others(&mut sim, host, &slots, min_wait);
+        assert_served_within(&mut sim, Duration::from_secs(6));
+        check_served(&sim);
     }
 }
 
 #[test]
-fn runs_of_an_earlier_life_may_go_on_when_a_later_term_hands_its_slots_over() {
+fn requests_of_an_earlier_incarnation_block_a_handover_by_a_later_term() {
     for seed in 120..130 {
-        let mut sim = with_long_leases(seed);
+        let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
         let host = (coordinator + 1) % sim.host_count();
         let slots = sim.owned_by(host);
@@ -473,9 +522,9 @@
         sim.apply(Fault::Crash(coordinator));
         sim.run_for(Duration::from_millis(1_500));
         sim.apply(Fault::Stop(host));
-        let early = EARLIER_LEASE - Duration::from_secs(2);
-        kept_from_others(&mut sim, host, &slots, early);
-        served_within(&mut sim, Duration::from_secs(6));
-        check(&sim);
+        let min_wait = EARLIER_LEASE_MIN - Duration::from_secs(2);
+        assert_not_granted_to_others(&mut sim, host, &slots, min_wait);
+        assert_served_within(&mut sim, Duration::from_secs(6));
+        check_served(&sim);
     }
 }
