--- a/crates/ownership/src/tests/disabled_rules.rs
+++ b/crates/ownership/src/tests/disabled_rules.rs
@@ -1,4 +1,4 @@
-//! Breaks one rule at a time and looks for the first random run that shows it.
+//! Disables one safety rule at a time and checks that a random run or a trace detects a violation.
 
 use std::{ops::RangeInclusive, panic, time::Duration};
 
@@ -24,126 +24,128 @@
     }
 }
 
-/// Whether the truth, or an assertion inside of the program, sees something wrong.
-fn is_seen(rule: Rule, run_config: &RandomRunConfig) -> bool {
+/// Returns whether a run without the rule violates an invariant or fails an assertion of the crate.
+fn is_violation_detected(rule: Rule, run_config: &RandomRunConfig) -> bool {
     disable_rule(Some(rule));
     let report = panic::catch_unwind(|| random_run(run_config));
     disable_rule(None);
     report.map_or(true, |it| it.violation.is_some())
 }
 
-fn check(rule: Rule, seeds: u64) {
-    let first = (1..=seeds).find(|it| is_seen(rule, &run_config(*it)));
-    assert!(first.is_some(), "{rule:?} was broken in {seeds} runs, and nothing was seen");
+/// Asserts that a violation is detected in random runs with the first seeds.
+fn assert_detected(rule: Rule, seeds: u64) {
+    let first = (1..=seeds).find(|it| is_violation_detected(rule, &run_config(*it)));
+    assert!(first.is_some(), "no violation detected in {seeds} runs without {rule:?}");
 }
 
 #[test]
-fn no_wait_for_leases_is_seen() {
-    check(Rule::WaitForLeases, 10);
+fn granting_before_earlier_leases_end_is_detected() {
+    assert_detected(Rule::WaitForLeases, 10);
 }
 
 #[test]
-fn no_wait_for_a_coordinators_own_lease_is_seen() {
+fn granting_before_the_coordinators_own_lease_ends_is_detected() {
     let ordered = |seed| RandomRunConfig { ordered: true, ..run_config(seed) };
-    let seen = (1..=200).any(|it| is_seen(Rule::WaitForCoordinatorLease, &ordered(it)));
-    assert!(seen, "the rule was broken in 200 runs, and nothing was seen");
+    let detected =
+        (1..=200).any(|it| is_violation_detected(Rule::WaitForCoordinatorLease, &ordered(it)));
+    assert!(detected, "no violation detected in 200 runs without the rule");
 }
 
 #[test]
-fn an_earlier_life_taken_as_ended_before_its_upstream_is_cleared_is_seen() {
+fn ending_an_earlier_incarnation_before_its_upstream_is_cleared_is_detected() {
     let restarting =
         |seed| RandomRunConfig { ordered: true, agents_restart: true, ..run_config(seed) };
-    let seen = (1..=2000).any(|it| is_seen(Rule::ClearEarlierIncarnations, &restarting(it)));
-    assert!(seen, "the rule was broken in 2000 runs, and nothing was seen");
+    let detected =
+        (1..=2000).any(|it| is_violation_detected(Rule::ClearEarlierIncarnations, &restarting(it)));
+    assert!(detected, "no violation detected in 2000 runs without the rule");
 }
 
 #[test]
-fn no_wait_for_close_is_seen() {
-    check(Rule::WaitForClose, 10);
+fn granting_before_the_old_owner_has_closed_is_detected() {
+    assert_detected(Rule::WaitForClose, 10);
 }
 
-/// Breaks a rule in runs with upstreams at work: one has to be granted what another works on.
-fn check_at_work(rule: Rule, agents_restart: bool, runs: u64) {
-    let working = |seed| RandomRunConfig {
+/// Asserts that a slot is granted while a request of it is in flight, in random runs with requests at upstreams.
+fn assert_detected_with_requests(rule: Rule, agents_restart: bool, runs: u64) {
+    let with_requests = |seed| RandomRunConfig {
         ordered: true,
         agents_restart,
         simulates_requests: true,
         ..run_config(seed)
     };
     disable_rule(Some(rule));
-    let worked_on =
+    let is_granted_early =
         |it: &RunReport| matches!(it.violation, Some(Violation::RequestStillInFlight { .. }));
-    let is_seen = (1..=runs).any(|it| worked_on(&random_run(&working(it))));
+    let detected = (1..=runs).any(|it| is_granted_early(&random_run(&with_requests(it))));
     disable_rule(None);
-    assert!(is_seen, "{rule:?} was broken in {runs} runs, and nothing was seen");
+    assert!(detected, "no violation detected in {runs} runs without {rule:?}");
 }
 
 #[test]
-fn no_wait_for_running_work_is_seen() {
-    check_at_work(Rule::WaitForRequestsInFlight, false, 10);
+fn releasing_a_slot_with_requests_in_flight_is_detected() {
+    assert_detected_with_requests(Rule::WaitForRequestsInFlight, false, 10);
 }
 
 #[test]
-fn no_wait_for_runs_of_earlier_lives_is_seen() {
-    check_at_work(Rule::WaitForEarlierRequests, true, 400);
+fn granting_during_requests_of_earlier_incarnations_is_detected() {
+    assert_detected_with_requests(Rule::WaitForEarlierRequests, true, 400);
 }
 
 #[test]
-fn no_proof_after_a_lapse_is_seen() {
-    check(Rule::ProveTermAfterLapse, 1000);
+fn granting_after_a_lapse_without_a_new_confirmation_is_detected() {
+    assert_detected(Rule::ProveTermAfterLapse, 1000);
 }
 
 #[test]
-fn a_lease_counted_from_the_answer_is_seen() {
-    check(Rule::LeaseFromSendTime, 1000);
+fn a_lease_that_starts_at_the_reply_is_detected() {
+    assert_detected(Rule::LeaseFromSendTime, 1000);
 }
 
 #[test]
-fn an_earlier_term_followed_is_seen() {
-    check(Rule::RefuseEarlierTerms, 2000);
+fn following_a_lower_term_is_detected() {
+    assert_detected(Rule::RefuseEarlierTerms, 2000);
 }
 
 #[test]
-fn renewal_without_confirmation_is_seen() {
-    check(Rule::RenewOnlyWhileConfirmed, 100);
+fn renewing_without_a_confirmation_is_detected() {
+    assert_detected(Rule::RenewOnlyWhileConfirmed, 100);
 }
 
-/// Whether a trace, replayed with one of the seeds, shows that the rule is broken. The traces'
-/// own tests show that nothing is seen while it holds.
-fn check_trace(rule: Rule, trace: &str, mut seeds: RangeInclusive<u64>) {
-    let is_seen = |seed: &u64| {
+/// Asserts that a trace, replayed with one of the seeds, shows a violation without the rule, and none with it.
+fn assert_detected_by_trace(rule: Rule, trace: &str, mut seeds: RangeInclusive<u64>) {
+    let is_violation_detected = |seed: &u64| {
         disable_rule(Some(rule));
         let violation = panic::catch_unwind(|| replay(trace, Some(*seed)).sim.violation().cloned());
         disable_rule(None);
         violation.map_or(true, |it| it.is_some())
     };
     for seed in seeds.clone() {
-        assert_eq!(replay(trace, Some(seed)).sim.violation(), None, "seed {seed}, no rule broken");
+        assert_eq!(replay(trace, Some(seed)).sim.violation(), None, "seed {seed}, rule enforced");
     }
-    let seen = seeds.any(|it| is_seen(&it));
-    assert!(seen, "{rule:?} was broken with seeds {seeds:?}, and nothing was seen");
+    let detected = seeds.any(|it| is_violation_detected(&it));
+    assert!(detected, "no violation detected with seeds {seeds:?} without {rule:?}");
 }
 
 #[test]
-fn a_lost_answer_of_a_mode_taken_as_not_done_is_seen() {
+fn assuming_that_an_unanswered_update_failed_is_detected() {
     let trace = include_str!("../../traces/lost-answer-of-a-mode.trace");
-    check_trace(Rule::AssumeUnansweredUpdateApplied, trace, 1..=5);
+    assert_detected_by_trace(Rule::AssumeUnansweredUpdateApplied, trace, 1..=5);
 }
 
 #[test]
-fn settled_ignored_is_seen() {
+fn ignoring_terms_before_an_unsettled_one_is_detected() {
     let trace = include_str!("../../traces/release-of-an-unsettled-term.trace");
-    check_trace(Rule::AccountForUnsettledTerms, trace, 1..=5);
+    assert_detected_by_trace(Rule::AccountForUnsettledTerms, trace, 1..=5);
 }
 
 #[test]
-fn a_long_own_lease_is_seen() {
+fn switching_to_witnesses_with_a_long_coordinator_lease_is_detected() {
     let trace = include_str!("../../traces/witnesses-at-the-moment-of-a-loss.trace");
-    check_trace(Rule::CapCoordinatorLease, trace, 50..=100);
+    assert_detected_by_trace(Rule::CapCoordinatorLease, trace, 50..=100);
 }
 
 #[test]
-fn a_witness_that_has_forgotten_its_word_is_seen() {
+fn a_restarted_witness_that_has_not_read_the_object_is_detected() {
     let trace = include_str!("../../traces/witness-that-has-forgotten.trace");
-    check_trace(Rule::ReadObjectBeforeWitnessing, trace, 1..=20);
+    assert_detected_by_trace(Rule::ReadObjectBeforeWitnessing, trace, 1..=20);
 }
