--- a/crates/ownership/src/tests/random.rs
+++ b/crates/ownership/src/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random runs under faults. `OWNERSHIP_RUNS` sets the number of each part, `OWNERSHIP_SEED` the
-//! first seed. In CI they are the same each time.
+//! Random runs under faults. `OWNERSHIP_RUNS` sets the number of runs per part, and `OWNERSHIP_SEED` the first seed. In
+//! CI both have their defaults, so that the runs are the same each time.
 
 use std::time::Duration;
 
@@ -7,36 +7,39 @@
 
 use crate::sim::{RandomRunConfig, logged_run, random_run};
 
-/// Runs of each part. The parts run side by side.
+/// Number of runs per part. The parts are separate tests, which run in parallel.
 const RUNS: u64 = 600;
-/// Seeds that have shown a fault. 407938: a member came back in a new session and was granted the slot of
-/// a hot key that it had held in the old one; the key was not kept out, and went to another member too.
-/// 516725, 907334: a term counted as settled once all members had said what they held; of a session that
-/// lapsed after that, the earlier coordinator had given a hot key back to its slot. 12351053: a coordinator
-/// without a plan of its own wrote its first one over that of a later term.
-const FAULTS_SHOWN: [u64; 18] = [
+/// Seeds that failed earlier. 407938: a member rejoined with a new session and was granted the slot of a hot key that
+/// it had held in its previous session. The key was not excluded, so two members owned it. 516725, 907334: a term
+/// counted as settled once all members had reported their holdings, while the earlier coordinator had returned a hot
+/// key to its slot in a session that lapsed afterwards. 12351053: a coordinator without a plan overwrote the plan of a
+/// later term with its first one.
+const FAILED_SEEDS: [u64; 18] = [
     14, 82, 111, 254, 368, 2293, 4634, 4933, 7483, 7781, 9125, 10_406, 39_674, 47_822, 407_938,
     516_725, 907_334, 12_351_053,
 ];
-/// Seeds that have shown a fault with ordered slots. 100050: a coordinator saw its own session lapse
-/// before the lease that it had extended by itself.
-const ORDERED_FAULTS_SHOWN: [u64; 1] = [100_050];
-/// Seeds that have shown a fault with upstreams at work. 11700177: a slot that a member gave up to a term that had
-/// not settled counted as free, and the earlier term had seen the member's session lapse and granted it. 31300085:
-/// what an upstream was cleared of was granted to another while it went on with a run.
-const WORKING_FAULTS_SHOWN: [u64; 2] = [11_700_177, 31_300_085];
-/// Seeds that have shown a fault where the platform rolls back. 1330: a coordinator that took a term whose record was lost went on with
-/// what it held itself while the earlier one granted it anew. 2184: the same for a member. 2605, 2447: terms above the
-/// one in the object, or in the plan, kept everybody from taking it. 179: a plan that was never seen acknowledged.
-const ROLLBACK_FAULTS_SHOWN: [u64; 6] = [6, 179, 1330, 2184, 2447, 2605];
-const SHAPES_SEED: u64 = 2026;
-
-fn setting(name: &str) -> Option<u64> {
+/// Seeds that failed earlier with ordered slots. 100050: the session of a coordinator lapsed before the lease on its
+/// own slots, which it had extended itself.
+const ORDERED_FAILED_SEEDS: [u64; 1] = [100_050];
+/// Seeds that failed earlier with requests at upstreams. 11700177: a slot that a member released to an unsettled term
+/// counted as free, although the earlier term had granted it to another member after the first member's session had
+/// lapsed. 31300085: slots that an upstream was cleared of were granted to another member while a request of them was
+/// in flight.
+const REQUESTS_FAILED_SEEDS: [u64; 2] = [11_700_177, 31_300_085];
+/// Seeds that failed earlier with rollbacks of the platform. 1330: the coordinator of a term whose record was lost kept
+/// its own slots while the coordinator of the earlier term granted them again. 2184: the same for slots of a member.
+/// 2605, 2447: terms higher than the one in the coordinator object or in the plan prevented every node from acquiring
+/// the next term. 179: the update of a plan was never acknowledged.
+const ROLLBACK_FAILED_SEEDS: [u64; 6] = [6, 179, 1330, 2184, 2447, 2605];
+const QUICKCHECK_SEED: u64 = 2026;
+
+/// Returns the value of an environment variable that holds a number.
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-fn runs() -> u64 {
-    setting("OWNERSHIP_RUNS").unwrap_or(RUNS)
+fn runs_per_part() -> u64 {
+    env_number("OWNERSHIP_RUNS").unwrap_or(RUNS)
 }
 
 fn run_config(seed: u64) -> RandomRunConfig {
@@ -54,19 +57,22 @@
     }
 }
 
-fn check(run_config: &RandomRunConfig) {
+/// Asserts that a run ends without a violation and with an owner for all slots and keys; prints its last log lines if
+/// it does not.
+fn check_run(run_config: &RandomRunConfig) {
     let report = random_run(run_config);
     if report.violation.is_some() || report.unowned_slots > 0 || report.unowned_keys > 0 {
         let (_, log) = logged_run(run_config);
-        let tail = log.len().saturating_sub(400);
-        panic!("{run_config:?}\n{}\n{report:?}", log[tail..].join("\n"));
+        let first_line = log.len().saturating_sub(400);
+        panic!("{run_config:?}\n{}\n{report:?}", log[first_line..].join("\n"));
     }
 }
 
+/// Checks the runs of one part, whose seeds follow those of the part before.
 fn check_part(part: u64) {
-    let first = setting("OWNERSHIP_SEED").unwrap_or(1) + part * runs();
-    for seed in first..first + runs() {
-        check(&run_config(seed));
+    let first = env_number("OWNERSHIP_SEED").unwrap_or(1) + part * runs_per_part();
+    for seed in first..first + runs_per_part() {
+        check_run(&run_config(seed));
     }
 }
 
@@ -85,44 +91,45 @@
     check_part(2);
 }
 
-/// The same seeds as upstreams that enforce leases would have them.
+/// Same as [`seeds`] with ordered slots, longer leases and a full coordinator lease, as for upstreams that enforce
+/// leases.
 #[test]
 fn seeds_with_ordered_slots() {
-    let first = setting("OWNERSHIP_SEED").unwrap_or(1);
-    for seed in first..first + runs() {
-        check(&RandomRunConfig { ordered: true, ..run_config(seed) });
+    let first = env_number("OWNERSHIP_SEED").unwrap_or(1);
+    for seed in first..first + runs_per_part() {
+        check_run(&RandomRunConfig { ordered: true, ..run_config(seed) });
     }
 }
 
-/// The same, where most agents that are lost leave an upstream behind that goes on holding its keys.
+/// Same as [`seeds_with_ordered_slots`], but most crashed agents leave an upstream behind that keeps its grants.
 #[test]
 fn seeds_with_upstreams_that_outlive_their_agents() {
-    let first = setting("OWNERSHIP_SEED").unwrap_or(1);
-    for seed in first..first + runs() {
-        check(&RandomRunConfig { ordered: true, agents_restart: true, ..run_config(seed) });
+    let first = env_number("OWNERSHIP_SEED").unwrap_or(1);
+    for seed in first..first + runs_per_part() {
+        check_run(&RandomRunConfig { ordered: true, agents_restart: true, ..run_config(seed) });
     }
 }
 
-/// The same, where upstreams are at work: what they are to give up they go on with for a while, with or without
-/// their agents.
+/// Same as [`seeds_with_ordered_slots`], but upstreams have requests in flight, which may outlast the release of their
+/// slot and the agent.
 #[test]
-fn seeds_with_upstreams_at_work() {
-    let first = setting("OWNERSHIP_SEED").unwrap_or(1);
-    for seed in first..first + runs() {
-        check(&working(seed));
+fn seeds_with_requests_at_upstreams() {
+    let first = env_number("OWNERSHIP_SEED").unwrap_or(1);
+    for seed in first..first + runs_per_part() {
+        check_run(&config_with_requests(seed));
     }
 }
 
-/// The same, where the platform comes back from older copies: it has lost what was written since.
+/// Same as [`seeds`], but the platform is rolled back at times, which loses its later updates.
 #[test]
 fn seeds_with_a_platform_that_rolls_back() {
-    let first = setting("OWNERSHIP_SEED").unwrap_or(1);
-    for seed in first..first + runs() {
-        check(&rolling_back(seed));
+    let first = env_number("OWNERSHIP_SEED").unwrap_or(1);
+    for seed in first..first + runs_per_part() {
+        check_run(&config_with_rollbacks(seed));
     }
 }
 
-fn rolling_back(seed: u64) -> RandomRunConfig {
+fn config_with_rollbacks(seed: u64) -> RandomRunConfig {
     let ordered = seed.is_multiple_of(2);
     RandomRunConfig {
         ordered,
@@ -133,7 +140,7 @@
     }
 }
 
-fn working(seed: u64) -> RandomRunConfig {
+fn config_with_requests(seed: u64) -> RandomRunConfig {
     RandomRunConfig {
         ordered: true,
         agents_restart: seed.is_multiple_of(2),
@@ -143,18 +150,18 @@
 }
 
 #[test]
-fn seeds_that_have_shown_a_fault() {
-    for seed in FAULTS_SHOWN {
-        check(&run_config(seed));
+fn seeds_that_failed_earlier() {
+    for seed in FAILED_SEEDS {
+        check_run(&run_config(seed));
     }
-    for seed in ORDERED_FAULTS_SHOWN {
-        check(&RandomRunConfig { ordered: true, ..run_config(seed) });
+    for seed in ORDERED_FAILED_SEEDS {
+        check_run(&RandomRunConfig { ordered: true, ..run_config(seed) });
     }
-    for seed in WORKING_FAULTS_SHOWN {
-        check(&working(seed));
+    for seed in REQUESTS_FAILED_SEEDS {
+        check_run(&config_with_requests(seed));
     }
-    for seed in ROLLBACK_FAULTS_SHOWN {
-        check(&rolling_back(seed));
+    for seed in ROLLBACK_FAILED_SEEDS {
+        check_run(&config_with_rollbacks(seed));
     }
 }
 
@@ -174,7 +181,7 @@
         }
     }
 
-    /// Fewer things first, with the same seed.
+    /// Shortens the run or reduces its tracked keys, with the same seed.
     fn shrink(&self) -> Box<dyn Iterator<Item = RandomRunConfig>> {
         let run_config = self.clone();
         let shorter = (run_config.duration > Duration::from_secs(5)).then(|| RandomRunConfig {
@@ -191,10 +198,13 @@
 
 #[test]
 fn random_run_configs() {
-    fn is_sound(run_config: RandomRunConfig) -> bool {
+    fn recovers_without_violation(run_config: RandomRunConfig) -> bool {
         let report = random_run(&run_config);
         report.violation.is_none() && report.unowned_slots == 0 && report.unowned_keys == 0
     }
-    let gen_ = Gen::from_size_and_seed(100, SHAPES_SEED);
-    QuickCheck::new().rng(gen_).tests(runs()).quickcheck(is_sound as fn(RandomRunConfig) -> bool);
+    let gen_ = Gen::from_size_and_seed(100, QUICKCHECK_SEED);
+    QuickCheck::new()
+        .rng(gen_)
+        .tests(runs_per_part())
+        .quickcheck(recovers_without_violation as fn(RandomRunConfig) -> bool);
 }
