--- a/crates/ownership/src/tests/trace.rs
+++ b/crates/ownership/src/tests/trace.rs
@@ -1,9 +1,10 @@
-//! Recorded traces in plain text, replayed with their stated outcomes.
+//! Replays of traces from text files, with their expected outcomes.
 //!
-//! A line is `TIME COMMAND ARGUMENTS...`, with the time in milliseconds after the line before.
-//! `name X ROLE` names a host: a number, `coordinator`, or `member N` (the Nth that does not
-//! coordinate). `watch` starts the measurement of unserved time, and `until CONDITION MAX` waits.
-//! The rest of a line after `#` is a comment.
+//! A line is `TIME COMMAND ARGUMENTS...`, with the time in milliseconds since the previous line. `name X ROLE` names a
+//! host by its current role: `coordinator`, or `member N` (the Nth host, from 0, other than the coordinator). Other
+//! commands take a host by its name or its index. `watch` starts measuring the time for which slots have no owner,
+//! `until CONDITION MAX` waits for a condition for up to MAX milliseconds, and `expect` checks an outcome. Lines before
+//! the first command set the configuration. The rest of a line after `#` is a comment.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,24 +15,29 @@
     sim::{Fault, Sim, SimConfig},
 };
 
-/// What a replay came to.
+/// Result of a replay.
 pub(super) struct Replay {
     pub(super) sim: Sim,
+    /// Longest time without an owner over all slots while `watch` was in effect.
     pub(super) longest_ms: u64,
-    /// Outcomes that did not come about.
+    /// Expected outcomes that did not occur.
     pub(super) unmet: Vec<String>,
 }
 
-struct Player {
+/// Executor of the commands of a trace.
+struct TracePlayer {
     sim: Sim,
     zones: usize,
+    /// Hosts by the names given in the trace.
     names: BTreeMap<String, usize>,
-    watching: bool,
+    is_measuring: bool,
+    /// Longest time without an owner of each slot.
     longest: Vec<Duration>,
+    /// Expected outcomes that did not occur.
     unmet: Vec<String>,
 }
 
-/// Replays a trace; `seed` takes the place of the trace's own.
+/// Replays a trace, with `seed` instead of the trace's own seed if given.
 pub(super) fn replay(text: &str, seed: Option<u64>) -> Replay {
     let mut config = SimConfig { limits: Limits::default(), ..SimConfig::new(1) };
     let mut player = None;
@@ -51,38 +57,39 @@
             [time, command, ..] => {
                 let player = player.get_or_insert_with(|| {
                     let seed = seed.unwrap_or(config.seed);
-                    Player::new(SimConfig { seed, ..config.clone() })
+                    TracePlayer::new(SimConfig { seed, ..config.clone() })
                 });
-                player.pass(Duration::from_millis(number(time)));
-                player.command(command, &words[2..]);
+                player.advance(Duration::from_millis(number(time)));
+                player.run_command(command, &words[2..]);
             }
-            _ => panic!("not a line of a trace: {line}"),
+            _ => panic!("invalid line in trace, expected TIME COMMAND: {line}"),
         }
     }
-    let player = player.expect("a trace has commands");
+    let player = player.expect("a trace contains at least one command");
     let longest = player.longest.iter().max().copied().unwrap_or_default();
     let longest_ms = longest.as_millis() as u64;
     Replay { sim: player.sim, longest_ms, unmet: player.unmet }
 }
 
 fn number(word: &str) -> u64 {
-    word.parse().unwrap_or_else(|_| panic!("not a number: {word}"))
+    word.parse().unwrap_or_else(|_| panic!("expected a number in trace, got {word}"))
 }
 
-impl Player {
-    fn new(config: SimConfig) -> Player {
-        Player {
+impl TracePlayer {
+    fn new(config: SimConfig) -> TracePlayer {
+        TracePlayer {
             zones: config.zones,
             sim: Sim::new(config),
             names: BTreeMap::new(),
-            watching: false,
+            is_measuring: false,
             longest: Vec::new(),
             unmet: Vec::new(),
         }
     }
 
-    fn pass(&mut self, duration: Duration) {
-        if !self.watching {
+    /// Advances virtual time, and measures the time without an owner if `watch` is in effect.
+    fn advance(&mut self, duration: Duration) {
+        if !self.is_measuring {
             return self.sim.run_for(duration);
         }
         let gaps = self.sim.longest_gaps(duration);
@@ -92,6 +99,7 @@
         }
     }
 
+    /// Returns a host by its name in the trace or its index.
     fn host(&self, word: &str) -> usize {
         match self.names.get(word) {
             Some(it) => *it,
@@ -99,7 +107,7 @@
         }
     }
 
-    fn command(&mut self, command: &str, words: &[&str]) {
+    fn run_command(&mut self, command: &str, words: &[&str]) {
         let hosts = || words.iter().map(|it| self.host(it)).collect::<Vec<_>>();
         let fault = match (command, words) {
             ("name", [name, role @ ..]) => {
@@ -108,7 +116,7 @@
                 return;
             }
             ("log", []) => return self.sim.enable_log(),
-            ("watch", []) => return self.watching = true,
+            ("watch", []) => return self.is_measuring = true,
             ("until", [condition, max_ms]) => return self.until(condition, number(max_ms)),
             ("expect", words) => return self.expect(words),
             ("crash_zone_of", [host]) => return self.crash_zone_of(self.host(host)),
@@ -153,7 +161,7 @@
             ("key_load", [key, us]) => {
                 Fault::KeyLoad { key: number(key) as usize, us_per_s: number(us) }
             }
-            _ => panic!("not a command: {command} {words:?}"),
+            _ => panic!("unknown command or wrong arguments in trace: {command} {words:?}"),
         };
         self.sim.apply(fault);
     }
@@ -165,18 +173,23 @@
         }
     }
 
+    /// Returns the host that has a role now.
     fn role(&self, role: &[&str]) -> usize {
-        let coordinator = self.sim.coordinator().expect("there is a coordinator");
+        let coordinator = self.sim.coordinator().expect("a host is coordinator");
         match role {
             ["coordinator"] => coordinator,
             ["member", nth] => {
                 let others = (0..self.sim.host_count()).filter(|it| *it != coordinator);
-                others.into_iter().nth(number(nth) as usize).expect("there are so many members")
+                others
+                    .into_iter()
+                    .nth(number(nth) as usize)
+                    .expect("the group has a member with this number")
             }
-            _ => panic!("not a role: {role:?}"),
+            _ => panic!("expected coordinator or member N in trace, got {role:?}"),
         }
     }
 
+    /// Returns whether a condition holds now.
     fn holds(sim: &Sim, condition: &str) -> bool {
         let confirmation = sim.coordinator_object().map(|it| it.confirmation);
         match condition {
@@ -185,17 +198,19 @@
             "by_witnesses" => confirmation == Some(Confirmation::Witnesses),
             "by_platform" => confirmation == Some(Confirmation::Platform),
             "key_entry" => sim.key_entries() > 0,
-            _ => panic!("not a condition: {condition}"),
+            _ => panic!("unknown condition in trace: {condition}"),
         }
     }
 
+    /// Waits until a condition holds, and records it as unmet if it does not in time.
     fn until(&mut self, condition: &str, max_ms: u64) {
         let max = Duration::from_millis(max_ms);
-        if !self.sim.run_until(max, |it| Player::holds(it, condition)) {
-            self.unmet.push(format!("{condition} within {max_ms} ms"));
+        if !self.sim.run_until(max, |it| TracePlayer::holds(it, condition)) {
+            self.unmet.push(format!("{condition} did not hold within {max_ms} ms"));
         }
     }
 
+    /// Checks an expected outcome, and records it if it is unmet.
     fn expect(&mut self, words: &[&str]) {
         let longest = self.longest.iter().max().copied().unwrap_or_default().as_millis() as u64;
         let met = match words {
@@ -209,22 +224,25 @@
             ["event", word, min] => {
                 self.sim.events().get(*word).copied().unwrap_or(0) >= number(min)
             }
-            [condition] => Player::holds(&self.sim, condition),
-            _ => panic!("not an outcome: {words:?}"),
+            [condition] => TracePlayer::holds(&self.sim, condition),
+            _ => panic!("unknown outcome in trace: {words:?}"),
         };
         if !met {
-            self.unmet.push(format!("expect {} (unserved {longest} ms)", words.join(" ")));
+            self.unmet.push(format!(
+                "expect {} (longest time without an owner: {longest} ms)",
+                words.join(" ")
+            ));
         }
     }
 }
 
-fn check(text: &str) {
+fn check_trace(text: &str) {
     let replay = replay(text, None);
     assert_eq!(replay.sim.violation(), None);
     let log = replay.sim.log().join("\n");
     assert!(
         replay.unmet.is_empty(),
-        "{:?} (longest {} ms)\n{log}",
+        "unmet: {:?}, longest time without an owner: {} ms\n{log}",
         replay.unmet,
         replay.longest_ms
     );
@@ -234,7 +252,7 @@
     ($($name:ident: $file:literal;)*) => {$(
         #[test]
         fn $name() {
-            check(include_str!(concat!("../../traces/", $file, ".trace")));
+            check_trace(include_str!(concat!("../../traces/", $file, ".trace")));
         }
     )*};
 }
