--- a/crates/ownership/src/tests/large_groups.rs
+++ b/crates/ownership/src/tests/large_groups.rs
@@ -1,4 +1,4 @@
-//! Groups of many members on small machines: steps take time, and links have a width.
+//! Large groups on small machines, with limited processor time and link bandwidth.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -10,9 +10,9 @@
 };
 
 const SLOTS: u16 = 2_048;
-/// How soon the first grants of a group that starts together are to come.
+/// Time within which all slots must have an owner when a whole group starts.
 const FIRST_GRANTS_MAX: Duration = Duration::from_secs(3);
-/// How soon all is to be served again after a loss, besides the lease of who was lost.
+/// Time within which all slots must have an owner after a loss, in addition to the lease of the lost hosts.
 const RECOVERY_MAX: Duration = Duration::from_secs(2);
 const LEASE: Duration = Duration::from_millis(3_500);
 
@@ -42,72 +42,83 @@
     }
 }
 
-fn terms(sim: &Sim) -> u64 {
+/// Returns how often a host became coordinator.
+fn terms_started(sim: &Sim) -> u64 {
     sim.events().get("BecameCoordinator").copied().unwrap_or(0)
 }
 
-fn started(hosts: usize, seed: u64) -> Sim {
+fn start_group(hosts: usize, seed: u64) -> Sim {
     let mut sim = Sim::new(config(hosts, seed));
     sim.start_all();
     let served = sim.run_until(FIRST_GRANTS_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{hosts}: {} slots unowned, {:?}", sim.unowned_slots(), sim.events());
+    assert!(
+        served,
+        "{hosts} hosts: {} slots without an owner, {:?}",
+        sim.unowned_slots(),
+        sim.events()
+    );
     assert_eq!(sim.violation(), None);
     sim
 }
 
-/// One term lasts as long as nothing happens, and no step keeps its host from renewing in time.
-fn stays_up(hosts: usize) {
-    let mut sim = started(hosts, 1);
+/// Asserts that without faults the first term continues, no session ends, and every step is shorter than `pause_max`,
+/// so that renewals are in time.
+fn assert_stays_up(hosts: usize) {
+    let mut sim = start_group(hosts, 1);
     sim.run_for(Duration::from_secs(12));
-    let slots: BTreeSet<_> = sim.slot_owners().into_iter().collect();
+    let owners: BTreeSet<_> = sim.slot_owners().into_iter().collect();
     assert_eq!(sim.violation(), None);
-    assert_eq!(terms(&sim), 1, "{:?}", sim.events());
-    assert_eq!(slots.len(), hosts, "members that own slots");
+    assert_eq!(terms_started(&sim), 1, "{:?}", sim.events());
+    assert_eq!(owners.len(), hosts, "number of members that own slots");
     assert!(!sim.events().contains_key("SessionEnded"), "{:?}", sim.events());
     let pause_max = config(hosts, 1).limits.pause_max;
-    assert!(sim.longest_step < pause_max, "a step took {:?}", sim.longest_step);
+    assert!(
+        sim.longest_step < pause_max,
+        "a step took {:?}, longer than the limit of {pause_max:?}",
+        sim.longest_step
+    );
 }
 
 #[test]
-fn a_group_of_30_stays_up() {
-    stays_up(30);
+fn a_group_of_30_keeps_its_coordinator() {
+    assert_stays_up(30);
 }
 
 #[test]
-fn a_group_of_112_stays_up() {
-    stays_up(112);
+fn a_group_of_112_keeps_its_coordinator() {
+    assert_stays_up(112);
 }
 
 #[test]
-fn a_group_of_112_replaces_its_coordinator_once() {
-    let mut sim = started(112, 2);
+fn a_group_of_112_replaces_a_lost_coordinator_with_one_term() {
+    let mut sim = start_group(112, 2);
     sim.run_for(Duration::from_secs(6));
-    let before = terms(&sim);
+    let terms_before = terms_started(&sim);
     let lost = sim.coordinator().unwrap();
     sim.apply(Fault::Crash(lost));
     let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} slots without an owner, {:?}", sim.unowned_slots(), sim.events());
     sim.run_for(Duration::from_secs(6));
     assert_eq!(sim.violation(), None);
-    assert_eq!(terms(&sim), before + 1, "{:?}", sim.events());
+    assert_eq!(terms_started(&sim), terms_before + 1, "{:?}", sim.events());
 }
 
 #[test]
-fn a_group_of_112_comes_back_after_all_agents_were_lost() {
-    let mut sim = started(112, 3);
+fn a_group_of_112_recovers_after_all_agents_crashed() {
+    let mut sim = start_group(112, 3);
     sim.run_for(Duration::from_secs(6));
     for host in 0..sim.host_count() {
         sim.apply(Fault::CrashAgent(host));
     }
     sim.start_all();
     let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} slots without an owner, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
 }
 
 #[test]
-fn half_of_a_group_of_112_is_replaced() {
-    let mut sim = started(112, 4);
+fn a_group_of_112_recovers_after_half_of_its_hosts_crashed() {
+    let mut sim = start_group(112, 4);
     sim.run_for(Duration::from_secs(6));
     for host in (0..sim.host_count()).step_by(2) {
         sim.apply(Fault::Crash(host));
@@ -115,6 +126,6 @@
     sim.run_for(Duration::from_millis(500));
     sim.start_all();
     let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots, {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} slots without an owner, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
 }
