--- a/crates/ownership/src/tests/upstream_clearing.rs
+++ b/crates/ownership/src/tests/upstream_clearing.rs
@@ -1,4 +1,4 @@
-//! Upstreams are cleared of what earlier sessions were granted: whose word for that counts.
+//! Clearing of upstreams after a session or incarnation has ended: which reports of a clear are sent and accepted.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,9 +15,10 @@
 
 const TICK: Duration = Duration::from_millis(20);
 const LEASE: Duration = Duration::from_secs(10);
-/// Enough for a term, its first plan and the first grants, and less than the lease.
-const FIRST_GRANTS: Duration = Duration::from_secs(4);
-const ONE_MORE_PLAN: Duration = Duration::from_millis(500);
+/// Time for a term, its first plan and the first grants; shorter than the lease.
+const FIRST_GRANTS_PERIOD: Duration = Duration::from_secs(4);
+/// Time for another plan and its grants.
+const PLAN_PERIOD: Duration = Duration::from_millis(500);
 
 fn instance(name: &str, port: u16) -> Instance {
     Instance {
@@ -29,24 +30,27 @@
     }
 }
 
-fn leader() -> Instance {
-    instance("leader", 10)
+fn coordinator() -> Instance {
+    instance("coordinator", 10)
 }
 
-fn later_leader() -> Instance {
-    instance("later-leader", 20)
+fn later_coordinator() -> Instance {
+    instance("later-coordinator", 20)
 }
 
 fn member() -> Instance {
     instance("member", 30)
 }
 
-/// One node, and as much of a platform as one coordinator sees.
+/// Node with a fake of the platform, on which every update succeeds at once.
 struct Harness {
     node: Node,
     now: Timestamp,
+    /// Coordinator object of the platform.
     stored: Option<(ObjectVersion, Coordinator)>,
+    /// Version of the last update.
     version: u64,
+    /// Outputs of all steps, except for platform calls.
     outputs: Vec<Output>,
 }
 
@@ -70,7 +74,8 @@
         Harness { node: Node::new(config, now), now, stored, version, outputs }
     }
 
-    fn give(&mut self, input: Input) {
+    /// Passes an input to the node, and the replies to all platform calls that follow.
+    fn pass_input(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let mut out = Vec::new();
@@ -107,28 +112,28 @@
         }
     }
 
-    fn hear(&mut self, from: Instance, message: Message) {
-        self.give(Input::Message { from, message });
+    fn receive(&mut self, from: Instance, message: Message) {
+        self.pass_input(Input::Message { from, message });
     }
 
-    fn pass(&mut self, duration: Duration) {
+    fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
             self.now = self.now + TICK;
-            self.give(Input::Tick);
+            self.pass_input(Input::Tick);
         }
     }
 
-    /// The commands in the last answer to a session of the member.
-    fn told(&self, session: SessionId) -> Vec<Command> {
-        let answer = self.outputs.iter().rev().find_map(|it| match it {
+    /// Returns the commands in the last reply to a renewal in the session.
+    fn commands_for(&self, session: SessionId) -> Vec<Command> {
+        let reply = self.outputs.iter().rev().find_map(|it| match it {
             Output::Send { message: Message::Renewed(it), .. } if it.session == session => Some(it),
             _ => None,
         });
-        answer.map(|it| it.commands.clone()).unwrap_or_default()
+        reply.map(|it| it.commands.clone()).unwrap_or_default()
     }
 
-    /// The newest renewal that was sent.
+    /// Returns the latest renewal that was sent.
     fn renewal(&self) -> &Renew {
         let sent = self.outputs.iter().rev().find_map(|it| match it {
             Output::Send { message: Message::Renew(it), .. } => Some(it),
@@ -138,6 +143,7 @@
     }
 }
 
+/// Returns the token of the clear among the commands.
 fn clear_token(commands: &[Command]) -> Option<Token> {
     commands.iter().find_map(|it| match it {
         Command::Clear { token } => Some(*token),
@@ -168,43 +174,43 @@
 }
 
 #[test]
-fn an_answer_to_the_clear_of_an_earlier_session_ends_no_lease() {
-    let mut leader = Harness::new(leader());
-    leader.pass(ONE_MORE_PLAN);
-    let term = leader.node.view().term;
-    leader.hear(member(), renew(term, 1, 1, Vec::new()));
-    leader.pass(FIRST_GRANTS);
-    let first = leader.told(SessionId(1));
+fn a_cleared_report_for_an_earlier_session_does_not_end_a_lease() {
+    let mut coordinator = Harness::new(coordinator());
+    coordinator.advance(PLAN_PERIOD);
+    let term = coordinator.node.view().term;
+    coordinator.receive(member(), renew(term, 1, 1, Vec::new()));
+    coordinator.advance(FIRST_GRANTS_PERIOD);
+    let first = coordinator.commands_for(SessionId(1));
     assert!(is_granted(&first), "{first:?}");
     let earlier = Report::Cleared { token: clear_token(&first).unwrap() };
 
-    leader.hear(member(), renew(term, 2, 2, vec![earlier]));
-    leader.pass(ONE_MORE_PLAN);
-    let second = leader.told(SessionId(2));
-    assert!(!is_granted(&second), "granted while the lease of session 1 lives: {second:?}");
+    coordinator.receive(member(), renew(term, 2, 2, vec![earlier]));
+    coordinator.advance(PLAN_PERIOD);
+    let second = coordinator.commands_for(SessionId(2));
+    assert!(!is_granted(&second), "granted during the lease of session 1: {second:?}");
 
-    let asked = Report::Cleared { token: clear_token(&second).unwrap() };
-    leader.hear(member(), renew(term, 2, 3, vec![earlier, asked]));
-    leader.pass(ONE_MORE_PLAN);
-    let second = leader.told(SessionId(2));
+    let current = Report::Cleared { token: clear_token(&second).unwrap() };
+    coordinator.receive(member(), renew(term, 2, 3, vec![earlier, current]));
+    coordinator.advance(PLAN_PERIOD);
+    let second = coordinator.commands_for(SessionId(2));
     assert!(is_granted(&second), "{second:?}");
 }
 
-/// A member that has been asked to clear its upstream in term 1, and the token of that.
-fn asked_to_clear() -> (Harness, Token) {
+/// Returns a member that has received the command to clear its upstream in term 1, and the token of the command.
+fn member_with_pending_clear() -> (Harness, Token) {
     let token = Token { term: Term(1), sequence: 1 };
-    let member = told(vec![Command::Clear { token }]);
-    let is_asked = |it: &Output| matches!(it, Output::Gate(GateCommand::Clear { .. }));
-    assert!(member.outputs.iter().any(is_asked));
+    let member = member_that_received(vec![Command::Clear { token }]);
+    let is_clear = |it: &Output| matches!(it, Output::Gate(GateCommand::Clear { .. }));
+    assert!(member.outputs.iter().any(is_clear));
     (member, token)
 }
 
-/// A member whose first renewal in term 1 is answered by commands.
-fn told(commands: Vec<Command>) -> Harness {
+/// Returns a member that received the commands in the reply to its first renewal in term 1.
+fn member_that_received(commands: Vec<Command>) -> Harness {
     let mut member = Harness::new(member());
-    member.hear(leader(), Message::Announce { term: Term(1) });
+    member.receive(coordinator(), Message::Announce { term: Term(1) });
     let renewal = member.renewal();
-    let answer = Renewed {
+    let reply = Renewed {
         term: Term(1),
         session: renewal.session,
         sequence: renewal.sequence,
@@ -216,45 +222,48 @@
         config: ConfigVersion(1),
         can_stop: false,
     };
-    member.hear(leader(), Message::Renewed(Box::new(answer)));
+    member.receive(coordinator(), Message::Renewed(Box::new(reply)));
     member
 }
 
 #[test]
-fn a_member_passes_on_what_it_was_asked_to_clear() {
-    let (mut member, token) = asked_to_clear();
-    member.give(Input::Cleared { token });
+fn a_member_reports_a_completed_clear() {
+    let (mut member, token) = member_with_pending_clear();
+    member.pass_input(Input::Cleared { token });
     assert_eq!(member.renewal().reports, [Report::Cleared { token }]);
 }
 
 #[test]
-fn a_member_does_not_pass_on_a_clear_of_its_session_before() {
-    let (mut member, token) = asked_to_clear();
-    member.give(Input::DropSession { reason: "test" });
-    member.give(Input::Cleared { token });
+fn a_member_does_not_report_a_clear_of_its_previous_session() {
+    let (mut member, token) = member_with_pending_clear();
+    member.pass_input(Input::DropSession { reason: "test" });
+    member.pass_input(Input::Cleared { token });
     assert_eq!(member.renewal().reports, []);
 }
 
 #[test]
-fn a_member_does_not_pass_on_a_clear_of_the_term_before() {
-    let (mut member, token) = asked_to_clear();
-    member.hear(later_leader(), Message::Announce { term: Term(2) });
-    member.give(Input::Cleared { token });
+fn a_member_does_not_report_a_clear_of_the_previous_term() {
+    let (mut member, token) = member_with_pending_clear();
+    member.receive(later_coordinator(), Message::Announce { term: Term(2) });
+    member.pass_input(Input::Cleared { token });
     assert_eq!(member.renewal().term, Term(2));
     assert_eq!(member.renewal().reports, []);
 }
 
-/// The gate waits for work of its upstream until the grant has run out.
+/// The gate may wait for the requests in flight of a closing slot until the grant ends, which must not end the session.
 #[test]
-fn a_session_does_not_end_because_a_slot_is_worked_on_for_as_long_as_it_was_granted() {
+fn a_session_continues_while_requests_of_a_closing_slot_are_in_flight() {
     let (slot, token) = (Slot(0), Token { term: Term(1), sequence: 1 });
     let commands = vec![Command::Admit { slot, token }, Command::Close { slot, token, to: None }];
-    let mut member = told(commands);
+    let mut member = member_that_received(commands);
     let end = member.now + LEASE / 2;
     while member.now < end {
-        member.pass(10 * TICK);
-        member.hear(leader(), Message::Announce { term: Term(1) });
+        member.advance(10 * TICK);
+        member.receive(coordinator(), Message::Announce { term: Term(1) });
     }
-    let ends = |it: &Output| matches!(it, Output::Gate(GateCommand::DropAll));
-    assert!(!member.outputs.iter().any(ends), "the session has ended");
+    let is_session_end = |it: &Output| matches!(it, Output::Gate(GateCommand::DropAll));
+    assert!(
+        !member.outputs.iter().any(is_session_end),
+        "the session ended while a slot was closing"
+    );
 }
