--- a/crates/ownership/src/tests/loads.rs
+++ b/crates/ownership/src/tests/loads.rs
@@ -1,18 +1,18 @@
-//! Loads as they are reported.
+//! Load reports.
 
 use model::{KeyHash, Slot, SlotCount};
 
 use crate::{KeyLoad, LoadReport, SlotLoad};
 
-/// The first key of a slot of 1,024.
+/// Returns the lowest key of one of 1,024 slots.
 fn key_of(slot: u16) -> KeyHash {
     KeyHash(u64::from(slot) << 54)
 }
 
-/// A stretch of 16 busy neighbours, four keys to a slot, beside one slot of light keys. The report
-/// takes the busy keys out of their slots; together they are two thirds of the load.
+/// 16 hot keys in four adjacent slots have two thirds of the load, and another slot has many light keys. The report
+/// lists the hot keys apart from their slots; attributing them to their slots must add their load there.
 #[test]
-fn busy_neighbours_show_in_the_loads_of_their_slots() {
+fn keys_of_a_hot_range_count_towards_their_slots() {
     let slot_count = SlotCount::new(1_024).unwrap();
     let keys = (0..16).map(|it| {
         let KeyHash(first) = key_of(500 + it / 4);
@@ -29,8 +29,8 @@
     };
     let by_slot = report.attribute_keys_to_slots(slot_count);
     let load = |slot: u16| {
-        let found = by_slot.slots.iter().find(|it| it.slot == Slot(slot));
-        found.map_or(0, |it| it.load_us)
+        let slot_load = by_slot.slots.iter().find(|it| it.slot == Slot(slot));
+        slot_load.map_or(0, |it| it.load_us)
     };
     assert_eq!([7, 500, 501, 502, 503].map(load), [190_000, 110_000, 100_000, 100_000, 100_000]);
     assert!(by_slot.keys.is_empty());
--- a/crates/ownership/src/tests/routes.rs
+++ b/crates/ownership/src/tests/routes.rs
@@ -1,4 +1,4 @@
-//! What a member makes of the routes that it is told.
+//! Updates of a member's route table.
 
 use model::{
     ConfigVersion, Incarnation, Instance, InstanceName, KeyHash, Slot, SlotCount, Term, Token, Zone,
@@ -31,7 +31,7 @@
     RouteMember { number, instance: instance(name), status: status(UpstreamState::Ready) }
 }
 
-fn run(first: u16, last: u16, owner: MemberNumber) -> RouteRange {
+fn range(first: u16, last: u16, owner: MemberNumber) -> RouteRange {
     RouteRange {
         first: Slot(first),
         last: Slot(last),
@@ -41,16 +41,16 @@
     }
 }
 
-/// Two members, with a slot each.
+/// Returns a table with two members that own one slot each.
 fn table() -> RouteTable {
     let mut table = RouteTable::default();
-    let whole = Routes {
+    let complete = Routes {
         version: first_route_version(TERM) + 1,
         joined: vec![joined(FIRST, "a"), joined(SECOND, "b")],
-        slots: vec![run(0, 0, FIRST), run(1, 1, SECOND)],
+        slots: vec![range(0, 0, FIRST), range(1, 1, SECOND)],
         ..Routes::default()
     };
-    table.apply(TERM, &whole);
+    table.apply(TERM, &complete);
     table
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_number_that_has_become_free_names_a_later_member() {
+fn a_released_number_can_be_reused_by_a_later_member() {
     let mut table = table();
     let version = table.version;
     let changes = Routes {
@@ -73,7 +73,7 @@
         version: version + 2,
         removed: vec![SECOND],
         joined: vec![joined(SECOND, "c")],
-        slots: vec![run(1, 1, SECOND)],
+        slots: vec![range(1, 1, SECOND)],
         ..Routes::default()
     };
     table.apply(TERM, &changes);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_change_keeps_who_a_member_is() {
+fn a_status_change_keeps_the_instance_of_a_member() {
     let mut table = table();
     let version = table.version;
     let change = RouteMemberChange { number: FIRST, status: status(UpstreamState::Draining) };
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn changes_with_some_missing_before_them_are_not_taken_in() {
+fn an_update_is_ignored_if_an_earlier_one_is_missing() {
     let mut table = table();
     let version = table.version;
     let changes = Routes {
@@ -109,15 +109,15 @@
 }
 
 #[test]
-fn the_whole_table_of_a_later_term_forgets_the_members_of_the_one_before() {
+fn the_complete_table_of_a_later_term_replaces_all_members() {
     let mut table = table();
-    let whole = Routes {
+    let complete = Routes {
         version: first_route_version(Term(4)) + 1,
         joined: vec![joined(FIRST, "d")],
-        slots: vec![run(0, 1, FIRST)],
+        slots: vec![range(0, 1, FIRST)],
         ..Routes::default()
     };
-    table.apply(Term(4), &whole);
+    table.apply(Term(4), &complete);
     assert_eq!(names(&table), ["d"]);
     assert_eq!(owners(&table), ["d", "d"]);
 }
