--- a/crates/ownership/src/sim/platform.rs
+++ b/crates/ownership/src/sim/platform.rs
@@ -2,7 +2,7 @@
 //!
 //! The store may be rolled back (restored from an older snapshot): later updates are lost, and their revisions are
 //! reassigned in the next era. A client that has not detected the rollback yet sends expected versions of an earlier
-//! era. Their replies are the ones that a real client gets from `object_store::Eras`.
+//! era. Their replies are the ones that a real client gets from `object_store::EraTracker`.
 
 use std::collections::VecDeque;
 
