--- a/crates/ownership/src/sim/drive.rs
+++ b/crates/ownership/src/sim/drive.rs
@@ -16,6 +16,7 @@
 const TICKS_PER_LOAD_REPORT: u64 = 12;
 
 impl Sim {
+    /// Processes an event, unless it is for an earlier generation of its host.
     pub(super) fn process_event(&mut self, scheduled: ScheduledEvent) {
         match scheduled {
             ScheduledEvent::Tick { host, generation } => self.tick(host, generation),
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Passes a tick to the node of a host, sometimes after a load report, and schedules the next tick.
     fn tick(&mut self, host: usize, generation: u64) {
         if self.hosts[host].generation != generation || !self.hosts[host].is_up() {
             return;
@@ -115,7 +117,7 @@
             Input::KeyClosed { key_hash, token } => {
                 self.hosts[host].gate.finish_key_close(*key_hash, *token);
             }
-            Input::Cleared { token } => self.hosts[host].clear(*token),
+            Input::Cleared { token } => self.hosts[host].clear_orphaned_grants(*token),
             _ => {}
         }
         self.pass_input(host, input);
--- a/crates/ownership/src/sim/fault.rs
+++ b/crates/ownership/src/sim/fault.rs
@@ -21,12 +21,12 @@
     /// Pauses the agent of a host at once: it gets no processor time.
     Pause {
         host: usize,
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Pauses the agent of a host in its next step with outputs, before they are carried out.
     PauseInStep {
         host: usize,
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Starts a graceful stop of a host.
     Stop(usize),
@@ -53,7 +53,7 @@
     PlatformUp,
     /// Restores the platform from a snapshot of this age, so that later updates are lost, and makes it available again.
     PlatformRollsBack {
-        behind_ms: u64,
+        snapshot_age_ms: u64,
     },
     /// Sets the shares of messages that are lost, duplicated or late.
     Lossy {
@@ -95,9 +95,11 @@
                 self.abort_requests_randomly(host);
                 self.hosts[host].crash_agent();
             }
-            Fault::Pause { host, for_ms } => self.pause(host, Duration::from_millis(for_ms)),
-            Fault::PauseInStep { host, for_ms } => {
-                self.hosts[host].pause_next_step_ms = Some(for_ms);
+            Fault::Pause { host, duration_ms } => {
+                self.pause(host, Duration::from_millis(duration_ms))
+            }
+            Fault::PauseInStep { host, duration_ms } => {
+                self.hosts[host].pause_next_step_ms = Some(duration_ms);
             }
             Fault::Stop(host) => {
                 self.hosts[host].is_stopping = true;
@@ -122,9 +124,9 @@
             }
             Fault::PlatformDown => self.links.is_platform_down = true,
             Fault::PlatformUp => self.links.is_platform_down = false,
-            Fault::PlatformRollsBack { behind_ms } => {
-                let behind_ns = behind_ms * 1_000_000;
-                let ns = self.now.ns.saturating_sub(behind_ns);
+            Fault::PlatformRollsBack { snapshot_age_ms } => {
+                let snapshot_age_ns = snapshot_age_ms * 1_000_000;
+                let ns = self.now.ns.saturating_sub(snapshot_age_ns);
                 self.store.roll_back_to(Timestamp { ns });
                 self.links.is_platform_down = false;
             }
--- a/crates/ownership/src/sim/host.rs
+++ b/crates/ownership/src/sim/host.rs
@@ -1,4 +1,4 @@
-//! Simulated instance: a node with its clock, its gate and its upstream.
+//! Simulated instances, each with a node, a clock, a gate and an upstream.
 
 use std::{
     collections::VecDeque,
@@ -44,6 +44,7 @@
     pub(super) is_busy: bool,
     /// Time at which all messages sent so far have left the host.
     pub(super) link_busy_until: Timestamp,
+    /// A graceful stop has been requested.
     pub(super) is_stopping: bool,
     /// The node has completed a graceful stop.
     pub(super) has_stopped: bool,
@@ -52,13 +53,13 @@
 impl Host {
     pub(super) fn new(at: usize, config: &SimConfig, rng: &mut Pcg64Mcg) -> Host {
         let address = |port: u16| SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
-        let name = |text: String| InstanceName::new(&text).expect("a valid name");
+        let name = |text: String| InstanceName::new(&text).expect("valid instance name");
         let zone = at % config.zones.max(1);
         Host {
             instance: Instance {
                 name: name(format!("host-{at}")),
                 incarnation: Incarnation(0),
-                zone: Zone::new(&format!("zone-{zone}")).expect("a valid name"),
+                zone: Zone::new(&format!("zone-{zone}")).expect("valid zone name"),
                 control: address(1000 + at as u16),
                 traffic: address(2000 + at as u16),
             },
@@ -128,7 +129,7 @@
         self.has_stopped = false;
         let node = NodeConfig {
             instance: self.instance.clone(),
-            service: ServiceName::new("service").expect("a valid name"),
+            service: ServiceName::new("service").expect("valid service name"),
             group: GroupId(0),
             slot_count: config.slot_count,
             keyed: config.keyed,
@@ -157,22 +158,22 @@
     }
 
     /// Removes the orphaned grants under tokens up to this one, which the upstream has released.
-    pub(super) fn clear(&mut self, token: Token) {
+    pub(super) fn clear_orphaned_grants(&mut self, token: Token) {
         self.orphaned_grants.iter_mut().for_each(|it| it.clear(token));
     }
 
     /// Returns whether requests of a slot may be running on this host.
     pub(super) fn holds(&self, now: Timestamp, slot: Slot) -> bool {
         let clock = self.clock(now);
-        let held = self.is_up() && self.gate.holds(clock, slot);
-        held || self.orphaned_grants.iter().any(|it| it.holds(clock, slot))
+        let is_held = self.is_up() && self.gate.holds(clock, slot);
+        is_held || self.orphaned_grants.iter().any(|it| it.holds(clock, slot))
     }
 
     /// Returns whether requests of a key in a slot may be running on this host.
     pub(super) fn holds_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         let clock = self.clock(now);
-        let held = self.is_up() && self.gate.holds_key(clock, slot, key_hash);
-        held || self.orphaned_grants.iter().any(|it| it.holds_key(clock, slot, key_hash))
+        let is_held = self.is_up() && self.gate.holds_key(clock, slot, key_hash);
+        is_held || self.orphaned_grants.iter().any(|it| it.holds_key(clock, slot, key_hash))
     }
 
     /// Crashes the agent and the upstream beside it.
--- a/crates/ownership/src/sim/invariants.rs
+++ b/crates/ownership/src/sim/invariants.rs
@@ -68,6 +68,7 @@
 #[derive(Debug)]
 pub(super) struct InvariantChecker {
     slot_count: SlotCount,
+    /// Highest token of each slot and key so far.
     slot_tokens: BTreeMap<Slot, Token>,
     key_tokens: BTreeMap<KeyHash, Token>,
     /// First violation.
@@ -132,8 +133,8 @@
             let it = &self.hosts[host];
             it.clock(now) < it.gate.lease_until
         };
-        let enforced = self.config.limits.coordinator_lease == CoordinatorLease::Full;
-        if enforced && *command == GateCommand::DropAll {
+        let enforces_leases = self.config.limits.coordinator_lease == CoordinatorLease::Full;
+        if enforces_leases && *command == GateCommand::DropAll {
             self.hosts[host].orphan_grants();
             self.abort_requests_randomly(host);
         }
--- a/crates/ownership/src/sim/mod.rs
+++ b/crates/ownership/src/sim/mod.rs
@@ -116,13 +116,13 @@
 
 /// Time after which an unanswered platform call fails at its caller.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(250);
-/// Initial load of each slot, which amounts to a few requests in flight per host. The planner could take less for a
-/// random fluctuation.
+/// Initial load of each slot: a few requests in flight per host, so that the planner does not dismiss differences in
+/// load as random fluctuation.
 const SLOT_LOAD_US_PER_S: u64 = 500_000;
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Event scheduled for a point in virtual time. With a host's `generation` the event is dropped once the host has
-/// crashed or restarted.
+/// Event scheduled for a point in virtual time. The `generation` of a host is the one at the time of scheduling: once
+/// the host has crashed or restarted, its events are dropped. Calls still reach the platform, but get no reply.
 #[derive(Debug)]
 enum ScheduledEvent {
     Tick {
@@ -175,12 +175,14 @@
 pub struct Sim {
     config: SimConfig,
     rng: Pcg64Mcg,
-    /// Separate generator for requests at upstreams: a seed gives the same faults and delays with and without them.
+    /// Generator for requests at upstreams. It is separate so that they draw nothing from `rng`, and a seed gives the
+    /// same run as before where no requests are simulated.
     request_rng: Pcg64Mcg,
     /// Virtual time.
     now: Timestamp,
     /// Scheduled events by time, and in the order of scheduling at the same time.
     queue: BTreeMap<(Timestamp, u64), ScheduledEvent>,
+    /// Sequence number of the event scheduled last.
     next_sequence: u64,
     next_incarnation: u64,
     hosts: Vec<Host>,
@@ -239,6 +241,7 @@
         self.log = Some(Vec::new());
     }
 
+    /// Returns the recorded log lines.
     pub fn log(&self) -> &[String] {
         self.log.as_deref().unwrap_or_default()
     }
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Returns the coordinator of the highest term that a running host holds.
+    /// Returns the coordinator with the highest term, if any host is a coordinator.
     pub fn coordinator(&self) -> Option<usize> {
         let terms = self.hosts.iter().enumerate().filter_map(|(at, it)| Some((it.term()?, at)));
         terms.max().map(|it| it.1)
@@ -287,13 +290,13 @@
 
     /// Returns the number of tracked keys that no gate admits.
     pub fn unowned_keys(&self) -> usize {
-        let owned = |key: &KeyHash| {
+        let is_owned = |key: &KeyHash| {
             let slot = self.config.slot_count.slot_of(*key);
             self.hosts
                 .iter()
                 .any(|it| it.is_running() && it.gate.admits_key(it.clock(self.now), slot, *key))
         };
-        self.keys.iter().filter(|it| !owned(it)).count()
+        self.keys.iter().filter(|it| !is_owned(it)).count()
     }
 
     /// Returns the slots that the host owns.
@@ -321,7 +324,7 @@
         self.checker.key_grants
     }
 
-    /// Returns the number of gate entries for individual keys.
+    /// Returns the number of individual keys with an entry of their own, over all gates.
     pub fn key_entries(&self) -> usize {
         self.hosts.iter().map(|it| it.gate.keys.len()).sum()
     }
@@ -356,15 +359,15 @@
     }
 
     /// Advances in steps of 5 ms until the condition holds. Returns `false` if it does not within `max`.
-    pub fn run_until(&mut self, max: Duration, done: impl Fn(&Sim) -> bool) -> bool {
+    pub fn run_until(&mut self, max: Duration, condition: impl Fn(&Sim) -> bool) -> bool {
         let end = self.now + max;
         while self.now < end && self.checker.violation.is_none() {
-            if done(self) {
+            if condition(self) {
                 return true;
             }
             self.run_for(Duration::from_millis(5));
         }
-        done(self)
+        condition(self)
     }
 
     fn schedule(&mut self, at: Timestamp, scheduled: ScheduledEvent) {
@@ -385,6 +388,7 @@
         }
     }
 
+    /// Logs an output that changes ownership; messages, reads and lease renewals are left out.
     fn log_output(&mut self, host: usize, output: &Output) {
         if self.log.is_none() {
             return;
@@ -408,6 +412,7 @@
         }
     }
 
+    /// Counts an event by its variant name.
     fn count_event(&mut self, event: &Event) {
         let text = format!("{event:?}");
         let variant = text.split(|it: char| !it.is_alphanumeric()).next().unwrap_or_default();
--- a/crates/ownership/src/sim/platform.rs
+++ b/crates/ownership/src/sim/platform.rs
@@ -45,16 +45,16 @@
         self.calls += 1;
         match request {
             PlatformRequest::ReadCoordinator => {
-                let (revision, found) = self.current.coordinator.clone().unzip();
-                PlatformReply::Coordinator(self.version(revision.unwrap_or(0)), found)
+                let (revision, object) = self.current.coordinator.clone().unzip();
+                PlatformReply::Coordinator(self.version(revision.unwrap_or(0)), object)
             }
             PlatformRequest::ReadPlan => {
-                let (revision, found) = self.current.plan.clone().unzip();
-                PlatformReply::Plan(self.version(revision.unwrap_or(0)), found)
+                let (revision, object) = self.current.plan.clone().unzip();
+                PlatformReply::Plan(self.version(revision.unwrap_or(0)), object)
             }
             PlatformRequest::UpdateCoordinator { expected, object } => {
-                let current = self.current.coordinator.as_ref().map_or(0, |it| it.0);
-                if current != expected.revision() {
+                let current_revision = self.current.coordinator.as_ref().map_or(0, |it| it.0);
+                if current_revision != expected.revision() {
                     return PlatformReply::Conflict;
                 }
                 let previous =
@@ -70,8 +70,8 @@
                 self.update_reply(*expected)
             }
             PlatformRequest::UpdatePlan { expected, object } => {
-                let current = self.current.plan.as_ref().map_or(0, |it| it.0);
-                if current != expected.revision() {
+                let current_revision = self.current.plan.as_ref().map_or(0, |it| it.0);
+                if current_revision != expected.revision() {
                     return PlatformReply::Conflict;
                 }
                 let previous = self.current.plan.as_ref().map_or(0, |it| it.1.version);
@@ -90,7 +90,7 @@
 
     /// Restores the objects as they were at a time, or the oldest snapshot if that is later.
     pub(super) fn roll_back_to(&mut self, at: Timestamp) {
-        let snapshot = self.snapshots.iter().position(|(until, _)| *until > at);
+        let snapshot = self.snapshots.iter().position(|(replaced_at, _)| *replaced_at > at);
         if let Some(snapshot) = snapshot {
             self.current = self.snapshots[snapshot].1.clone();
             self.snapshots.truncate(snapshot);
--- a/crates/ownership/src/sim/random.rs
+++ b/crates/ownership/src/sim/random.rs
@@ -18,7 +18,7 @@
     pub slots: u16,
     pub tracked_keys: usize,
     pub duration: Duration,
-    /// Longest time from one fault to the next; the shortest is [`FAULT_GAP_MIN`].
+    /// Longest time from one round of faults to the next.
     pub fault_gap_max: Duration,
     /// Uses ordered slots, longer leases, and a full lease for the coordinator's own slots, as for upstreams that
     /// enforce leases.
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone)]
 pub struct RunReport {
     pub violation: Option<Violation>,
-    /// Number of slots that still have no owner at the end of the recovery period after the last fault.
+    /// Number of slots that have no owner at the end of the run.
     pub unowned_slots: usize,
-    /// Number of tracked keys that still have no owner then.
+    /// Number of tracked keys that have no owner at the end of the run.
     pub unowned_keys: usize,
     /// Time from the end of the last fault until all slots and keys had an owner again, or until the run ended.
     pub recovery_ms: u64,
@@ -61,7 +61,9 @@
 /// Recovery period with rollbacks of the platform. A term that waits for [`PLATFORM_ABSENCE_MAX`] may be lost to an
 /// update whose expected version is of an earlier era, and the next term waits as long again.
 const RECOVERY_MAX_ROLLBACK: Duration = Duration::from_secs(30);
+/// Largest load that is drawn for a tracked key.
 const KEY_LOAD_MAX_US_PER_S: u64 = 4_000_000;
+/// Largest load that is drawn for a slot.
 const SLOT_LOAD_MAX_US_PER_S: u64 = 3_000_000;
 /// Interval at which stopped hosts are restarted during recovery.
 const RESTART_INTERVAL: Duration = Duration::from_millis(500);
@@ -75,6 +77,7 @@
 const FALSE_LOSS_PROBABILITY: f64 = 0.2;
 /// Duration of a false report of a lost upstream.
 const FALSE_LOSS_MS: Range<u64> = 50..1500;
+/// Shortest time from one round of faults to the next.
 const FAULT_GAP_MIN: Duration = Duration::from_millis(100);
 
 /// Runs a simulation under random faults, ends the faults and waits for recovery.
@@ -105,6 +108,7 @@
     }
 }
 
+/// Runs a simulation, with a log if requested.
 fn run(config: &RandomRunConfig, log: bool) -> (RunReport, Vec<String>) {
     // A high churn limit makes handovers frequent, so that faults occur during handovers.
     let limits = Limits {
@@ -157,9 +161,9 @@
         if config.platform_rolls_back && rollback_rng.random_bool(ROLLBACK_PROBABILITY) {
             let outage =
                 Duration::from_millis(rollback_rng.random_range(OUTAGE_BEFORE_ROLLBACK_MS));
-            let behind_ms = rollback_rng.random_range(ROLLBACK_AGE_MS);
+            let snapshot_age_ms = rollback_rng.random_range(ROLLBACK_AGE_MS);
             sim.apply(Fault::PlatformDown);
-            sim.schedule_fault(outage, Fault::PlatformRollsBack { behind_ms });
+            sim.schedule_fault(outage, Fault::PlatformRollsBack { snapshot_age_ms });
         }
         let gap = rng.random_range(FAULT_GAP_MIN..config.fault_gap_max);
         sim.run_for(gap);
@@ -206,9 +210,9 @@
     let short_ms = rng.random_range(20..1000);
     let long_ms = rng.random_range(300..4000);
     match rng.random_range(0..36) {
-        0..=2 => vec![Fault::Pause { host, for_ms: short_ms }],
-        3 => vec![Fault::Pause { host, for_ms: long_ms }],
-        4..=6 => vec![Fault::PauseInStep { host, for_ms: long_ms }],
+        0..=2 => vec![Fault::Pause { host, duration_ms: short_ms }],
+        3 => vec![Fault::Pause { host, duration_ms: long_ms }],
+        4..=6 => vec![Fault::PauseInStep { host, duration_ms: long_ms }],
         7..=8 => vec![Fault::Crash(host)],
         9 => vec![Fault::Crash(host), Fault::Crash(other)],
         10..=12 => vec![Fault::Start(host), Fault::Start(other)],
--- a/crates/ownership/src/sim/upstream.rs
+++ b/crates/ownership/src/sim/upstream.rs
@@ -19,8 +19,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Probability that a request starts in an admitted slot, per [`START_INTERVAL`].
 const START_PROBABILITY: f64 = 0.05;
-/// Durations of short and long requests.
+/// Duration of a short request.
 const SHORT_REQUEST_MS: Range<u64> = 2..100;
+/// Duration of a long request.
 const LONG_REQUEST_MS: Range<u64> = 100..2500;
 /// Share of long requests.
 const LONG_REQUEST_SHARE: f64 = 0.1;
@@ -92,7 +93,8 @@
         self.schedule(self.now + START_INTERVAL, ScheduledEvent::StartRequests);
     }
 
-    /// Aborts each request of a host with [`ABORT_PROBABILITY`], because the agent is lost or closes its connections.
+    /// Aborts each request of a host with probability [`ABORT_PROBABILITY`], because the agent is lost or closes its
+    /// connections.
     pub(super) fn abort_requests_randomly(&mut self, host: usize) {
         let rng = &mut self.request_rng;
         self.hosts[host].requests.retain(|_| !rng.random_bool(ABORT_PROBABILITY));
--- a/crates/ownership/src/tests/lifecycle.rs
+++ b/crates/ownership/src/tests/lifecycle.rs
@@ -19,7 +19,7 @@
 }
 
 /// Asserts that no invariant was violated and that all slots have an owner.
-fn check_served(sim: &Sim) {
+fn assert_served(sim: &Sim) {
     assert_eq!(sim.violation(), None);
     assert_eq!(sim.unowned_slots(), 0, "{:?}", sim.events());
 }
@@ -28,7 +28,7 @@
 fn a_group_that_starts_together_serves_all_slots() {
     let mut sim = start_group(1);
     sim.run_for(Duration::from_secs(5));
-    check_served(&sim);
+    assert_served(&sim);
     assert!(sim.is_settled());
     let owners: BTreeSet<_> = sim.slot_owners().into_iter().collect();
     assert!(owners.len() >= 6, "owners: {owners:?}");
@@ -41,7 +41,7 @@
     let lost = (sim.coordinator().unwrap() + 1) % sim.host_count();
     sim.apply(Fault::Crash(lost));
     sim.run_for(Duration::from_secs(3));
-    check_served(&sim);
+    assert_served(&sim);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let lost = sim.coordinator().unwrap();
     sim.apply(Fault::Crash(lost));
     sim.run_for(Duration::from_secs(3));
-    check_served(&sim);
+    assert_served(&sim);
     assert_ne!(sim.coordinator(), Some(lost));
 }
 
@@ -64,7 +64,7 @@
     assert!(sim.run_until(Duration::from_secs(5), |it| it.has_stopped(0)));
     sim.start_all();
     assert!(sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0));
-    check_served(&sim);
+    assert_served(&sim);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     // The group has to recover without waiting for the limit on a coordinator's time without the platform, 90 minutes.
     let served = sim.run_until(Duration::from_secs(15), |it| it.unowned_slots() == 0);
     assert!(served, "{:?}", sim.events());
-    check_served(&sim);
+    assert_served(&sim);
 }
 
 #[test]
@@ -179,7 +179,7 @@
     assert!(sim.events()["JoinRefused"] > 0);
     let coordinator = sim.coordinator().unwrap();
     assert_eq!(sim.view(coordinator).unwrap().members.len(), GROUP_MEMBERS_MAX);
-    check_served(&sim);
+    assert_served(&sim);
 }
 
 #[test]
@@ -188,24 +188,24 @@
     let mut sim = Sim::new(SimConfig { hosts: 48, slot_count, ..SimConfig::new(13) });
     sim.start_all();
     sim.run_for(Duration::from_secs(8));
-    check_served(&sim);
+    assert_served(&sim);
     let coordinator = sim.coordinator().unwrap();
     assert_eq!(sim.view(coordinator).unwrap().members.len(), 48);
     sim.apply(Fault::Crash(coordinator));
     sim.apply(Fault::Crash((coordinator + 1) % sim.host_count()));
     sim.run_for(Duration::from_secs(4));
-    check_served(&sim);
+    assert_served(&sim);
     let owners: BTreeSet<_> = sim.slot_owners().into_iter().collect();
     assert!(owners.len() >= 46, "only {} members own a slot", owners.len());
 }
 
 /// Starts a group whose upstreams keep their grants for a lease of 5 s, also without their agents.
 fn start_group_with_long_leases(seed: u64) -> Sim {
-    start_with_long_leases(SimConfig::new(seed))
+    start_hosts_with_long_leases(SimConfig::new(seed))
 }
 
-/// Same as [`start_group_with_long_leases`], for the given number of hosts.
-fn start_with_long_leases(config: SimConfig) -> Sim {
+/// Same as [`start_group_with_long_leases`], for a given configuration without its limits.
+fn start_hosts_with_long_leases(config: SimConfig) -> Sim {
     let limits = Limits {
         lease: Duration::from_secs(5),
         renew_every: Duration::from_millis(400),
@@ -220,7 +220,7 @@
     let mut sim = Sim::new(SimConfig { ordered: true, limits, ..config });
     sim.start_all();
     sim.run_for(Duration::from_secs(12));
-    check_served(&sim);
+    assert_served(&sim);
     sim
 }
 
@@ -253,14 +253,14 @@
             sim.events()
         );
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
 #[test]
 fn agents_restarted_beside_their_upstreams_do_not_wait_for_their_own_leases() {
     for seed in 20..40 {
-        let mut sim = start_with_long_leases(SimConfig { hosts: 1, ..SimConfig::new(seed) });
+        let mut sim = start_hosts_with_long_leases(SimConfig { hosts: 1, ..SimConfig::new(seed) });
         sim.apply(Fault::CrashAgent(0));
         sim.start_all();
         let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
@@ -284,14 +284,14 @@
         );
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
 #[test]
 fn agents_restarted_beside_their_upstreams_do_not_wait_for_an_upstream_without_slots() {
     for seed in 60..70 {
-        let mut sim = start_with_long_leases(SimConfig { hosts: 2, ..SimConfig::new(seed) });
+        let mut sim = start_hosts_with_long_leases(SimConfig { hosts: 2, ..SimConfig::new(seed) });
         // One member has left, so that no plan contains it, and restarts without an upstream.
         let left = (sim.coordinator().unwrap() + 1) % sim.host_count();
         sim.apply(Fault::Stop(left));
@@ -330,7 +330,7 @@
             sim.events()
         );
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -340,7 +340,7 @@
         let mut sim = start_group_with_long_leases(seed);
         let owners = sim.slot_owners();
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
-        sim.apply(Fault::Pause { host, for_ms: 1_000 });
+        sim.apply(Fault::Pause { host, duration_ms: 1_000 });
         sim.run_for(Duration::from_millis(1_100));
         let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
         assert!(
@@ -351,7 +351,7 @@
         );
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -372,7 +372,7 @@
         );
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -388,7 +388,7 @@
         let times = sim.coordinator_object().unwrap().times;
         assert_eq!(u64::from(times.lease_ms), lease_ms);
     }
-    check_served(&sim);
+    assert_served(&sim);
 }
 
 #[test]
@@ -402,7 +402,7 @@
         sim.apply(Fault::Upstream { host, state });
         sim.run_for(Duration::from_secs(4));
         assert_eq!(sim.owned_by(host), []);
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -447,7 +447,7 @@
         assert_not_granted_to_others(&mut sim, host, &slots, EARLIER_LEASE_MIN);
         assert_served_within(&mut sim, Duration::from_secs(2));
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -465,7 +465,7 @@
         let min_wait = EARLIER_LEASE_MIN - Duration::from_secs(1);
         assert_not_granted_to_others(&mut sim, host, &slots, min_wait);
         assert_served_within(&mut sim, Duration::from_secs(2));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -484,7 +484,7 @@
         assert_not_granted_to_others(&mut sim, host, &slots, EARLIER_LEASE_MIN);
         assert_served_within(&mut sim, Duration::from_secs(4));
         sim.run_for(Duration::from_secs(8));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -504,7 +504,7 @@
         let min_wait = EARLIER_LEASE_MIN - Duration::from_millis(1_500);
         assert_not_granted_to_others(&mut sim, host, &slots, min_wait);
         assert_served_within(&mut sim, Duration::from_secs(6));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
 
@@ -525,6 +525,6 @@
         let min_wait = EARLIER_LEASE_MIN - Duration::from_secs(2);
         assert_not_granted_to_others(&mut sim, host, &slots, min_wait);
         assert_served_within(&mut sim, Duration::from_secs(6));
-        check_served(&sim);
+        assert_served(&sim);
     }
 }
--- a/crates/ownership/src/tests/trace.rs
+++ b/crates/ownership/src/tests/trace.rs
@@ -30,6 +30,7 @@
     zones: usize,
     /// Hosts by the names given in the trace.
     names: BTreeMap<String, usize>,
+    /// `watch` is in effect: times without an owner are measured.
     is_measuring: bool,
     /// Longest time without an owner of each slot.
     longest: Vec<Duration>,
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Executes a command of the trace.
     fn run_command(&mut self, command: &str, words: &[&str]) {
         let hosts = || words.iter().map(|it| self.host(it)).collect::<Vec<_>>();
         let fault = match (command, words) {
@@ -125,9 +127,11 @@
             ("start", [host]) => Fault::Start(self.host(host)),
             ("crash", [host]) => Fault::Crash(self.host(host)),
             ("stop", [host]) => Fault::Stop(self.host(host)),
-            ("pause", [host, ms]) => Fault::Pause { host: self.host(host), for_ms: number(ms) },
+            ("pause", [host, ms]) => {
+                Fault::Pause { host: self.host(host), duration_ms: number(ms) }
+            }
             ("pause_in_step", [host, ms]) => {
-                Fault::PauseInStep { host: self.host(host), for_ms: number(ms) }
+                Fault::PauseInStep { host: self.host(host), duration_ms: number(ms) }
             }
             ("isolate", [_, ..]) => Fault::Isolate(hosts()),
             ("mute", [host]) => Fault::DropOutgoing(self.host(host)),
@@ -190,7 +194,7 @@
     }
 
     /// Returns whether a condition holds now.
-    fn holds(sim: &Sim, condition: &str) -> bool {
+    fn condition_holds(sim: &Sim, condition: &str) -> bool {
         let confirmation = sim.coordinator_object().map(|it| it.confirmation);
         match condition {
             "served" => sim.unowned_slots() == 0 && sim.unowned_keys() == 0,
@@ -205,7 +209,7 @@
     /// Waits until a condition holds, and records it as unmet if it does not in time.
     fn until(&mut self, condition: &str, max_ms: u64) {
         let max = Duration::from_millis(max_ms);
-        if !self.sim.run_until(max, |it| TracePlayer::holds(it, condition)) {
+        if !self.sim.run_until(max, |it| TracePlayer::condition_holds(it, condition)) {
             self.unmet.push(format!("{condition} did not hold within {max_ms} ms"));
         }
     }
@@ -213,7 +217,7 @@
     /// Checks an expected outcome, and records it if it is unmet.
     fn expect(&mut self, words: &[&str]) {
         let longest = self.longest.iter().max().copied().unwrap_or_default().as_millis() as u64;
-        let met = match words {
+        let is_met = match words {
             ["unserved_max_ms", max] => longest <= number(max),
             ["unserved_min_ms", min] => longest >= number(min),
             ["coordinator", host] => self.sim.coordinator() == Some(self.host(host)),
@@ -224,10 +228,10 @@
             ["event", word, min] => {
                 self.sim.events().get(*word).copied().unwrap_or(0) >= number(min)
             }
-            [condition] => TracePlayer::holds(&self.sim, condition),
+            [condition] => TracePlayer::condition_holds(&self.sim, condition),
             _ => panic!("unknown outcome in trace: {words:?}"),
         };
-        if !met {
+        if !is_met {
             self.unmet.push(format!(
                 "expect {} (longest time without an owner: {longest} ms)",
                 words.join(" ")
@@ -248,6 +252,7 @@
     );
 }
 
+/// Defines a test for each trace file.
 macro_rules! traces {
     ($($name:ident: $file:literal;)*) => {$(
         #[test]
@@ -258,18 +263,18 @@
 }
 
 traces! {
-    frozen_holder_returns: "frozen-holder-returns";
-    coordinator_and_owner_lost: "coordinator-and-owner-lost";
-    zone_lost: "zone-lost";
-    platform_down_during_loss: "platform-down-during-loss";
-    partition_two_coordinators: "partition-two-coordinators";
-    lost_answer_of_a_plan: "lost-answer-of-a-plan";
-    lost_answer_of_a_mode: "lost-answer-of-a-mode";
-    terms_in_quick_succession: "terms-in-quick-succession";
-    release_of_an_unsettled_term: "release-of-an-unsettled-term";
-    platform_absent_too_long: "platform-absent-too-long";
-    all_stop_one_after_another: "all-stop-one-after-another";
-    hot_key: "hot-key";
-    witnesses_at_the_moment_of_a_loss: "witnesses-at-the-moment-of-a-loss";
-    witness_that_has_forgotten: "witness-that-has-forgotten";
+    a_paused_owner_resumes_after_its_lease: "frozen-holder-returns";
+    coordinator_and_another_owner_are_lost: "coordinator-and-owner-lost";
+    the_zone_of_the_coordinator_is_lost: "zone-lost";
+    a_member_is_lost_while_the_platform_is_unavailable: "platform-down-during-loss";
+    a_partition_leads_to_a_second_coordinator: "partition-two-coordinators";
+    the_reply_to_a_plan_update_is_lost: "lost-answer-of-a-plan";
+    the_reply_to_a_change_of_confirmation_is_lost: "lost-answer-of-a-mode";
+    several_terms_end_before_they_are_settled: "terms-in-quick-succession";
+    an_unsettled_term_is_released: "release-of-an-unsettled-term";
+    the_platform_is_unavailable_beyond_the_limit: "platform-absent-too-long";
+    all_members_stop_one_after_another: "all-stop-one-after-another";
+    hot_keys_survive_losses_and_an_outage: "hot-key";
+    confirmation_changes_to_witnesses_during_a_loss: "witnesses-at-the-moment-of-a-loss";
+    a_witness_restarts_without_reaching_the_platform: "witness-that-has-forgotten";
 }
