--- a/crates/ownership/src/tests/large_groups.rs
+++ b/crates/ownership/src/tests/large_groups.rs
@@ -63,7 +63,7 @@
 
 /// Asserts that without faults the first term continues, no session ends, and every step is shorter than `pause_max`,
 /// so that renewals are in time.
-fn assert_stays_up(hosts: usize) {
+fn assert_group_is_stable(hosts: usize) {
     let mut sim = start_group(hosts, 1);
     sim.run_for(Duration::from_secs(12));
     let owners: BTreeSet<_> = sim.slot_owners().into_iter().collect();
@@ -81,12 +81,12 @@
 
 #[test]
 fn a_group_of_30_keeps_its_coordinator() {
-    assert_stays_up(30);
+    assert_group_is_stable(30);
 }
 
 #[test]
 fn a_group_of_112_keeps_its_coordinator() {
-    assert_stays_up(112);
+    assert_group_is_stable(112);
 }
 
 #[test]
