--- a/crates/object-store/src/follower.rs
+++ b/crates/object-store/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows a prefix: one list, then one watch after another, through outages of the platform.
+//! Follows the objects under a prefix with one list and consecutive watches, through outages of the platform.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -7,17 +7,17 @@
 
 use crate::{Change, Changes, ObjectStore, StoreError};
 
-/// So many lists in a row, each followed by a lost history, are told of.
-const LISTS_TOLD: u32 = 3;
+/// Number of consecutive lists, each followed by a lost history, after which a warning is logged.
+const LISTS_BEFORE_WARNING: u32 = 3;
 
-/// How often and how long a follower calls.
+/// Intervals and delays of a follower's calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerTimes {
-    /// How long one watch waits. A watch that has gone stale is renewed after this time.
+    /// Time that one watch waits for changes. A stalled watch is replaced after it.
     pub watch_wait: Duration,
-    /// The least time between the starts of two calls.
+    /// Least time between the starts of two calls.
     pub call_interval_min: Duration,
-    /// The first pause after a failure; it doubles with each further one.
+    /// Delay after a first failure; it doubles with each consecutive one, up to `retry_delay_max`.
     pub retry_delay_min: Duration,
     pub retry_delay_max: Duration,
 }
@@ -33,27 +33,27 @@
     }
 }
 
-/// Yields every object under a prefix and then every change, none twice and none older than one
-/// that it has yielded. What was deleted while it could not watch is told by the next list. When the store has
-/// come back from an older copy, all is yielded again, perhaps as it was before.
+/// Source of all objects under a prefix and then of their changes, without duplicates and never with a version older
+/// than one already yielded. Deletions that no watch reported are found by the next list. After a rollback of the
+/// store, all objects are yielded again, possibly with older contents.
 pub struct Follower {
     platform: Arc<dyn ObjectStore>,
     prefix: String,
     times: FollowerTimes,
-    /// None until the first list has been answered.
+    /// Latest revision received. It is `None` until the first list has been answered.
     revision: Option<ObjectVersion>,
-    /// Changes may have been missed: list before the next watch.
-    lists: bool,
-    /// The first list may show an older state: the watch that follows tells what is newer.
-    aged_first: bool,
-    /// The objects that there are, as far as it has yielded.
-    known: BTreeSet<String>,
-    /// Lists since a watch was last answered.
-    lists_in_a_row: u32,
-    pause: Duration,
-    next_call: Option<Instant>,
-    /// The last call was answered, as far as the log says.
-    is_in_reach: bool,
+    /// Whether changes may have been missed, so that the next call must be a list.
+    needs_list: bool,
+    /// Whether the first list may be stale; the watch after it returns the newer changes.
+    allows_stale_list: bool,
+    /// Paths of the objects that exist according to the changes yielded so far.
+    known_paths: BTreeSet<String>,
+    /// Lists since the last answered watch.
+    consecutive_lists: u32,
+    retry_delay: Duration,
+    next_call_at: Option<Instant>,
+    /// Whether the last call was answered, according to the last log line.
+    is_reachable: bool,
 }
 
 impl Follower {
@@ -67,78 +67,78 @@
             prefix: prefix.into(),
             times,
             revision: None,
-            lists: true,
-            aged_first: false,
-            known: BTreeSet::new(),
-            lists_in_a_row: 0,
-            pause: times.retry_delay_min,
-            next_call: None,
-            is_in_reach: true,
+            needs_list: true,
+            allows_stale_list: false,
+            known_paths: BTreeSet::new(),
+            consecutive_lists: 0,
+            retry_delay: times.retry_delay_min,
+            next_call_at: None,
+            is_reachable: true,
         }
     }
 
-    /// Begins with a list that may be seconds old, which some stores answer at a lower price.
+    /// Starts with a list that may be seconds old, which some stores answer at a lower cost.
     pub fn with_maybe_stale_first_list(self) -> Follower {
-        Follower { aged_first: true, ..self }
+        Follower { allows_stale_list: true, ..self }
     }
 
-    /// The next changes; at first all objects, perhaps none. An error is for the log and the
-    /// status: the next call goes on from where this one was, after a pause.
+    /// Returns the next changes; the first time all objects, possibly none. An error is meant for the log and the
+    /// status only: the next call continues from the same revision after the retry delay.
     pub async fn next(&mut self) -> Result<Vec<Change>, StoreError> {
         loop {
-            if let Some(at) = self.next_call {
+            if let Some(at) = self.next_call_at {
                 sleep_until(at).await;
             }
-            self.next_call = Some(Instant::now() + self.times.call_interval_min);
-            let first = self.revision.is_none();
+            self.next_call_at = Some(Instant::now() + self.times.call_interval_min);
+            let is_first = self.revision.is_none();
             let era = self.era();
             match self.call().await {
                 Ok(changes) => {
-                    self.pause = self.times.retry_delay_min;
+                    self.retry_delay = self.times.retry_delay_min;
                     let newer = self.advance(changes);
-                    if first || era != self.era() || !newer.is_empty() {
+                    if is_first || era != self.era() || !newer.is_empty() {
                         return Ok(newer);
                     }
                 }
                 Err(error) => {
                     if matches!(error, StoreError::HistoryGone { .. }) {
-                        self.history_is_gone();
+                        self.handle_lost_history();
                     }
-                    self.next_call = Some(Instant::now() + self.pause);
-                    self.pause = (self.pause * 2).min(self.times.retry_delay_max);
+                    self.next_call_at = Some(Instant::now() + self.retry_delay);
+                    self.retry_delay = (self.retry_delay * 2).min(self.times.retry_delay_max);
                     return Err(error);
                 }
             }
         }
     }
 
-    /// The next changes, however many calls fail before. `what` is followed, and begins a sentence: the log tells
-    /// of the first failure in a row, and of its end.
-    pub async fn next_with_retries(&mut self, what: &str) -> Vec<Change> {
+    /// Returns the next changes, retrying failed calls. Logs the first of consecutive failures and the recovery, in
+    /// sentences that start with `subject`.
+    pub async fn next_with_retries(&mut self, subject: &str) -> Vec<Change> {
         loop {
             match self.next().await {
                 Ok(changes) => {
-                    if !std::mem::replace(&mut self.is_in_reach, true) {
-                        log::info!(target: "follower", "{what} can be read again.");
+                    if !std::mem::replace(&mut self.is_reachable, true) {
+                        log::info!(target: "follower", "{subject} can be read again.");
                     }
                     return changes;
                 }
-                Err(error) if std::mem::replace(&mut self.is_in_reach, false) => {
-                    log::warn!(target: "follower", "{what} can't be read: {error}.");
+                Err(error) if std::mem::replace(&mut self.is_reachable, false) => {
+                    log::warn!(target: "follower", "{subject} can't be read, retrying: {error}.");
                 }
                 Err(_) => {}
             }
         }
     }
 
-    /// How often the store had come back from an older copy, by its last answer.
+    /// Number of rollbacks of the store, according to its last answer.
     pub fn era(&self) -> u64 {
         self.revision.unwrap_or_default().era()
     }
 
     async fn call(&self) -> Result<Changes, StoreError> {
-        match self.revision.filter(|_| !self.lists) {
-            None if self.aged_first && self.revision.is_none() => {
+        match self.revision.filter(|_| !self.needs_list) {
+            None if self.allows_stale_list && self.revision.is_none() => {
                 self.platform.list_maybe_stale(&self.prefix).await
             }
             None => self.platform.list(&self.prefix).await,
@@ -146,61 +146,62 @@
         }
     }
 
-    fn history_is_gone(&mut self) {
+    fn handle_lost_history(&mut self) {
         let after = self.revision.unwrap_or_default();
         let path = &self.prefix;
-        match self.lists_in_a_row {
+        match self.consecutive_lists {
             0 => {
-                log::info!(target: "follower", "{path}: the history after revision {after} is gone; listing anew.");
+                log::info!(target: "follower", "{path}: the history after revision {after} has been dropped; listing all objects.");
             }
-            LISTS_TOLD => {
-                log::warn!(target: "follower", "{path}: the history after revision {after} is gone again, after {LISTS_TOLD} lists in a row.");
+            LISTS_BEFORE_WARNING => {
+                log::warn!(target: "follower", "{path}: the history after revision {after} has been dropped again after {LISTS_BEFORE_WARNING} consecutive lists; listing all objects.");
             }
             _ => {}
         }
-        self.lists = true;
+        self.needs_list = true;
     }
 
-    /// An answer that was made before one that came earlier moves nothing back.
+    /// Applies an answer and returns its changes above the known revision. A delayed answer, which shows an older
+    /// state than one received before, reverts nothing.
     fn advance(&mut self, changes: Changes) -> Vec<Change> {
-        let listed = std::mem::take(&mut self.lists);
+        let is_list = std::mem::take(&mut self.needs_list);
         let known = self.revision;
-        self.note_list(listed, &changes);
+        self.record_list(is_list, &changes);
         let is_later = known.is_none_or(|known| changes.revision > known);
-        let gone = if listed && is_later { self.gone_from(&changes) } else { Vec::new() };
+        let deleted = if is_list && is_later { self.missing_from(&changes) } else { Vec::new() };
         let is_newer = |it: &Change| known.is_none_or(|known| it.version > known);
         let mut newer: Vec<Change> = changes.changes.into_iter().filter(is_newer).collect();
-        newer.extend(gone);
+        newer.extend(deleted);
         newer.sort_by_key(|it| it.version);
         for it in &newer {
             match it.body {
-                Some(_) => self.known.insert(it.path.clone()),
-                None => self.known.remove(&it.path),
+                Some(_) => self.known_paths.insert(it.path.clone()),
+                None => self.known_paths.remove(&it.path),
             };
         }
         self.revision = Some(known.unwrap_or_default().max(changes.revision));
         newer
     }
 
-    /// Tells of the first list in a row after the history has gone.
-    fn note_list(&mut self, listed: bool, changes: &Changes) {
-        let Some(known) = self.revision.filter(|_| listed) else {
-            self.lists_in_a_row = 0;
+    /// Counts consecutive lists and logs the first one after a lost history.
+    fn record_list(&mut self, is_list: bool, changes: &Changes) {
+        let Some(known) = self.revision.filter(|_| is_list) else {
+            self.consecutive_lists = 0;
             return;
         };
-        if self.lists_in_a_row == 0 {
+        if self.consecutive_lists == 0 {
             let (path, found) = (&self.prefix, changes.changes.len());
-            log::info!(target: "follower", "{path}: listed {found} objects at revision {}, known so far up to {known}.", changes.revision);
+            log::info!(target: "follower", "{path}: listed {found} objects at revision {}; the last known revision was {known}.", changes.revision);
         }
-        self.lists_in_a_row += 1;
+        self.consecutive_lists += 1;
     }
 
-    /// What was there and is not in a list that is newer.
-    fn gone_from(&self, list: &Changes) -> Vec<Change> {
+    /// Returns a deletion for each known object that a newer list does not contain.
+    fn missing_from(&self, list: &Changes) -> Vec<Change> {
         let listed: BTreeSet<&str> = list.changes.iter().map(|it| it.path.as_str()).collect();
-        let gone = self.known.iter().filter(|it| !listed.contains(it.as_str()));
+        let missing = self.known_paths.iter().filter(|it| !listed.contains(it.as_str()));
         let deleted =
             |path: &String| Change { path: path.clone(), version: list.revision, body: None };
-        gone.map(deleted).collect()
+        missing.map(deleted).collect()
     }
 }
