--- a/crates/object-store/src/http.rs
+++ b/crates/object-store/src/http.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP/1.1, to one address, with connections kept alive.
+//! Client of the object API over HTTP/1.1, for one address, with connections kept alive.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,20 +18,21 @@
 use crate::{Change, Changes, EraTracker, Object, ObjectStore, StoreError, StoreResult};
 
 const VERSION_HEADER: &str = "x-object-version";
-const CONDITION_HEADER: &str = "if-object-version";
+const EXPECTED_VERSION_HEADER: &str = "if-object-version";
 const REVISION_HEADER: &str = "x-revision";
 const ERA_HEADER: &str = "x-store-era";
 
-/// The longest answer that is read, in bytes: a list of many objects, each up to a megabyte.
+/// Largest accepted answer: a list of many objects, each up to a megabyte.
 const ANSWER_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// How much of an error's text is kept, in characters.
+/// Longest excerpt of an error answer that is kept as the reason.
 const REASON_CHARS_MAX: usize = 200;
 
-/// How long a call may take, and how much longer than its wait a watch may take.
+/// Timeouts of calls to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timeouts {
     pub call: Duration,
+    /// Time that a watch may take in addition to its wait.
     pub watch_margin: Duration,
 }
 
@@ -50,25 +51,25 @@
     eras: Arc<EraTracker>,
 }
 
-/// One call, before it is sent.
+/// A call that has not been sent yet.
 struct Call {
     step: String,
     method: Method,
     target: String,
-    /// A revision.
+    /// Revision that the object must have. It is `None` for calls that change nothing.
     expected: Option<u64>,
     body: Bytes,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// An answer read whole.
+/// A completely received answer.
 struct Answer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// One object in a list, as it is written.
+/// Wire form of one object in a list.
 #[derive(Deserialize)]
 struct RawChange {
     path: String,
@@ -79,7 +80,7 @@
 impl HttpObjectStore {
     /// Connects lazily, with the first call.
     pub fn new(peer: SocketAddr, timeouts: Timeouts) -> anyhow::Result<HttpObjectStore> {
-        // Calls name their address, so nothing is ever discovered or balanced.
+        // Each call is given the address, so the client needs no discovery and no load balancing.
         let builder =
             ClientBuilder::new().load_balance(WeightedRandomBalance::new()).discover(DummyDiscover);
         let client = builder
@@ -89,43 +90,43 @@
     }
 
     async fn send(&self, call: Call) -> Result<Answer, StoreError> {
-        let Call { step, method, target, expected, body, limit } = call;
-        let absent_is_an_answer = method == Method::GET;
+        let Call { step, method, target, expected, body, timeout: call_timeout } = call;
+        let accepts_not_found = method == Method::GET;
         let exchange = async {
             let mut request = self.client.request(method, target).address(self.peer);
             if let Some(expected) = expected {
-                request = request.header(CONDITION_HEADER, expected);
+                request = request.header(EXPECTED_VERSION_HEADER, expected);
             }
             let response = request.body(Body::from(body)).send().await;
             read(response.map_err(|error| error.to_string())?).await
         };
-        match timeout(limit, exchange).await {
+        match timeout(call_timeout, exchange).await {
             Ok(Ok(answer)) => {
                 self.eras.observe(era(&answer));
-                self.judge(step, answer, absent_is_an_answer)
+                self.check_status(step, answer, accepts_not_found)
             }
             Ok(Err(reason)) => Err(self.unavailable(step, reason)),
-            Err(_) => Err(self.unavailable(step, format!("none within {limit:?}"))),
+            Err(_) => Err(self.unavailable(step, format!("timed out after {call_timeout:?}"))),
         }
     }
 
-    /// What an answer says of the call's effect.
-    fn judge(
+    /// Returns the answer of a successful call, or the error that the answer's status stands for.
+    fn check_status(
         &self,
         step: String,
         answer: Answer,
-        absent_is_an_answer: bool,
+        accepts_not_found: bool,
     ) -> Result<Answer, StoreError> {
         let reason = || format!("{} {}", answer.status, excerpt(&answer.body));
         match answer.status {
             status if status.is_success() => Ok(answer),
-            StatusCode::NOT_FOUND if absent_is_an_answer => Ok(answer),
+            StatusCode::NOT_FOUND if accepts_not_found => Ok(answer),
             StatusCode::CONFLICT => {
-                let current = self.number(&step, &answer, VERSION_HEADER)?;
+                let current = self.version_in(&step, &answer, VERSION_HEADER)?;
                 Err(StoreError::Conflict { step, current })
             }
             StatusCode::GONE => Err(StoreError::HistoryGone { step }),
-            // The platform says itself that the request is at fault, so nothing was done.
+            // The platform rejected the request as invalid, so it has had no effect.
             status if status.is_client_error() => {
                 Err(StoreError::Refused { step, peer: self.peer, reason: reason() })
             }
@@ -137,7 +138,7 @@
         StoreError::Unavailable { step: step.into(), peer: self.peer, reason: reason.into() }
     }
 
-    fn number(
+    fn version_in(
         &self,
         step: &str,
         answer: &Answer,
@@ -146,20 +147,20 @@
         let text = answer.headers.get(header).and_then(|it| it.to_str().ok());
         match text.and_then(|it| it.parse().ok()) {
             Some(number) => Ok(ObjectVersion::of(era(answer), number)),
-            None => Err(self.unavailable(step, format!("the answer has no number in {header}"))),
+            None => Err(self.unavailable(step, format!("no valid number in the header {header}"))),
         }
     }
 
     fn changes(&self, step: &str, answer: &Answer) -> Result<Changes, StoreError> {
         let raw: Vec<RawChange> = serde_json::from_slice(&answer.body)
-            .map_err(|error| self.unavailable(step, format!("the answer is no list: {error}")))?;
+            .map_err(|error| self.unavailable(step, format!("invalid list: {error}")))?;
         let era = era(answer);
         let changes = raw.into_iter().map(|it| it.into_change(era)).collect();
-        Ok(Changes { revision: self.number(step, answer, REVISION_HEADER)?, changes })
+        Ok(Changes { revision: self.version_in(step, answer, REVISION_HEADER)?, changes })
     }
 
-    fn get(&self, step: String, target: String, limit: Duration) -> Call {
-        Call { step, method: Method::GET, target, expected: None, body: Bytes::new(), limit }
+    fn get(&self, step: String, target: String, timeout: Duration) -> Call {
+        Call { step, method: Method::GET, target, expected: None, body: Bytes::new(), timeout }
     }
 }
 
@@ -170,16 +171,16 @@
     }
 }
 
-/// How often the store has come back from an older copy.
+/// Returns the number of rollbacks of the store according to an answer, 0 if the header is absent.
 fn era(answer: &Answer) -> u64 {
-    let named = answer.headers.get(ERA_HEADER);
-    named.and_then(|it| it.to_str().ok()?.parse().ok()).unwrap_or(0)
+    let header = answer.headers.get(ERA_HEADER);
+    header.and_then(|it| it.to_str().ok()?.parse().ok()).unwrap_or(0)
 }
 
 async fn read(response: Response) -> Result<Answer, String> {
     let (parts, body) = response.into_parts();
-    let whole = Limited::new(body, ANSWER_BYTES_MAX).collect().await;
-    let body = whole.map_err(|error| format!("the answer broke off: {error}"))?.to_bytes();
+    let collected = Limited::new(body, ANSWER_BYTES_MAX).collect().await;
+    let body = collected.map_err(|error| format!("reading the answer failed: {error}"))?.to_bytes();
     Ok(Answer { status: parts.status, headers: parts.headers, body })
 }
 
@@ -196,7 +197,7 @@
             if answer.status == StatusCode::NOT_FOUND {
                 return Ok(None);
             }
-            let version = self.number(&step, &answer, VERSION_HEADER)?;
+            let version = self.version_in(&step, &answer, VERSION_HEADER)?;
             Ok(Some(Object { version, body: answer.body }))
         })
     }
@@ -217,10 +218,10 @@
                 target,
                 expected: Some(revision),
                 body,
-                limit: self.timeouts.call,
+                timeout: self.timeouts.call,
             };
             let answer = self.send(call).await?;
-            let version = self.number(&step, &answer, VERSION_HEADER)?;
+            let version = self.version_in(&step, &answer, VERSION_HEADER)?;
             self.eras.confirm_update(step, self.peer, expected, version)
         })
     }
