--- a/crates/object-store/src/eras.rs
+++ b/crates/object-store/src/eras.rs
@@ -1,7 +1,7 @@
-//! Revisions of a store that may come back from an older copy.
+//! Eras of a store that may be rolled back, that is, restored from an older snapshot.
 //!
-//! It then goes on from a lower revision and gives the later ones out again. It counts how often that was, in all its
-//! answers: versions of a later era are above all of earlier ones.
+//! After a rollback the store continues from a lower revision and assigns the later revisions again. All its answers
+//! carry the number of rollbacks so far, the era. Versions of a later era compare above all versions of earlier eras.
 
 use std::{
     net::SocketAddr,
@@ -12,16 +12,16 @@
 
 use crate::StoreError;
 
-/// The latest era of one store that one client has heard of: one more than it, and 0 before the first answer.
+/// Latest era that one client has received from one store, stored as the era plus one, or 0 before the first answer.
 #[derive(Debug, Default)]
 pub struct EraTracker(AtomicU64);
 
 impl EraTracker {
-    /// Takes in the era that an answer names. True if the store has come back from an older copy since the last answer.
+    /// Records the era of an answer. Returns whether the store was rolled back since the last answer.
     pub fn observe(&self, era: u64) -> bool {
         let known = self.0.fetch_max(era + 1, Ordering::SeqCst).checked_sub(1);
         let Some(known) = known.filter(|it| era > *it) else { return false };
-        log::warn!(target: "platform", "The store has come back from an older copy: era {era} after {known}.");
+        log::warn!(target: "platform", "The store was rolled back to an older snapshot: era {era} follows era {known}.");
         true
     }
 
@@ -29,12 +29,12 @@
         self.0.load(Ordering::SeqCst).saturating_sub(1)
     }
 
-    /// The revision to make an update on condition of. One of an earlier era may have been given out again for
-    /// something else.
+    /// Returns the expected revision to send with an update. A revision of an earlier era is refused, as the store may
+    /// have assigned it again to another change.
     ///
     /// # Errors
     ///
-    /// `Conflict`, if the store has come back from an older copy since.
+    /// `Conflict`, if the store was rolled back since the expected version.
     pub fn revision_for_update(
         &self,
         step: &str,
@@ -48,11 +48,11 @@
         Ok(expected.revision())
     }
 
-    /// What an update has come to whose answer names this version.
+    /// Confirms an update whose answer carries `version`.
     ///
     /// # Errors
     ///
-    /// `Unavailable`, if its condition was of an earlier era: what it has replaced is not known.
+    /// `Unavailable`, if the expected version is of an earlier era: which state the update has replaced is unknown.
     pub fn confirm_update(
         &self,
         step: String,
@@ -63,15 +63,15 @@
         if expected == ObjectVersion(0) || expected.era() == version.era() {
             return Ok(version);
         }
-        let reason = "the store came back from an older copy meanwhile".to_owned();
+        let reason = "the store was rolled back to an older snapshot during the update".to_owned();
         Err(StoreError::Unavailable { step, peer, reason })
     }
 
-    /// The revision to watch from.
+    /// Returns the revision to watch from.
     ///
     /// # Errors
     ///
-    /// `HistoryGone`, if the store has come back from an older copy since.
+    /// `HistoryGone`, if the store was rolled back since `after`.
     pub fn revision_for_watch(&self, step: &str, after: ObjectVersion) -> Result<u64, StoreError> {
         if after.era() < self.latest() {
             return Err(StoreError::HistoryGone { step: step.to_owned() });
