--- a/crates/object-store/src/counted.rs
+++ b/crates/object-store/src/counted.rs
@@ -1,4 +1,4 @@
-//! Counts the calls that go to the platform, by kind.
+//! Store wrapper that counts the calls to the platform by kind.
 
 use std::{
     sync::{
@@ -13,11 +13,11 @@
 
 use crate::{Changes, Object, ObjectStore, StoreResult};
 
-/// What a call asks for; the platform counts each as one, however long a watch waits.
+/// Kind of a call. A watch counts as one call, however long it waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallKind {
     Read,
-    /// A read that may show an older state.
+    /// A read or list that may return a stale state.
     MaybeStaleRead,
     Update,
     List,
@@ -33,7 +33,7 @@
         CallKind::Watch,
     ];
 
-    /// The value of the `kind` label in metrics.
+    /// Returns the value of the `kind` label in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             CallKind::Read => "read",
@@ -45,7 +45,7 @@
     }
 }
 
-/// How many calls of each kind were made since the start, failed ones too.
+/// Numbers of calls of each kind since the start, including failed calls.
 #[derive(Debug, Default)]
 pub struct CallCounts([AtomicU64; CallKind::ALL.len()]);
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// A platform whose calls are counted.
+/// [`ObjectStore`] that counts the calls to an inner store.
 pub struct CountedStore {
     inner: Arc<dyn ObjectStore>,
     counts: Arc<CallCounts>,
--- a/crates/object-store/src/lib.rs
+++ b/crates/object-store/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's object API: versions, conditional updates and watches.
 //!
-//! HTTP of the API, as the stand-in serves it and the client speaks it:
+//! HTTP form of the API:
 //! - `GET /objects/PATH`: 200 with the body and `x-object-version`, or 404.
 //! - `PUT /objects/PATH` with `if-object-version: V` (0: must not exist; absent: any): 200 with
 //!   `x-object-version`, or 409 with the current version in the same header.
@@ -10,9 +10,9 @@
 //!   revision above `after`, then answers like `list` with the changed objects only; 204 when
 //!   `wait_ms` passed without one. A deleted object has `"body": null`.
 //!
-//! Object versions are revisions: one counter for the whole store. A store that comes back from an older copy goes on
-//! from the revision of the copy, and names in `x-store-era` of all its answers how often that was; absent: never. A
-//! watch from a revision that it does not have is answered 410.
+//! Object versions are revisions of one counter for the whole store. A store that was rolled back to an older snapshot
+//! continues from the revision of the snapshot. The header `x-store-era` of all answers carries the number of
+//! rollbacks; without the header there were none. A watch from a revision that the store does not have gets status 410.
 
 mod api;
 mod counted;
