--- a/crates/http-pool/src/lib.rs
+++ b/crates/http-pool/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1 connections to one address that are kept and reused, and that tell what may have happened
-//! to a request.
+//! Pool of HTTP/1 connections to one address. Its errors distinguish requests that were never sent from requests that
+//! may have been executed.
 //!
-//! `volo-http`'s client hides its connections: it neither shows when one was reused nor lets go of one
-//! whose last answer was suspicious. This goes to the library below it, `hyper`.
+//! The client of `volo-http` hides its connections: it neither shows whether a connection was reused nor closes a
+//! connection after a suspicious answer. This crate therefore uses `hyper`, the library below it, directly.
 
 mod pool;
 
--- a/crates/http-pool/src/pool.rs
+++ b/crates/http-pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool.
+//! Connection pool and the exchange of requests and replies on its connections.
 
 use std::{
     io,
@@ -29,98 +29,99 @@
 };
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// A connection is let go of this much before its peer would close it: whatever is sent at that very
-/// moment is lost. A peer names whole seconds.
+/// Margin by which an idle connection is dropped before its peer closes it, since a request sent at the moment of
+/// closing is lost. The peer announces its time-out in whole seconds.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
-/// Probes without an answer after which a connection is given up.
-const PROBES: u32 = 2;
-/// How long a connection that has just given its answer may take to be ready for the next request.
-const READY_MAX: Duration = Duration::from_millis(5);
+/// Number of unanswered TCP keep-alive probes after which a connection is closed.
+const UNANSWERED_PROBES_MAX: u32 = 2;
+/// Longest wait for a connection that has just received a reply to become ready for the next request.
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How connections are kept.
+/// Timeouts and limits of a pool's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolConfig {
     pub connect_timeout: Duration,
-    /// How long a connection is kept unused, if its peer does not name a shorter time.
+    /// Longest time that an idle connection is kept, if its peer does not announce a shorter one.
     pub idle_timeout: Duration,
-    /// How many connections are kept unused.
+    /// Largest number of idle connections.
     pub idle_max: usize,
-    /// A connection whose peer shows no sign of life for three times this long is given up, also while
-    /// it waits for an answer.
+    /// Interval of TCP keep-alive probes, or `None` for no probes. A connection is closed when its peer has not
+    /// responded for three intervals, also while a request is in flight on it.
     pub probe_interval: Option<Duration>,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Connections to one address.
+/// Pool of connections to one address.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
     config: PoolConfig,
-    unused: Mutex<Vec<Unused>>,
+    idle: Mutex<Vec<IdleConnection>>,
     connections_opened: AtomicU64,
 }
 
-/// Calls whose answers can't be told apart. A peer may send an answer twice, the second one in place of the
-/// next answer, so a call of a kind does not directly follow another one on a connection.
+/// Kind of calls whose replies are indistinguishable. A faulty peer may send a reply twice, and the duplicate would be
+/// taken for the reply to the next request, so no two consecutive calls on a connection are of the same kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallKind(pub &'static str);
 
 #[derive(Debug)]
-struct Unused {
+struct IdleConnection {
     sender: Sender,
-    until: Instant,
-    /// What its last answer was to.
-    last: Option<CallKind>,
+    expires_at: Instant,
+    /// Kind of the last call on the connection.
+    last_kind: Option<CallKind>,
 }
 
-/// A whole answer.
+/// A completely received reply.
 #[derive(Debug)]
 pub struct Reply {
     pub parts: Parts,
     pub body: Bytes,
 }
 
-/// Why there is no whole answer.
+/// Reason for an exchange without a complete reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum ExchangeError {
-    /// No connection could be made, so no byte of the request has left this process.
-    #[error("not sent: {0}")]
+    /// No connection could be opened, so no byte of the request has left this process.
+    #[error("request not sent: {0}")]
     NotSent(String),
-    /// The peer took a new connection and closed it before any byte of the request was written.
-    #[error("closed before the request was sent: {0}")]
+    /// The peer accepted a new connection but closed it before any byte of the request was written.
+    #[error("connection closed before the request was sent: {0}")]
     Closed(String),
-    /// The request may have arrived.
-    #[error("no answer: {0}")]
+    /// The connection was lost; the request may have reached the peer.
+    #[error("connection lost before a reply: {0}")]
     Lost(String),
-    /// The answer began, and broke off or is too large.
-    #[error("broken answer: {0}")]
+    /// The reply started but ended early or is too large.
+    #[error("incomplete reply: {0}")]
     Broken(String),
 }
 
 impl Pool {
-    /// Connects with the first request.
+    /// Creates a pool that opens its first connection with the first request.
     pub fn new(address: SocketAddr, config: PoolConfig) -> Pool {
-        Pool { address, config, unused: Mutex::default(), connections_opened: AtomicU64::new(0) }
+        Pool { address, config, idle: Mutex::default(), connections_opened: AtomicU64::new(0) }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections opened since the start.
+    /// Returns the number of connections opened since the start.
     pub fn connections_opened(&self) -> u64 {
         self.connections_opened.load(Ordering::Relaxed)
     }
 
-    /// Whether nobody listens at the address. A connection that is made for this is kept for the next request.
+    /// Returns whether the address refuses connections, that is, no process listens there. A connection opened by the
+    /// check is kept for the next request.
     pub async fn refuses_connections(&self) -> bool {
         match self.open().await {
             Ok(stream) => {
-                if let Ok(sender) = self.prepared(stream).await {
-                    let until = Instant::now() + self.config.idle_timeout;
-                    self.keep_until(until, sender, None);
+                if let Ok(sender) = self.handshake(stream).await {
+                    let expires_at = Instant::now() + self.config.idle_timeout;
+                    self.keep_until(expires_at, sender, None);
                 }
                 false
             }
@@ -128,18 +129,18 @@
         }
     }
 
-    /// Sends a request and reads the whole answer. The connection is used again only if `is_reusable`
-    /// says so of the answer. Dropping the future closes the connection.
+    /// Sends a request and reads the complete reply. The connection is used again only if `is_reusable` returns true
+    /// for the head of the reply. Dropping the future closes the connection.
     pub async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
         bytes_max: usize,
         is_reusable: impl FnOnce(&Parts) -> bool,
     ) -> Result<Reply, ExchangeError> {
-        self.carry(None, request, bytes_max, is_reusable).await
+        self.exchange_with(None, request, bytes_max, is_reusable).await
     }
 
-    /// As [`Pool::exchange`], for a call of a kind.
+    /// Does the same as [`Pool::exchange`], on a connection whose last call was of another kind.
     pub async fn exchange_of_kind(
         &self,
         kind: CallKind,
@@ -147,10 +148,10 @@
         bytes_max: usize,
         is_reusable: impl FnOnce(&Parts) -> bool,
     ) -> Result<Reply, ExchangeError> {
-        self.carry(Some(kind), request, bytes_max, is_reusable).await
+        self.exchange_with(Some(kind), request, bytes_max, is_reusable).await
     }
 
-    async fn carry(
+    async fn exchange_with(
         &self,
         kind: Option<CallKind>,
         request: Request<Full<Bytes>>,
@@ -166,8 +167,8 @@
         Ok(Reply { parts, body })
     }
 
-    /// The answer's head, and the connection it came on. What was never written goes on with the next kept
-    /// connection, and at last with a new one.
+    /// Sends a request and returns the head of the reply with its connection. A request that was never written is
+    /// tried on further idle connections and finally on a new one.
     async fn send(
         &self,
         kind: Option<CallKind>,
@@ -196,71 +197,76 @@
         }
     }
 
-    fn unused(&self) -> MutexGuard<'_, Vec<Unused>> {
-        self.unused.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection that was used last of those that are open and may carry the call.
+    /// Takes the most recently used idle connection that is open and usable for a call of the kind.
     async fn take(&self, kind: Option<CallKind>) -> Option<Sender> {
         loop {
-            let Unused { mut sender, until, .. } = self.pop(kind)?;
-            if sender.is_closed() || until <= Instant::now() {
+            let IdleConnection { mut sender, expires_at, .. } = self.pop(kind)?;
+            if sender.is_closed() || expires_at <= Instant::now() {
                 continue;
             }
-            if sender.is_ready() || matches!(timeout(READY_MAX, sender.ready()).await, Ok(Ok(()))) {
+            if sender.is_ready()
+                || matches!(timeout(READY_TIMEOUT, sender.ready()).await, Ok(Ok(())))
+            {
                 return Some(sender);
             }
         }
     }
 
-    fn pop(&self, kind: Option<CallKind>) -> Option<Unused> {
-        let mut unused = self.unused();
-        let may_carry = |it: &Unused| kind.is_none() || it.last != kind;
-        let place = unused.iter().rposition(may_carry)?;
-        Some(unused.remove(place))
+    fn pop(&self, kind: Option<CallKind>) -> Option<IdleConnection> {
+        let mut idle = self.idle();
+        let is_usable = |it: &IdleConnection| kind.is_none() || it.last_kind != kind;
+        let index = idle.iter().rposition(is_usable)?;
+        Some(idle.remove(index))
     }
 
-    fn keep(&self, sender: Sender, last: Option<CallKind>, parts: &Parts) {
-        let kept_for = match keep_alive(&parts.headers) {
-            Some(named) => named.saturating_sub(KEEP_ALIVE_MARGIN).min(self.config.idle_timeout),
+    fn keep(&self, sender: Sender, last_kind: Option<CallKind>, parts: &Parts) {
+        let kept_for = match keep_alive_timeout(&parts.headers) {
+            Some(peer) => peer.saturating_sub(KEEP_ALIVE_MARGIN).min(self.config.idle_timeout),
             None => self.config.idle_timeout,
         };
-        if closes(parts) || sender.is_closed() || kept_for.is_zero() {
+        if closes_connection(parts) || sender.is_closed() || kept_for.is_zero() {
             return;
         }
-        self.keep_until(Instant::now() + kept_for, sender, last);
+        self.keep_until(Instant::now() + kept_for, sender, last_kind);
     }
 
-    fn keep_until(&self, until: Instant, sender: Sender, last: Option<CallKind>) {
+    fn keep_until(&self, expires_at: Instant, sender: Sender, last_kind: Option<CallKind>) {
         let now = Instant::now();
-        let mut unused = self.unused();
-        unused.retain(|it| now < it.until && !it.sender.is_closed());
-        if unused.len() < self.config.idle_max {
-            unused.push(Unused { sender, until, last });
+        let mut idle = self.idle();
+        idle.retain(|it| now < it.expires_at && !it.sender.is_closed());
+        if idle.len() < self.config.idle_max {
+            idle.push(IdleConnection { sender, expires_at, last_kind });
         }
     }
 
-    fn prepare(&self, stream: &TcpStream) -> io::Result<()> {
+    fn configure(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let Some(every) = self.config.probe_interval else { return Ok(()) };
-        let probes = TcpKeepalive::new().with_time(every).with_interval(every).with_retries(PROBES);
+        let Some(interval) = self.config.probe_interval else { return Ok(()) };
+        let probes = TcpKeepalive::new()
+            .with_time(interval)
+            .with_interval(interval)
+            .with_retries(UNANSWERED_PROBES_MAX);
         let socket = SockRef::from(stream);
         socket.set_tcp_keepalive(&probes)?;
-        socket.set_tcp_user_timeout(Some(every * (PROBES + 1)))
+        socket.set_tcp_user_timeout(Some(interval * (UNANSWERED_PROBES_MAX + 1)))
     }
 
     async fn connect(&self) -> Result<Sender, ExchangeError> {
         let stream = self.open().await.map_err(|error| match error {
-            Some(error) => not_connected(&error),
+            Some(error) => connect_error(&error),
             None => {
                 let limit = self.config.connect_timeout;
-                ExchangeError::NotSent(format!("no connection in {limit:?}"))
+                ExchangeError::NotSent(format!("connecting timed out after {limit:?}"))
             }
         })?;
-        self.prepared(stream).await
+        self.handshake(stream).await
     }
 
-    /// A new connection; an error of none: it took too long.
+    /// Opens a TCP connection. The error is `None` if connecting timed out.
     async fn open(&self) -> Result<TcpStream, Option<io::Error>> {
         match timeout(self.config.connect_timeout, TcpStream::connect(self.address)).await {
             Ok(result) => result.map_err(Some),
@@ -268,17 +274,17 @@
         }
     }
 
-    async fn prepared(&self, stream: TcpStream) -> Result<Sender, ExchangeError> {
+    async fn handshake(&self, stream: TcpStream) -> Result<Sender, ExchangeError> {
         let closed = |reason: String| ExchangeError::Closed(reason);
         self.connections_opened.fetch_add(1, Ordering::Relaxed);
-        self.prepare(&stream).map_err(|error| closed(error.to_string()))?;
+        self.configure(&stream).map_err(|error| closed(error.to_string()))?;
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| closed(error.to_string()))?;
         let address = self.address;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!(target: "http", "A connection to {address} ended: {error}.");
+                log::debug!(target: "http", "A connection to {address} failed and is closed: {error}.");
             }
         });
         Ok(sender)
@@ -289,13 +295,13 @@
     match Limited::new(body, bytes_max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
-            Err(ExchangeError::Broken(format!("it has more than {bytes_max} bytes")))
+            Err(ExchangeError::Broken(format!("the body is larger than {bytes_max} bytes")))
         }
         Err(error) => Err(ExchangeError::Broken(error.to_string())),
     }
 }
 
-/// The request, if hyper never began to write it.
+/// Returns the request if hyper never started to write it.
 fn unwritten(error: &mut TrySendError<Request<Full<Bytes>>>) -> Option<Request<Full<Bytes>>> {
     if !error.error().is_canceled() {
         return None;
@@ -303,26 +309,26 @@
     error.take_message()
 }
 
-fn not_connected(error: &io::Error) -> ExchangeError {
+fn connect_error(error: &io::Error) -> ExchangeError {
     match error.kind() {
-        // It is refused where nobody listens, and reset once it has been taken.
+        // A connection is refused if no process listens, but reset if the peer closes it after accepting it.
         io::ErrorKind::ConnectionReset => ExchangeError::Closed(error.to_string()),
         _ => ExchangeError::NotSent(error.to_string()),
     }
 }
 
-/// Whether the peer closes the connection behind this answer.
-fn closes(parts: &Parts) -> bool {
-    let named = parts.headers.get_all(CONNECTION).iter().filter_map(|it| it.to_str().ok());
-    let close =
-        named.flat_map(|it| it.split(',')).any(|it| it.trim().eq_ignore_ascii_case("close"));
-    close || parts.version != Version::HTTP_11
+/// Returns whether the peer closes the connection after this reply.
+fn closes_connection(parts: &Parts) -> bool {
+    let options = parts.headers.get_all(CONNECTION).iter().filter_map(|it| it.to_str().ok());
+    let has_close =
+        options.flat_map(|it| it.split(',')).any(|it| it.trim().eq_ignore_ascii_case("close"));
+    has_close || parts.version != Version::HTTP_11
 }
 
-/// How long the peer keeps an unused connection open, if it says so.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
-    let named = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let timeout = named.split(',').find_map(|it| it.trim().strip_prefix("timeout="))?;
+/// Returns how long the peer keeps an idle connection open, if the reply contains that time.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let parameters = headers.get(KEEP_ALIVE)?.to_str().ok()?;
+    let timeout = parameters.split(',').find_map(|it| it.trim().strip_prefix("timeout="))?;
     Some(Duration::from_secs(timeout.trim().parse().ok()?))
 }
 
