--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of an upstream, over `volo-http`.
+//! HTTP client of an upstream, based on `volo-http`.
 
 use std::{error::Error, io, net::SocketAddr, time::Duration};
 
@@ -26,18 +26,20 @@
     control::{Cancel, Grant, Prepare},
 };
 
-/// The header that carries the time left to an upstream, in milliseconds.
+/// Header that carries the remaining time of a request, in milliseconds.
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The headers that carry bounds as points on the upstream's clock, in milliseconds.
+/// Header that carries the time before which a request must start, in milliseconds on the upstream's clock.
 const START_BEFORE_HEADER: HeaderName = HeaderName::from_static("x-start-before-ms");
+/// Header that carries the time by which a request must have ended, in milliseconds on the upstream's clock.
 const END_BEFORE_HEADER: HeaderName = HeaderName::from_static("x-end-before-ms");
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Below the keep-alive of common servers, so that a reused connection is rarely closed already.
+/// Time after which an idle connection is closed. It is below the keep-alive time of common servers, so that the
+/// upstream has rarely closed a connection that is reused.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The largest answer to a control call.
+/// Largest accepted answer to a control call.
 const CONTROL_BYTES_MAX: usize = 64 << 10;
 
-/// An upstream over HTTP. Connections are kept and reused.
+/// [`Upstream`] over HTTP, with connections that are kept and reused.
 #[derive(Clone)]
 pub struct HttpUpstream {
     client: Client,
@@ -46,10 +48,10 @@
     answer_bytes_max: usize,
 }
 
-/// No resolver and no balancing: the address is given.
-struct Direct;
+/// Load-balancing layer that does nothing, since each call is given the address.
+struct NoLoadBalance;
 
-impl MkLbLayer for Direct {
+impl MkLbLayer for NoLoadBalance {
     type Layer = Identity;
 
     fn make(self) -> Identity {
@@ -58,13 +60,13 @@
 }
 
 impl HttpUpstream {
-    /// A client that keeps at most `connections_max` unused connections.
+    /// Creates a client that keeps at most `connections_max` idle connections.
     pub fn new(
         address: SocketAddr,
         connections_max: usize,
         answer_bytes_max: usize,
     ) -> anyhow::Result<HttpUpstream> {
-        let mut builder = ClientBuilder::new().mk_load_balance(Direct);
+        let mut builder = ClientBuilder::new().mk_load_balance(NoLoadBalance);
         builder.set_connect_timeout(CONNECT_TIMEOUT);
         builder.set_pool_idle_timeout(IDLE_TIMEOUT);
         builder.set_max_idle_per_host(connections_max);
@@ -124,21 +126,22 @@
         Ok(Answer { status: parts.status, headers: parts.headers, body })
     }
 
-    /// Tells what provably never left this process from what may have run.
+    /// Distinguishes requests that provably never left this process from requests that may have run.
     fn call_error(&self, error: &ClientError) -> CallError {
         let source = error.source();
         let reason = source.map_or_else(|| error.to_string(), ToString::to_string);
         let peer = self.address;
-        let sent = match source.and_then(|it| it.downcast_ref::<volo_http::hyper::Error>()) {
-            // hyper's word for a request that it never began to write.
+        let may_have_run = match source.and_then(|it| it.downcast_ref::<volo_http::hyper::Error>())
+        {
+            // hyper reports a request that it never started to write as canceled.
             Some(error) => !error.is_canceled(),
-            // A bare I/O error is one of connecting, as is every other kind of error.
+            // A plain I/O error comes from connecting, and so does every error that is not of the kind `Request`.
             None => {
                 *error.kind() == ErrorKind::Request
                     && !source.is_some_and(<dyn Error>::is::<io::Error>)
             }
         };
-        match sent {
+        match may_have_run {
             true => CallError::Lost { step: "call", peer, reason },
             false => CallError::NotSent { step: "connect", peer, reason },
         }
@@ -161,7 +164,7 @@
         collect(response.into_body(), CONTROL_BYTES_MAX).await.map_err(failed)
     }
 
-    async fn ask<T: DeserializeOwned>(&self, step: &'static str) -> Result<T, ControlError> {
+    async fn get<T: DeserializeOwned>(&self, step: &'static str) -> Result<T, ControlError> {
         let body = self.control(step, Method::GET, Bytes::new()).await?;
         serde_json::from_slice(&body).map_err(|error| ControlError {
             step,
@@ -170,8 +173,8 @@
         })
     }
 
-    async fn tell(&self, step: &'static str, body: &impl Serialize) -> Result<(), ControlError> {
-        let body = serde_json::to_vec(body).expect("wire types have a JSON form");
+    async fn post(&self, step: &'static str, body: &impl Serialize) -> Result<(), ControlError> {
+        let body = serde_json::to_vec(body).expect("wire types serialize to JSON");
         self.control(step, Method::POST, body.into()).await.map(drop)
     }
 }
@@ -182,11 +185,11 @@
     }
 
     fn health(&self) -> UpstreamFuture<'_, Result<Health, ControlError>> {
-        Box::pin(self.ask("/control/health"))
+        Box::pin(self.get("/control/health"))
     }
 
     fn load(&self) -> UpstreamFuture<'_, Result<Load, ControlError>> {
-        Box::pin(self.ask("/control/load"))
+        Box::pin(self.get("/control/load"))
     }
 
     fn grant(
@@ -196,11 +199,11 @@
         remaining: Duration,
     ) -> UpstreamFuture<'_, Result<(), ControlError>> {
         let grant = Grant::new(slot, token, whole_ms(remaining));
-        Box::pin(async move { self.tell("/control/grant", &grant).await })
+        Box::pin(async move { self.post("/control/grant", &grant).await })
     }
 
     fn prepare(&self, slot: Slot) -> UpstreamFuture<'_, Result<(), ControlError>> {
-        Box::pin(async move { self.tell("/control/prepare", &Prepare { slot }).await })
+        Box::pin(async move { self.post("/control/prepare", &Prepare { slot }).await })
     }
 
     fn has_exited(&self) -> UpstreamFuture<'_, bool> {
@@ -212,7 +215,7 @@
 
     fn cancel(&self, id: RequestId) -> UpstreamFuture<'_, Result<(), ControlError>> {
         let cancel = Cancel { request_id: format!("{:x}", id.0) };
-        Box::pin(async move { self.tell("/control/cancel", &cancel).await })
+        Box::pin(async move { self.post("/control/cancel", &cancel).await })
     }
 }
 
@@ -230,7 +233,7 @@
     match Limited::new(body, bytes_max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
-            Err(format!("it has more than {bytes_max} bytes"))
+            Err(format!("the body is larger than {bytes_max} bytes"))
         }
         Err(error) => Err(error.to_string()),
     }
