--- a/crates/upstream/src/request.rs
+++ b/crates/upstream/src/request.rs
@@ -1,4 +1,4 @@
-//! The border to an upstream, as a trait.
+//! Traits of the upstream beside an agent, with its requests, answers and key leases.
 
 use std::{future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -8,22 +8,22 @@
 
 use crate::{ControlError, Health, Load};
 
-/// The header with which an upstream says that it did not run a request; the value is `1`.
+/// Header with the value `1` by which an upstream reports that it did not run a request.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// What a call to an upstream resolves to.
+/// Future of a call to an upstream.
 pub type UpstreamFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Bounds of a request as points on the clock that the upstream announces, in milliseconds.
+/// Time bounds of a request on the monotonic clock that the upstream announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockBounds {
-    /// It may not start at this point or after it: the grant has ended by then.
+    /// Time before which the request must start, as the grant ends then.
     pub start_before_ms: u64,
-    /// It must have ended by this point.
+    /// Time by which the request must have ended.
     pub end_before_ms: u64,
 }
 
-/// A request as the upstream is given it.
+/// A request as it is sent to the upstream.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub method: Method,
@@ -31,15 +31,15 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     pub id: RequestId,
-    /// None where the service is not divided by key.
+    /// Fence token of the key's slot. It is `None` if the service is not sharded by key.
     pub token: Option<Token>,
-    /// Time left to answer in.
+    /// Time left until the deadline.
     pub remaining: Duration,
-    /// None where the upstream announces no clock.
+    /// Time bounds. They are `None` if the upstream announces no clock.
     pub bounds: Option<ClockBounds>,
 }
 
-/// A whole answer.
+/// A completely received answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     pub status: StatusCode,
@@ -47,137 +47,137 @@
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Reason for a call without a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum CallError {
-    /// Provably not run: no byte of it left this process.
-    #[error("{step}: upstream {peer} not reached: {reason}")]
+    /// The request was provably not run, as no byte of it left this process.
+    #[error("{step}: could not reach upstream {peer}: {reason}")]
     NotSent { step: &'static str, peer: SocketAddr, reason: String },
-    /// Provably not run: the upstream says so.
+    /// The request was provably not run, as the upstream reported so.
     #[error("upstream {peer} refused the request before running it")]
     Refused { peer: SocketAddr, retry_after: Option<Duration> },
-    /// It may have run.
-    #[error("{step}: upstream {peer} lost: {reason}")]
+    /// The connection was lost; the request may have run.
+    #[error("{step}: lost the connection to upstream {peer}: {reason}")]
     Lost { step: &'static str, peer: SocketAddr, reason: String },
-    /// It has run; the answer is cut short or too large.
-    #[error("{step}: upstream {peer} gave a broken answer: {reason}")]
+    /// The request has run, but its answer is truncated or too large.
+    #[error("{step}: upstream {peer} sent a truncated or too large answer: {reason}")]
     Broken { step: &'static str, peer: SocketAddr, reason: String },
 }
 
-/// The upstream beside an agent.
+/// Calls to the upstream beside an agent.
 pub trait Upstream: Send + Sync {
-    /// Sends one request, once. Dropping the future closes its connection.
+    /// Sends a request exactly once, without retries. Dropping the future closes the connection.
     fn call(&self, request: Request) -> UpstreamFuture<'_, Result<Answer, CallError>>;
     fn health(&self) -> UpstreamFuture<'_, Result<Health, ControlError>>;
     fn load(&self) -> UpstreamFuture<'_, Result<Load, ControlError>>;
-    /// Tells it of a grant and the time left of it.
+    /// Notifies the upstream of the grant of a slot and its remaining time.
     fn grant(
         &self,
         slot: Slot,
         token: Token,
         remaining: Duration,
     ) -> UpstreamFuture<'_, Result<(), ControlError>>;
-    /// Resolves once it is warm for a slot.
+    /// Prepares the upstream for a slot; resolves once it is warm for the slot.
     fn prepare(&self, slot: Slot) -> UpstreamFuture<'_, Result<(), ControlError>>;
-    /// How it is granted keys, where it runs requests only for keys that it holds.
+    /// Returns whether the upstream enforces key leases, and how leases are sent to it.
     fn key_lease_mode(&self) -> KeyLeaseMode<'_> {
         KeyLeaseMode::NotEnforced
     }
-    /// Whether it is to be asked for its health all the time; if not, its announcements and the ends
-    /// of requests have to do.
+    /// Returns whether the upstream's health must be polled. Otherwise its state follows from its announcements and
+    /// from the outcomes of requests.
     fn needs_health_polling(&self) -> bool {
         true
     }
-    /// Whether nobody listens at its address: its process has ended.
+    /// Returns whether the upstream's process has exited, that is, its address refuses connections.
     fn has_exited(&self) -> UpstreamFuture<'_, bool>;
-    /// Ends a running request.
+    /// Cancels a running request.
     fn cancel(&self, id: RequestId) -> UpstreamFuture<'_, Result<(), ControlError>>;
 }
 
-/// How an upstream is granted keys.
+/// Way in which an upstream receives key leases.
 #[derive(Clone, Copy)]
 pub enum KeyLeaseMode<'a> {
-    /// It runs requests for any key.
+    /// The upstream runs requests for any key.
     NotEnforced,
-    /// Each grant and each release is a call to it.
+    /// The agent sends each grant and each release to the upstream as a call.
     ByCall(&'a dyn LeaseEnforcingUpstream),
-    /// It announces what it holds, and the answer says what it is to hold from then on.
+    /// The upstream announces the keys that it holds, and the answer contains the keys to hold from then on.
     ByAnnouncement,
 }
 
 impl KeyLeaseMode<'_> {
-    /// Whether it runs requests only for keys that it holds.
+    /// Returns whether the upstream runs requests only for keys that it holds.
     pub fn is_enforced(&self) -> bool {
         !matches!(self, KeyLeaseMode::NotEnforced)
     }
 }
 
-/// Neighbouring keys, and the token under which they are granted.
+/// Consecutive keys with the fence token under which they are granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GrantedKeys {
     pub keys: KeyRange,
     pub token: Token,
 }
 
-/// What an upstream hands out with keys that it gives up; whoever is granted them with it finds them
-/// warm.
+/// Token that an upstream issues for released keys. A successor that is granted the keys with this token takes over
+/// their warm state.
 pub type HandoverToken = Arc<str>;
 
-/// What an upstream that is granted keys by its announcements says of them.
+/// Keys in an announcement of an upstream that receives its leases by announcement.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AnnouncedKeys {
-    /// What it holds or still works on.
+    /// Keys that the upstream holds or still runs requests for.
     pub held: Vec<GrantedKeys>,
-    /// What it has given up since the last announcement that it knows to have been taken.
+    /// Keys that the upstream has released since its last acknowledged announcement.
     pub released: Vec<ReleasedKeys>,
 }
 
-/// Keys that an upstream has given up, after the work on them has ended.
+/// Keys that an upstream has released after the requests for them had ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleasedKeys {
     pub keys: KeyRange,
     pub handover: HandoverToken,
 }
 
-/// All that an upstream is to hold from now on; it gives up the rest.
+/// Complete set of keys that an upstream must hold from now on. It releases all other keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AssignedKeys {
     pub grants: Vec<KeyGrant>,
-    /// Counted from when the upstream sent its announcement.
+    /// Duration of the leases, counted from when the upstream sent its announcement.
     pub hold: Duration,
 }
 
-/// Keys that are granted, with the token of their last holder if they are new to this one.
+/// Granted keys, with the handover token of their previous holder if this upstream did not hold them before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyGrant {
     pub granted: GrantedKeys,
     pub handover: Option<HandoverToken>,
 }
 
-/// Why a grant was not taken.
+/// Reason for which a grant was not confirmed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum GrantError {
-    /// It has seen a higher token for one of the keys.
-    #[error("upstream {peer} has seen a higher token")]
+    /// The upstream has received a higher fence token for one of the keys.
+    #[error("upstream {peer} has already received a higher fence token for these keys")]
     Outdated { peer: SocketAddr },
-    /// It may or may not take effect, at once or later; its time counts from when it arrived.
-    #[error("upstream {peer}: no answer to a grant: {reason}")]
+    /// The grant may or may not take effect, immediately or later. Its duration counts from its arrival.
+    #[error("upstream {peer} did not confirm a grant of keys: {reason}")]
     Unknown { peer: SocketAddr, reason: String },
 }
 
-/// An upstream that enforces leases of keys itself.
+/// Calls to an upstream that runs requests only for keys of which it holds a lease.
 pub trait LeaseEnforcingUpstream: Send + Sync {
-    /// Grants keys for a time that begins when the call arrives. The same call again renews it.
+    /// Grants keys for the duration `hold`, counted from the arrival of the call. Repeating the call renews the grant.
     fn grant_keys(
         &self,
         granted: GrantedKeys,
         hold: Duration,
         handover: Option<HandoverToken>,
     ) -> UpstreamFuture<'_, Result<(), GrantError>>;
-    /// Stops new work on the keys; resolves to the handover token, which may be empty, when the work that ran on
-    /// them has ended. Runs whose connection has ended may go on nevertheless.
+    /// Stops the upstream from starting requests for the keys; resolves to the handover token, which may be empty, once
+    /// the running requests for them have ended. Requests whose connection was closed may still be running.
     fn release_keys(
         &self,
         granted: GrantedKeys,
