--- a/crates/upstream/src/control.rs
+++ b/crates/upstream/src/control.rs
@@ -1,11 +1,11 @@
-//! Wire types of an upstream's announcement and control port.
+//! Wire types of an upstream's announcements and of its control calls.
 
 use std::{fmt, net::SocketAddr};
 
 use model::{ServiceName, Slot, Token};
 use serde::{Deserialize, Serialize};
 
-/// What an upstream can do at the moment, as it says itself.
+/// State that an upstream reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -15,7 +15,7 @@
     Draining,
 }
 
-/// Answer of `/control/health`.
+/// Answer to `/control/health`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Health {
@@ -23,7 +23,7 @@
     pub slots: u16,
 }
 
-/// Answer of `/control/load`; may lag or lie.
+/// Answer to `/control/load`. The values may be outdated or wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Load {
@@ -40,7 +40,8 @@
     pub state: HealthState,
     pub slots: u16,
     pub checks_fence: bool,
-    /// What its monotonic clock shows, in milliseconds from an origin of its own.
+    /// Time on the upstream's monotonic clock, in milliseconds since an arbitrary origin. It is `None` if the upstream
+    /// announces no clock.
     #[serde(default)]
     pub clock_ms: Option<u64>,
 }
@@ -71,11 +72,11 @@
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct Cancel {
-    /// Hexadecimal, as in the request's header.
+    /// Request id in hexadecimal digits, as in the request's header.
     pub(crate) request_id: String,
 }
 
-/// A control call that failed.
+/// Failure of a control call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlError {
     pub step: &'static str,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,20 +1,20 @@
-//! The upstream beside an agent, over HTTP: its announcements, control port and data port.
+//! HTTP interface of the upstream beside an agent: requests, control calls and announcements.
 //!
-//! HTTP of an upstream:
+//! HTTP served by an upstream:
 //! - `GET /control/health`: 200 `{"state": "starting"|"ready"|"draining", "slots": N}`.
-//! - `GET /control/load`: 200 `{"in_flight": N, "queued": N}`. Both may lag or lie.
-//! - `POST /control/grant` `{"slot", "token": "T.S", "until_ms"}`: the remaining time of the grant;
-//!   an upstream that checks fence tokens refuses requests of lower tokens from then on.
-//! - `POST /control/prepare` `{"slot"}`: answers once it is warm for the slot.
-//! - `POST /control/cancel` `{"request_id"}`: ends a running request.
-//! - Everything else is a request: headers `x-request-id` (hexadecimal), `x-fence-token` (`T.S`),
-//!   `x-deadline-ms` (remaining); `x-start-before-ms` and `x-end-before-ms`, points on the clock that
-//!   the upstream announces. It answers 503 with `x-not-run: 1` when it provably did not run.
+//! - `GET /control/load`: 200 `{"in_flight": N, "queued": N}`. Both values may be outdated or wrong.
+//! - `POST /control/grant` `{"slot", "token": "T.S", "until_ms"}`: `until_ms` is the remaining time of the grant. From
+//!   then on an upstream that checks fence tokens refuses requests with lower tokens.
+//! - `POST /control/prepare` `{"slot"}`: answers once the upstream is warm for the slot.
+//! - `POST /control/cancel` `{"request_id"}`: cancels a running request.
+//! - Every other path is a request, with the headers `x-request-id` (hexadecimal), `x-fence-token` (`T.S`),
+//!   `x-deadline-ms` (remaining time), and `x-start-before-ms` and `x-end-before-ms` (times on the clock that the
+//!   upstream announces). The upstream answers 503 with `x-not-run: 1` if it provably did not run the request.
 //!
-//! An upstream announces itself to the agent beside it: `POST /upstream/announce`
-//! `{"service", "address", "state", "slots", "checks_fence", "clock_ms"}` at the agent's caller port,
-//! at start and every second; the agent's silence or the upstream's ends the pairing after some
-//! seconds. `clock_ms` is optional: what its monotonic clock shows, from an origin of its own.
+//! An upstream announces itself to the agent beside it at start and every second: `POST /upstream/announce`
+//! `{"service", "address", "state", "slots", "checks_fence", "clock_ms"}` at the agent's address for callers. The
+//! pairing ends after some seconds without an announcement or an answer. `clock_ms` is optional: the time on the
+//! upstream's monotonic clock, since an arbitrary origin.
 
 mod client;
 mod control;
