--- a/crates/settings/src/tests/spread.rs
+++ b/crates/settings/src/tests/spread.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::document::MINIMAL;
-use crate::{Accepted, DocumentTable, Judgement, ServiceDocument, judge};
+use crate::{AcceptedDocument, DocumentDecision, DocumentTable, ServiceDocument, decide_document};
 
 const RUNS: u64 = 300;
 const STEPS: usize = 400;
@@ -21,7 +21,7 @@
 struct Store {
     revision: u64,
     document: (ObjectVersion, String),
-    accepted: (ObjectVersion, Option<Accepted>),
+    accepted: (ObjectVersion, Option<AcceptedDocument>),
     /// Every text that was ever written, by its version.
     written: BTreeMap<u64, String>,
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Default)]
 struct Read {
     document: (ObjectVersion, String),
-    accepted: (ObjectVersion, Option<Accepted>),
+    accepted: (ObjectVersion, Option<AcceptedDocument>),
 }
 
 struct World {
@@ -90,8 +90,9 @@
     fn accept(&mut self) {
         let read = self.reads.choose(&mut self.rng).unwrap().clone();
         let (version, text) = &read.document;
-        let verdict = judge(&self.service, read.accepted.1.as_ref(), *version, text.as_bytes());
-        let Judgement::Raise(raised) = verdict else { return };
+        let verdict =
+            decide_document(&self.service, read.accepted.1.as_ref(), *version, text.as_bytes());
+        let DocumentDecision::Raise(raised) = verdict else { return };
         if read.accepted.0 != self.store.accepted.0 {
             return;
         }
@@ -104,7 +105,7 @@
     fn spread(&mut self) {
         let (agent, peer) = (self.rng.random_range(0..AGENTS), self.rng.random_range(0..AGENTS));
         let of_peer = || {
-            let it = self.agents[peer].of(&self.service)?;
+            let it = self.agents[peer].in_force(&self.service)?;
             Some((it.version, it.text.to_string()))
         };
         let offered = match self.rng.random_range(0..10) {
@@ -120,9 +121,9 @@
         };
         let Some((version, text)) = offered else { return };
         let before = self.agents[agent].version(&self.service);
-        let taken = self.agents[agent].take(&self.service, version, &text);
-        assert_eq!(taken, Ok(version > before), "an accepted document can be read");
-        let after = self.agents[agent].of(&self.service).expect("a document");
+        let raised = self.agents[agent].raise(&self.service, version, &text);
+        assert_eq!(raised, Ok(version > before), "an accepted document can be read");
+        let after = self.agents[agent].in_force(&self.service).expect("a document");
         assert_eq!(after.version, before.max(version), "an agent went back");
         assert_eq!(*self.store.written[&after.version.0], *after.text, "text of another version");
     }
@@ -148,8 +149,8 @@
             self.accept();
         }
         let Some(accepted) = self.store.accepted.1.clone() else { return };
-        let Accepted { service, version, document } = accepted;
-        self.agents.iter_mut().for_each(|it| _ = it.take(&service, version, &document));
+        let AcceptedDocument { service, version, document } = accepted;
+        self.agents.iter_mut().for_each(|it| _ = it.raise(&service, version, &document));
     }
 
     /// The highest version that is sound.
@@ -167,7 +168,7 @@
     let newest = world.store.written.keys().next_back().copied();
     let refused = newest != world.last_sound();
     for agent in &world.agents {
-        let version = agent.of(&world.service).map(|it| it.version.0);
+        let version = agent.in_force(&world.service).map(|it| it.version.0);
         match refused {
             // What was overwritten before a coordinator read it is never accepted.
             true => assert!(version <= world.last_sound(), "seed {seed}"),
