--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -1,14 +1,14 @@
-//! Keys hash to slots; slots are what instances own.
+//! Key hashes and the slots into which they are divided. Ownership is assigned by slot.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Fixed for ever: all agents must agree on where a key lies.
+/// Seed of the key hash. It must never change, since all agents must map a key to the same slot.
 const KEY_HASH_SEED: u64 = 0x706f_6d65_6c6f;
 
-/// The hash of a key.
+/// Hash of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -19,14 +19,14 @@
     KeyHash(xxh3_64_with_seed(key, KEY_HASH_SEED))
 }
 
-/// How many keys a service has whose keys are whole numbers from 0, in an order that means
-/// something: neighbours are busy together. At least one.
+/// Number of keys, at least one, of a service whose keys are consecutive integers from 0. Their order is meaningful:
+/// load on a key tends to come with load on its neighbours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OrderedKeys(u32);
 
-/// Neighbouring keys, both ends included.
+/// Inclusive range of ordered keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyRange {
     pub first: u32,
@@ -34,7 +34,7 @@
 }
 
 impl OrderedKeys {
-    /// None for no keys at all.
+    /// Creates a number of keys, or `None` for 0.
     pub fn new(count: u32) -> Option<OrderedKeys> {
         (count > 0).then_some(OrderedKeys(count))
     }
@@ -43,22 +43,21 @@
         self.0
     }
 
-    /// The place of a key among all hashes, such that the order of keys is that of their places.
-    /// None: there is no such key.
+    /// Returns the hash of a key, such that hashes are in the order of the keys. Returns `None` if there is no such key.
     pub fn hash_of(self, key: u32) -> Option<KeyHash> {
-        let place = (u128::from(key) << 64).div_ceil(u128::from(self.0));
-        (key < self.0).then_some(KeyHash(place as u64))
+        let hash = (u128::from(key) << 64).div_ceil(u128::from(self.0));
+        (key < self.0).then_some(KeyHash(hash as u64))
     }
 
-    /// The keys of neighbouring slots, of which there are no more than keys.
+    /// Returns the keys of the slots from `first` to `last`. The number of slots must not exceed the number of keys.
     pub fn range_of_slots(self, slot_count: SlotCount, first: Slot, last: Slot) -> KeyRange {
-        let begin =
+        let first_key =
             |slot: u64| (slot * u64::from(self.0)).div_ceil(u64::from(slot_count.count())) as u32;
-        KeyRange { first: begin(first.0.into()), last: begin(u64::from(last.0) + 1) - 1 }
+        KeyRange { first: first_key(first.0.into()), last: first_key(u64::from(last.0) + 1) - 1 }
     }
 }
 
-/// A share of a service's keys that is owned as a whole.
+/// Number of a slot, a share of a service's keys that has one owner at a time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -70,22 +69,22 @@
     }
 }
 
-/// How many slots the keys of one group are spread over: 1 to 4096.
+/// Number of slots into which the keys of one group are divided, 1 to 4096.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(try_from = "u16", into = "u16")]
 pub struct SlotCount(u16);
 
-/// A number of slots out of range.
+/// Error for a number of slots that is out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("the number of slots is 1 to {max}, not {0}", max = SlotCount::MAX)]
+#[error("the number of slots must be 1 to {max}, not {0}", max = SlotCount::MAX)]
 pub struct SlotCountError(u16);
 
 impl SlotCount {
     pub const MAX: u16 = 4096;
 
-    /// Makes a count of 1 to [`SlotCount::MAX`] slots.
+    /// Creates a number of 1 to [`SlotCount::MAX`] slots.
     pub fn new(count: u16) -> Result<SlotCount, SlotCountError> {
         match count {
             1..=Self::MAX => Ok(SlotCount(count)),
@@ -93,7 +92,7 @@
         }
     }
 
-    /// The slot in which a hash lies: equal ranges of the hash, in order.
+    /// Returns the slot of a hash. The slots divide the hash range into equal parts, in ascending order.
     pub fn slot_of(self, hash: KeyHash) -> Slot {
         Slot(((u128::from(hash.0) * u128::from(self.0)) >> 64) as u16)
     }
