--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, whoever sends it and however often.
+//! Fingerprint of a request's content, independent of the caller and of the attempt.
 
 use std::fmt;
 
@@ -6,14 +6,15 @@
 
 use crate::key_hash;
 
-/// Stands for the content of a request: the same for all attempts of all callers that ask for the same.
+/// Hash of a request's content, equal for all attempts and callers that send the same content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Of the parts in their order; where one ends and the next begins counts.
+    /// Computes the fingerprint of the parts in their order. The boundaries between parts are hashed as well, so the
+    /// same bytes divided differently give another fingerprint.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Fingerprint {
         let mut bytes = Vec::with_capacity(256);
         for part in parts {
--- a/crates/model/src/identity.rs
+++ b/crates/model/src/identity.rs
@@ -6,11 +6,12 @@
 
 use crate::{InstanceName, Zone};
 
-/// The bits of a version below its era: enough for 80 years at 400 changes a second.
+/// Number of low bits of a version that hold the revision, enough for 80 years at 400 changes per second. The bits
+/// above hold the era.
 const REVISION_BITS: u32 = 40;
 const REVISION_MAX: u64 = (1 << REVISION_BITS) - 1;
 
-macro_rules! numbers {
+macro_rules! number_types {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -26,39 +27,41 @@
     )*};
 }
 
-numbers! {
-    /// One life of an agent process: drawn at random when it starts.
+number_types! {
+    /// Identifier of one execution of an agent process, drawn at random at its start.
     Incarnation(u64);
-    /// A coordinator's term in one group; rises with each change of coordinator.
+    /// Term of a coordinator in one group. It increases with each change of coordinator.
     Term(u64);
-    /// The version that the platform gives an object, above all that it gave before; 0 means "does not exist".
+    /// Version that the platform assigns to a state of an object, higher than all versions assigned before. 0 means that
+    /// the object does not exist.
     ObjectVersion(u64);
-    /// The accepted version of a service document; only rises.
+    /// Accepted version of a service document. It never decreases.
     ConfigVersion(u64);
-    /// A group of at most 32 members within a service.
+    /// Number of a group of at most 32 members within a service.
     GroupId(u16);
-    /// A request, named by its caller; the same through all resends.
+    /// Identifier of a request, chosen by its caller and equal for all its attempts.
     RequestId(u128);
 }
 
 impl ObjectVersion {
-    /// A store that comes back from an older copy gives revisions out again, in a later era.
+    /// Combines an era and a revision. A store that was rolled back to an older snapshot assigns the same revisions
+    /// again, in a later era.
     pub fn of(era: u64, revision: u64) -> ObjectVersion {
         ObjectVersion(era << REVISION_BITS | revision & REVISION_MAX)
     }
 
-    /// How often the store had come back from an older copy.
+    /// Returns the number of rollbacks of the store before this version.
     pub fn era(self) -> u64 {
         self.0 >> REVISION_BITS
     }
 
-    /// The store's own number.
+    /// Returns the store's revision within the era.
     pub fn revision(self) -> u64 {
         self.0 & REVISION_MAX
     }
 }
 
-/// A fence token: rises with each grant of a slot, first by term, then by sequence.
+/// Fence token. It increases with each grant of a slot and is compared by term first, then by sequence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Token {
@@ -72,16 +75,16 @@
     }
 }
 
-/// One life of an agent, with the addresses at which its peers reach it.
+/// One incarnation of an agent, with the addresses at which peers reach it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Instance {
     pub name: InstanceName,
     pub incarnation: Incarnation,
     pub zone: Zone,
-    /// Where its control thread listens.
+    /// Address at which the control thread listens.
     pub control: SocketAddr,
-    /// Where its traffic threads listen for forwarded requests.
+    /// Address at which the traffic threads listen for forwarded requests.
     pub traffic: SocketAddr,
 }
 
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names, identifiers, units and the key hash that every other crate shares.
+//! Names, identifiers, units and the key hash that all other crates share.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers.
+//! This crate does no I/O, reads no clock and draws no random numbers.
 
 mod fingerprint;
 mod identity;
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -1,25 +1,25 @@
-//! Names as shared immutable strings, checked once when they are made.
+//! Names as shared immutable strings, validated once at their creation.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name that is accepted, in bytes.
+/// Length of the longest valid name.
 const NAME_MAX_BYTES: usize = 63;
 
-/// Why a text is no name.
+/// Reason for which a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum NameError {
-    #[error("a name may not be empty")]
+    #[error("a name must not be empty")]
     Empty,
-    #[error("a name has at most {NAME_MAX_BYTES} bytes, this one has {0}")]
+    #[error("a name must have at most {NAME_MAX_BYTES} bytes, not {0}")]
     TooLong(usize),
     #[error("a name holds a-z, 0-9, '-', '_' and '.', not {0:?}")]
     Character(char),
 }
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
@@ -33,7 +33,7 @@
     }
 }
 
-macro_rules! names {
+macro_rules! name_types {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,9 +42,9 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes a name of 1 to 63 bytes out of `a-z 0-9 - _ .`.
+            /// Creates a name of 1 to 63 bytes from the characters `a-z 0-9 - _ .`.
             pub fn new(text: &str) -> Result<$name, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok($name(Arc::from(text)))
             }
 
@@ -75,15 +75,15 @@
     )*};
 }
 
-names! {
-    /// A customer of the system; the `tenant` label of histograms.
+name_types! {
+    /// Name of a customer of the system, the value of the label `tenant` in histograms.
     TeamName;
-    /// A service, described by one document.
+    /// Name of a service, which is described by one document.
     ServiceName;
-    /// An availability zone.
+    /// Name of an availability zone.
     Zone;
-    /// A class of requests within a service, such as `penalty` or `lap`.
+    /// Name of a class of requests within a service, such as `penalty` or `lap`.
     ClassName;
-    /// An instance: one upstream with the agent beside it.
+    /// Name of an instance, that is, a machine with one upstream and the agent beside it.
     InstanceName;
 }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,4 +1,4 @@
-//! A point on one process's monotonic clock.
+//! Points in time on the monotonic clock of one process.
 
 use std::{
     ops::{Add, Sub},
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Nanoseconds since an origin of the process's own choosing. Never sent to another process.
+/// Point in time, in nanoseconds since an origin that each process chooses. It is never sent to another process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -22,7 +22,7 @@
         Timestamp { ns: ms * 1_000_000 }
     }
 
-    /// Time passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_nanos(self.ns.saturating_sub(earlier.ns))
     }
