--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -165,12 +165,9 @@
     fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
         let refuse = |status, text: &str| Err((status, text.to_owned()));
         match () {
-            _ if head.uri.path() != Self::PATH => refuse(
-                StatusCode::NOT_FOUND,
-                "unknown path; announcements go to /upstream/announce",
-            ),
+            _ if head.uri.path() != Self::PATH => refuse(StatusCode::NOT_FOUND, "no such call"),
             _ if head.method != Method::POST => {
-                refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement must be sent by POST")
+                refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement is a POST")
             }
             _ => {
                 let announced: AnnouncementBody = serde_json::from_slice(body)
--- a/crates/agent/src/ingress/refusal.rs
+++ b/crates/agent/src/ingress/refusal.rs
@@ -7,25 +7,25 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Refusal {
-    #[error("the first segment of the path is not the name of a service")]
+    #[error("the path's first segment names no service")]
     NoService,
-    #[error("there is no route for this host and path")]
+    #[error("no route leads on from this host and path")]
     NoHostRoute,
-    #[error("this agent does not know the routes of the service yet")]
+    #[error("the routes of this service are not known here yet")]
     RoutesUnknown,
     #[error("{0}")]
     NoRoute(RouteError),
     #[error("{0}")]
     NoKey(RouteError),
-    #[error("the key is not a whole number or is out of range")]
+    #[error("the key is no whole number, or too large a one")]
     KeyOutOfRange,
-    #[error("the header {header} is not {expected}")]
+    #[error("{header}: {expected}")]
     Header { header: HeaderName, expected: &'static str },
-    #[error("the path and headers exceed {bytes_max} bytes")]
+    #[error("the headers have more than {bytes_max} bytes")]
     HeadersTooLarge { bytes_max: usize },
-    #[error("the body exceeds {bytes_max} bytes")]
+    #[error("the body has more than {bytes_max} bytes")]
     BodyTooLarge { bytes_max: usize },
-    #[error("the body ended before it was complete")]
+    #[error("the body broke off")]
     BodyBroken,
 }
 
