--- a/xtask/src/bench/config.rs
+++ b/xtask/src/bench/config.rs
@@ -16,7 +16,7 @@
 use super::{process_usage::rates, spread::Spread};
 use crate::{
     cluster::{Binaries, Cluster, Profile, Service},
-    demo::{Callers, PROBE_PATH, SERVICES, line},
+    demo::{Callers, PROBE_PATH, SERVICES, print_line},
 };
 
 /// The service whose document changes.
@@ -57,7 +57,7 @@
 pub(crate) async fn run(seed: u64) -> anyhow::Result<Vec<ConfigRow>> {
     let binaries = Binaries::build(Profile::Release)?;
     let cluster = Cluster::start(SERVICES, &binaries, seed).await?;
-    cluster.wait_serving().await?;
+    cluster.wait_until_serving().await?;
     let service = cluster.service(SERVICE).context("a service that changes")?.clone();
     let texts = [service.text.clone(), service.text_with_refusing_route(PROBE_PATH)?];
     let client = AgentClient::new()?;
@@ -93,7 +93,7 @@
             p99_ms: percentile(&in_force_ms, 0.99),
             platform_calls_per_s: rates(&before, &after, began.elapsed()),
         };
-        line(&format!("{:8} in force after {} ms", row.phase, row.in_force_ms))?;
+        print_line(&format!("{:8} in force after {} ms", row.phase, row.in_force_ms))?;
         Ok(row)
     }
 
@@ -119,9 +119,9 @@
     async fn fail_platform(&self, outage: Option<Duration>) -> anyhow::Result<()> {
         let Some(outage) = outage else { return Ok(()) };
         sleep(OUTAGE_AFTER).await;
-        self.cluster.platform_fault(r#"{"down": true}"#).await?;
+        self.cluster.set_platform_faults(r#"{"down": true}"#).await?;
         sleep(outage).await;
-        self.cluster.platform_fault(r#"{"down": false}"#).await
+        self.cluster.set_platform_faults(r#"{"down": false}"#).await
     }
 
     /// When an agent first decides by the document.
--- a/xtask/src/bench/faults/mod.rs
+++ b/xtask/src/bench/faults/mod.rs
@@ -8,8 +8,8 @@
 use super::{BenchOptions, spread::Spread};
 use crate::{
     cluster::{Binaries, Profile},
-    demo::{line, verdict::Verdict},
-    turn,
+    demo::{print_line, verdict::Verdict},
+    run_lock,
 };
 
 /// All scenarios that were measured.
@@ -54,13 +54,13 @@
     options: &BenchOptions,
 ) -> anyhow::Result<ScenarioReport> {
     // Others may have their turn between two scenarios.
-    let _turn = turn::wait().await?;
+    let _run_lock = run_lock::acquire().await?;
     let seeds: Vec<u64> = (0..options.repeats as u64).map(|it| options.seed + it).collect();
     let mut verdicts = Vec::new();
     for seed in &seeds {
         let verdict = scenario.run(binaries, *seed).await?;
         for finding in verdict.findings.iter().take(3) {
-            line(&format!("{} with seed {seed}: {finding}", scenario.name))?;
+            print_line(&format!("{} with seed {seed}: {finding}", scenario.name))?;
         }
         verdicts.push(verdict);
     }
@@ -75,7 +75,7 @@
         breaches: verdicts.iter().map(breaches).sum(),
         seeds,
     };
-    line(&format!(
+    print_line(&format!(
         "{:24} unavailable {} ms, churn {}, unknown {}, breaches {}",
         report.name, report.unavailable_ms, report.churn, report.unknown, report.breaches
     ))?;
--- a/xtask/src/bench/faults/scenario.rs
+++ b/xtask/src/bench/faults/scenario.rs
@@ -122,17 +122,18 @@
     }
 
     async fn play(&self, cluster: &mut Cluster, seed: u64) -> anyhow::Result<Verdict> {
-        cluster.wait_serving().await?;
+        cluster.wait_until_serving().await?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let before = BEFORE + Duration::from_millis(rng.random_range(BEFORE_JITTER_MS));
         let load = before + OUTAGE_LEAD + FREEZE + AFTER;
         let mut evidence = Evidence::default();
         let from_ns = wall_ns();
         let load_ns = u64::try_from(load.as_nanos()).unwrap_or(u64::MAX);
-        evidence.watched = Window { from_ns, until_ns: from_ns + load_ns };
-        evidence.churn = evidence.watched;
+        evidence.observed = Window { from_ns, until_ns: from_ns + load_ns };
+        evidence.churn_window = evidence.observed;
         evidence.probed_keys = probed_keys().collect();
-        evidence.quiet = Window { from_ns, until_ns: from_ns + u64::try_from(BEFORE.as_nanos())? };
+        evidence.fault_free =
+            Window { from_ns, until_ns: from_ns + u64::try_from(BEFORE.as_nanos())? };
         let callers = Callers::start(cluster, load, Instant::now(), seed);
         sleep(before).await;
         self.prepare_platform(cluster).await?;
@@ -148,16 +149,16 @@
         match self.platform {
             PlatformState::Up | PlatformState::OutageAfter => {}
             PlatformState::OutageBefore => {
-                cluster.platform_fault(r#"{"down": true}"#).await?;
+                cluster.set_platform_faults(r#"{"down": true}"#).await?;
                 sleep(OUTAGE_LEAD).await;
-                cluster.platform_fault(r#"{"down": false}"#).await?;
+                cluster.set_platform_faults(r#"{"down": false}"#).await?;
             }
             PlatformState::OutageDuring => {
-                cluster.platform_fault(r#"{"down": true}"#).await?;
+                cluster.set_platform_faults(r#"{"down": true}"#).await?;
                 sleep(OUTAGE_LEAD).await;
             }
             PlatformState::LosesAnswers => {
-                cluster.platform_fault(r#"{"lose_answers": 3}"#).await?;
+                cluster.set_platform_faults(r#"{"lose_answers": 3}"#).await?;
             }
         }
         Ok(())
@@ -167,7 +168,7 @@
         match self.platform {
             PlatformState::OutageDuring | PlatformState::OutageAfter => {
                 sleep(OUTAGE).await;
-                cluster.platform_fault(r#"{"down": false}"#).await
+                cluster.set_platform_faults(r#"{"down": false}"#).await
             }
             _ => Ok(()),
         }
@@ -205,10 +206,10 @@
         match self.strike {
             Strike::Kill => {
                 for victim in victims {
-                    evidence.sick.push(cluster.instances[*victim].kill().await?);
+                    evidence.ingress_outages.push(cluster.instances[*victim].kill().await?);
                 }
                 if outage_after {
-                    cluster.platform_fault(r#"{"down": true}"#).await?;
+                    cluster.set_platform_faults(r#"{"down": true}"#).await?;
                 }
             }
             Strike::Freeze => {
@@ -216,7 +217,7 @@
                 let frozen_ns = frozen.collect::<anyhow::Result<Vec<u64>>>()?;
                 sleep(FREEZE).await;
                 for (victim, frozen_ns) in victims.iter().zip(frozen_ns) {
-                    evidence.sick.push(cluster.instances[*victim].thaw(frozen_ns)?);
+                    evidence.ingress_outages.push(cluster.instances[*victim].resume(frozen_ns)?);
                 }
             }
             Strike::PauseAgent => {
@@ -224,7 +225,9 @@
                 let paused_ns = paused.collect::<anyhow::Result<Vec<u64>>>()?;
                 sleep(PAUSE).await;
                 for (victim, paused_ns) in victims.iter().zip(paused_ns) {
-                    evidence.sick.push(cluster.instances[*victim].resume_agent(paused_ns)?);
+                    evidence
+                        .ingress_outages
+                        .push(cluster.instances[*victim].resume_agent(paused_ns)?);
                 }
             }
             Strike::Leave => {
--- a/xtask/src/bench/losses.rs
+++ b/xtask/src/bench/losses.rs
@@ -4,7 +4,7 @@
 use ownership::sim::{LossReport, measure_losses};
 use serde::Serialize;
 
-use crate::demo::line;
+use crate::demo::print_line;
 
 /// Hosts of a group; four, five and seven spread differently over three zones.
 const HOSTS: [usize; 3] = [4, 5, 7];
@@ -35,7 +35,7 @@
     });
     let rows: Vec<LossRow> = rows.collect();
     for it in &rows {
-        line(&format!(
+        print_line(&format!(
             "{} hosts, {:24} p50 {} ms, longest {} ms; others {} ms",
             it.hosts, it.lost, it.unavailable_p50_ms, it.unavailable_max_ms, it.bystander_max_ms
         ))?;
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -22,7 +22,7 @@
 use serde_json::json;
 
 use self::machine::Machine;
-use crate::{cluster::repository, demo::line};
+use crate::{cluster::repository, demo::print_line};
 
 /// Flags of `cargo xtask bench`.
 #[derive(Debug)]
@@ -62,13 +62,13 @@
         return run_optimised();
     }
     let machine = Machine::read()?;
-    line(&machine.to_string())?;
+    print_line(&machine.to_string())?;
     let result = match options.name.as_str() {
         "path" => json!(path::run(&options).await?),
         "faults" => json!(faults::run(&options).await?),
         "ownership" => {
             let report = ownership::run(options.seed);
-            report.lines().iter().try_for_each(|it| line(it))?;
+            report.lines().iter().try_for_each(|it| print_line(it))?;
             json!(report)
         }
         "config" => json!(config::run(options.seed).await?),
@@ -91,7 +91,7 @@
         save(&options, &machine, &result)?;
     }
     if options.json {
-        line(&json!({ "machine": machine, "result": result }).to_string())?;
+        print_line(&json!({ "machine": machine, "result": result }).to_string())?;
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/xtask/src/bench/ownership/report.rs
+++ b/xtask/src/bench/ownership/report.rs
@@ -26,7 +26,7 @@
         let title =
             |it: &WorkloadReport| format!("{}, {} s, {} keys", it.workload, it.seconds, it.keys);
         let workload = |it: &WorkloadReport| {
-            let rows = it.policies.iter().map(Measured::line);
+            let rows = it.policies.iter().map(Measured::table_row);
             [title(it), HEADER.to_owned()].into_iter().chain(rows).collect::<Vec<_>>()
         };
         self.workloads.iter().flat_map(workload).collect()
@@ -143,7 +143,7 @@
         self.unavailable_longest_ms = self.unavailable_longest_ms.max(longest_s * 1000.0);
     }
 
-    fn line(&self) -> String {
+    fn table_row(&self) -> String {
         format!(
             "  {:<32} {:>18.3} {:>6.3} {:>6.1}% | {:>14.4}% {:>6.4}% | {:>18.2} {:>5.0} ms | {:>7} {:>5}",
             self.policy,
--- a/xtask/src/bench/path/cases.rs
+++ b/xtask/src/bench/path/cases.rs
@@ -65,7 +65,7 @@
     ) -> anyhow::Result<Bench<'a>> {
         let specs = [spec(instances, service_ms)];
         let cluster = Cluster::start(&specs, binaries, options.seed).await?;
-        cluster.wait_serving().await?;
+        cluster.wait_until_serving().await?;
         // New upstreams are given their full share after a while only.
         sleep(cluster.services[0].document.upstream.warmup + WARM_MARGIN).await;
         Ok(Bench { cluster, binaries, seed: options.seed })
--- a/xtask/src/bench/path/mod.rs
+++ b/xtask/src/bench/path/mod.rs
@@ -9,8 +9,8 @@
 use super::BenchOptions;
 use crate::{
     cluster::{Binaries, Profile},
-    demo::line,
-    turn,
+    demo::print_line,
+    run_lock,
 };
 
 /// All figures of the request path.
@@ -27,7 +27,7 @@
 /// Runs all cases, or the one that is asked for.
 pub(crate) async fn run(options: &BenchOptions) -> anyhow::Result<PathReport> {
     let binaries = Binaries::build(Profile::Release)?;
-    let _turn = turn::wait().await?;
+    let _run_lock = run_lock::acquire().await?;
     let wanted = |case: &str| options.case.is_empty() || options.case == case;
     let mut report = PathReport {
         latency: None,
@@ -38,26 +38,26 @@
     };
     if wanted("latency") {
         let latency = cases::latency(&binaries, options).await?;
-        line(&format!("latency at a steady rate: {latency:#?}"))?;
+        print_line(&format!("latency at a steady rate: {latency:#?}"))?;
         report.latency = Some(latency);
     }
     if wanted("peak") {
         let peak = cases::peak(&binaries, options).await?;
-        line(&format!("peak: {peak:#?}"))?;
+        print_line(&format!("peak: {peak:#?}"))?;
         report.peak = Some(peak);
     }
     if wanted("open_callers") {
         let open_callers = cases::open_callers(&binaries, options).await?;
-        line(&format!("open callers: {open_callers:#?}"))?;
+        print_line(&format!("open callers: {open_callers:#?}"))?;
         report.open_callers = Some(open_callers);
     }
     if wanted("scaling") {
         report.scaling = cases::scaling(&binaries, options).await?;
-        line(&format!("upstreams: {:#?}", report.scaling))?;
+        print_line(&format!("upstreams: {:#?}", report.scaling))?;
     }
     if wanted("rush") {
         report.rush = cases::rush(&binaries, options).await?;
-        line(&format!("rush: {:#?}", report.rush))?;
+        print_line(&format!("rush: {:#?}", report.rush))?;
     }
     Ok(report)
 }
--- a/xtask/src/bench/rest.rs
+++ b/xtask/src/bench/rest.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     cluster::{Binaries, Cluster, Instance, Profile},
-    demo::{SERVICES, line},
+    demo::{SERVICES, print_line},
 };
 
 /// Time for plans, witnesses and statuses to come to rest.
@@ -51,7 +51,7 @@
 pub(crate) async fn run(seed: u64) -> anyhow::Result<RestReport> {
     let binaries = Binaries::build(Profile::Release)?;
     let cluster = Cluster::start(SERVICES, &binaries, seed).await?;
-    cluster.wait_serving().await?;
+    cluster.wait_until_serving().await?;
     sleep(SETTLE).await;
     let usages: Vec<Usage> = cluster.instances.iter().map(usage).collect::<Result<_, _>>()?;
     let counts = cluster.platform_counts().await?;
@@ -73,7 +73,10 @@
         groups: cluster.services.len(),
     };
     for it in &report.roles {
-        line(&format!("{:12} cpu {} us/s, memory {} kB", it.role, it.cpu_us_per_s, it.memory_kb))?;
+        print_line(&format!(
+            "{:12} cpu {} us/s, memory {} kB",
+            it.role, it.cpu_us_per_s, it.memory_kb
+        ))?;
     }
     Ok(report)
 }
--- a/xtask/src/bench/slopes/mod.rs
+++ b/xtask/src/bench/slopes/mod.rs
@@ -16,7 +16,7 @@
 
 use self::fit::{Fit, Point};
 use super::BenchOptions;
-use crate::demo::line;
+use crate::demo::print_line;
 
 /// All slopes.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
         slopes.extend(routes::measure());
     }
     for slope in &slopes {
-        line(&describe(slope))?;
+        print_line(&describe(slope))?;
     }
     Ok(SlopesReport { header_bytes: wire_size::HEADER_BYTES, slopes })
 }
--- a/xtask/src/cluster/binaries.rs
+++ b/xtask/src/cluster/binaries.rs
@@ -1,4 +1,4 @@
-//! The programs under test, built by cargo.
+//! Programs under test, built by cargo.
 
 use std::{
     path::{Path, PathBuf},
@@ -7,17 +7,17 @@
 
 use anyhow::Context;
 
-/// How the programs are built.
+/// Cargo profile that the programs are built with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Profile {
-    /// For verdicts: shares its build with the tests, and keeps overflow checks and debug
-    /// assertions on.
+    /// For correctness checks: shares its build with the tests, and keeps overflow checks and debug
+    /// assertions enabled.
     Dev,
-    /// For figures of speed.
+    /// For performance measurements.
     Release,
 }
 
-/// Paths of the programs.
+/// Paths of the built programs.
 #[derive(Debug, Clone)]
 pub(crate) struct Binaries {
     pub(crate) agent: PathBuf,
@@ -27,7 +27,7 @@
 }
 
 impl Binaries {
-    /// Builds the programs and finds them beside this one.
+    /// Builds the programs and locates them in the target folder of the running xtask.
     pub(crate) fn build(profile: Profile) -> anyhow::Result<Binaries> {
         let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
         let mut command = Command::new(cargo);
@@ -37,8 +37,8 @@
             command.arg("--release");
         }
         let status = command.status().context("starting cargo build")?;
-        anyhow::ensure!(status.success(), "cargo build ended with {status}");
-        let own = std::env::current_exe().context("finding the path of xtask")?;
+        anyhow::ensure!(status.success(), "cargo build failed with {status}");
+        let own = std::env::current_exe().context("finding the path of the xtask executable")?;
         let target = own.parent().and_then(Path::parent).context("finding the target folder")?;
         let folder = target.join(match profile {
             Profile::Dev => "debug",
@@ -53,7 +53,7 @@
     }
 }
 
-/// The root of the repository.
+/// Returns the root folder of the repository.
 pub(crate) fn repository() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap_or(Path::new("."))
 }
--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -14,8 +14,8 @@
     upstream::ENDED_UNDER_A_RUN,
 };
 
-use super::{Binaries, Ports, Process, RunDir, Service};
-use crate::demo::evidence::{PlannedStop, SickIngress, UpstreamJournal, Window};
+use super::{Binaries, PortAllocator, Process, RunDir, Service};
+use crate::demo::evidence::{IngressOutage, PlannedStop, UpstreamJournal, Window};
 
 /// Shared by all agents of a run; what it is does not matter on loopback.
 const LINK_KEY: &str = "a key for loopback only";
@@ -37,16 +37,16 @@
     upstream_flags: Vec<String>,
     agent: Option<Process>,
     upstream: Option<Process>,
-    gone_ns: Option<u64>,
+    exited_ns: Option<u64>,
     frozen: Vec<Window>,
     /// Counts the lives of the upstream; each writes a journal of its own.
-    life: u32,
-    past: Vec<PastLife>,
+    incarnation: u32,
+    past_incarnations: Vec<PastIncarnation>,
 }
 
 /// What an instance is started with.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct StartWith<'a> {
+pub(crate) struct StartContext<'a> {
     pub(crate) binaries: &'a Binaries,
     pub(crate) dir: &'a RunDir,
     /// Where it reaches the platform.
@@ -58,9 +58,9 @@
 
 /// A life of an upstream that has ended, with its journal.
 #[derive(Debug)]
-struct PastLife {
-    life: u32,
-    gone_ns: u64,
+struct PastIncarnation {
+    incarnation: u32,
+    exited_ns: u64,
     frozen: Vec<Window>,
 }
 
@@ -69,7 +69,7 @@
     pub(crate) fn plan(
         service: &Service,
         number: usize,
-        ports: &mut Ports,
+        ports: &mut PortAllocator,
     ) -> anyhow::Result<Instance> {
         let zones = service.spec.zones;
         let traits = &service.document.upstream;
@@ -97,24 +97,24 @@
                 .collect(),
             agent: None,
             upstream: None,
-            gone_ns: None,
+            exited_ns: None,
             frozen: Vec::new(),
-            life: 1,
-            past: Vec::new(),
+            incarnation: 1,
+            past_incarnations: Vec::new(),
         })
     }
 
-    pub(crate) fn start(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
+    pub(crate) fn start(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
         self.start_agent(with)?;
         self.start_upstream(with)
     }
 
-    fn start_upstream(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
+    fn start_upstream(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
         let mut arguments = self.upstream_flags.clone();
         let flags = [
             ("--listen", self.upstream_address.to_string()),
             ("--agent", self.caller.to_string()),
-            ("--journal", self.journal_file(with.dir, self.life).display().to_string()),
+            ("--journal", self.journal_file(with.dir, self.incarnation).display().to_string()),
             ("--seed", with.seed.to_string()),
         ];
         arguments.extend(flags.into_iter().flat_map(|(name, it)| [name.to_owned(), it]));
@@ -125,7 +125,7 @@
     }
 
     /// Starts the agent alone, beside an upstream that lives on or is started next.
-    pub(crate) fn start_agent(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
+    pub(crate) fn start_agent(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
         let settings = self.write_settings(with.dir, with.platform, with.peers)?;
         let arguments = ["--settings".to_owned(), settings.display().to_string()];
         let name = format!("{}-agent", self.name);
@@ -135,30 +135,38 @@
     }
 
     /// Starts both parts again at their addresses, once both have ended.
-    pub(crate) fn start_again(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
-        let gone_ns = self.gone_ns.take().with_context(|| format!("{} is up", self.name))?;
+    pub(crate) fn restart(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
+        let exited_ns = self.exited_ns.take().with_context(|| format!("{} is up", self.name))?;
         let frozen = std::mem::take(&mut self.frozen);
-        self.past.push(PastLife { life: self.life, gone_ns, frozen });
-        self.life += 1;
+        self.past_incarnations.push(PastIncarnation {
+            incarnation: self.incarnation,
+            exited_ns,
+            frozen,
+        });
+        self.incarnation += 1;
         self.start(with)
     }
 
     /// From its next start on, a request for this key ends its upstream.
-    pub(crate) fn ends_on(&mut self, key: &str) {
+    pub(crate) fn crash_on_key(&mut self, key: &str) {
         self.upstream_flags.extend(["--ends-on".to_owned(), key.to_owned()]);
     }
 
     /// Whether a request has ended the upstream.
-    pub(crate) fn has_ended_under_a_run(&self) -> anyhow::Result<bool> {
+    pub(crate) fn has_crashed_in_request(&self) -> anyhow::Result<bool> {
         let status = self.upstream()?.exit_status()?;
         Ok(status.is_some_and(|it| it.code() == Some(ENDED_UNDER_A_RUN)))
     }
 
     /// Starts the upstream again, which has ended by itself beside a live agent.
-    pub(crate) fn start_upstream_again(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
+    pub(crate) fn restart_upstream(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
         let frozen = std::mem::take(&mut self.frozen);
-        self.past.push(PastLife { life: self.life, gone_ns: wall_ns(), frozen });
-        self.life += 1;
+        self.past_incarnations.push(PastIncarnation {
+            incarnation: self.incarnation,
+            exited_ns: wall_ns(),
+            frozen,
+        });
+        self.incarnation += 1;
         self.start_upstream(with)
     }
 
@@ -188,13 +196,13 @@
         Ok(path)
     }
 
-    fn journal_file(&self, dir: &RunDir, life: u32) -> PathBuf {
-        dir.file(&format!("{}-{}.jsonl", self.name, life))
+    fn journal_file(&self, dir: &RunDir, incarnation: u32) -> PathBuf {
+        dir.file(&format!("{}-{}.jsonl", self.name, incarnation))
     }
 
-    pub(crate) async fn wait_listening(&self) -> anyhow::Result<()> {
-        self.agent()?.wait_listening(self.caller).await?;
-        self.upstream()?.wait_listening(self.upstream_address).await
+    pub(crate) async fn wait_until_listening(&self) -> anyhow::Result<()> {
+        self.agent()?.wait_until_listening(self.caller).await?;
+        self.upstream()?.wait_until_listening(self.upstream_address).await
     }
 
     pub(crate) fn agent(&self) -> anyhow::Result<&Process> {
@@ -206,8 +214,8 @@
     }
 
     /// Whether neither part has been ended.
-    pub(crate) fn is_up(&self) -> bool {
-        self.gone_ns.is_none()
+    pub(crate) fn is_running(&self) -> bool {
+        self.exited_ns.is_none()
     }
 
     fn signal(&self, signal: Signal) -> anyhow::Result<()> {
@@ -216,21 +224,21 @@
     }
 
     /// Kills both parts at once.
-    pub(crate) async fn kill(&mut self) -> anyhow::Result<SickIngress> {
+    pub(crate) async fn kill(&mut self) -> anyhow::Result<IngressOutage> {
         let from_ns = wall_ns();
         self.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
         self.upstream()?.wait(STOP_TIMEOUT).await?;
-        self.gone_ns = Some(wall_ns());
-        Ok(self.sick(from_ns, u64::MAX))
+        self.exited_ns = Some(wall_ns());
+        Ok(self.outage(from_ns, u64::MAX))
     }
 
     /// Kills the agent alone; the upstream lives on.
-    pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<SickIngress> {
+    pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<IngressOutage> {
         let from_ns = wall_ns();
         self.agent()?.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
-        Ok(self.sick(from_ns, u64::MAX))
+        Ok(self.outage(from_ns, u64::MAX))
     }
 
     /// Freezes both parts. The signals have reached both when this returns; a process of several
@@ -241,10 +249,10 @@
     }
 
     /// Lets both parts go on.
-    pub(crate) fn thaw(&mut self, frozen_ns: u64) -> anyhow::Result<SickIngress> {
+    pub(crate) fn resume(&mut self, frozen_ns: u64) -> anyhow::Result<IngressOutage> {
         self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_ns() });
         self.signal(Signal::SIGCONT)?;
-        Ok(self.sick(frozen_ns, wall_ns()))
+        Ok(self.outage(frozen_ns, wall_ns()))
     }
 
     /// Freezes the agent alone.
@@ -254,27 +262,27 @@
     }
 
     /// Lets the agent go on.
-    pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<SickIngress> {
+    pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<IngressOutage> {
         self.agent()?.signal(Signal::SIGCONT)?;
-        Ok(self.sick(paused_ns, wall_ns()))
+        Ok(self.outage(paused_ns, wall_ns()))
     }
 
-    fn sick(&self, from_ns: u64, until_ns: u64) -> SickIngress {
-        SickIngress { caller_address: self.caller, window: Window { from_ns, until_ns } }
+    fn outage(&self, from_ns: u64, until_ns: u64) -> IngressOutage {
+        IngressOutage { caller_address: self.caller, window: Window { from_ns, until_ns } }
     }
 
     /// Tells both parts to leave and waits for their ends.
     pub(crate) async fn leave(&mut self) -> anyhow::Result<PlannedStop> {
         let from_ns = wall_ns();
-        let began = Instant::now();
+        let started = Instant::now();
         self.signal(Signal::SIGTERM)?;
         for process in [self.agent()?, self.upstream()?] {
             let status = process.wait(STOP_TIMEOUT).await?;
             let in_order = status.success() || status.code() == Some(ENDED_UNDER_A_RUN);
             anyhow::ensure!(in_order, "{} ended with {status} when told to", self.name);
         }
-        log::info!(target: "demo", "{} left within {:?}.", self.name, began.elapsed());
-        self.gone_ns = Some(wall_ns());
+        log::info!(target: "demo", "{} left within {:?}.", self.name, started.elapsed());
+        self.exited_ns = Some(wall_ns());
         let window = Window { from_ns, until_ns: wall_ns() };
         let instance = self.name.clone();
         Ok(PlannedStop { instance, caller_address: self.caller, window })
@@ -286,19 +294,23 @@
         dir: &RunDir,
         keyed: bool,
     ) -> anyhow::Result<Vec<UpstreamJournal>> {
-        let gone_ns = self.gone_ns.unwrap_or_else(wall_ns);
-        let last = PastLife { life: self.life, gone_ns, frozen: self.frozen.clone() };
-        let lives = self.past.iter().chain([&last]);
-        lives.map(|it| self.journal_of(it, dir, keyed)).collect()
+        let exited_ns = self.exited_ns.unwrap_or_else(wall_ns);
+        let last = PastIncarnation {
+            incarnation: self.incarnation,
+            exited_ns,
+            frozen: self.frozen.clone(),
+        };
+        let incarnations = self.past_incarnations.iter().chain([&last]);
+        incarnations.map(|it| self.journal_of(it, dir, keyed)).collect()
     }
 
     fn journal_of(
         &self,
-        life: &PastLife,
+        incarnation: &PastIncarnation,
         dir: &RunDir,
         keyed: bool,
     ) -> anyhow::Result<UpstreamJournal> {
-        let file = self.journal_file(dir, life.life);
+        let file = self.journal_file(dir, incarnation.incarnation);
         // An upstream opens its journal before it serves: one that was killed earlier has run nothing.
         let entries = if file.exists() { read_journal(&file)? } else { Vec::new() };
         Ok(UpstreamJournal {
@@ -306,8 +318,8 @@
             service: self.service.clone(),
             keyed,
             entries,
-            gone_ns: life.gone_ns,
-            frozen: life.frozen.clone(),
+            exited_ns: incarnation.exited_ns,
+            frozen: incarnation.frozen.clone(),
         })
     }
 }
--- a/xtask/src/cluster/mod.rs
+++ b/xtask/src/cluster/mod.rs
@@ -8,8 +8,8 @@
 mod service;
 
 pub(crate) use binaries::{Binaries, Profile, repository};
-pub(crate) use instance::{Instance, StartWith};
-pub(crate) use ports::Ports;
+pub(crate) use instance::{Instance, StartContext};
+pub(crate) use ports::PortAllocator;
 pub(crate) use process::Process;
 pub(crate) use run_dir::RunDir;
 pub(crate) use service::{Service, ServiceSpec, key};
@@ -49,7 +49,7 @@
         binaries: &Binaries,
         seed: u64,
     ) -> anyhow::Result<Cluster> {
-        let mut ports = Ports::new();
+        let mut ports = PortAllocator::new();
         let mut cluster = Cluster::prepare(specs, binaries, &mut ports, seed).await?;
         let platform_address = cluster.platform_address;
         cluster.start_instances(binaries, seed, |_| platform_address).await?;
@@ -60,7 +60,7 @@
     pub(crate) async fn prepare(
         specs: &[ServiceSpec],
         binaries: &Binaries,
-        ports: &mut Ports,
+        ports: &mut PortAllocator,
         seed: u64,
     ) -> anyhow::Result<Cluster> {
         let dir = RunDir::new(seed)?;
@@ -68,7 +68,7 @@
         let platform_address = ports.next()?;
         let listen = ["--listen".to_owned(), platform_address.to_string()];
         let platform = Process::spawn("platform", &binaries.platform, &listen, &dir)?;
-        platform.wait_listening(platform_address).await?;
+        platform.wait_until_listening(platform_address).await?;
         let client = Client::builder()
             .build()
             .map_err(|error| anyhow::anyhow!("building an HTTP client: {error}"))?;
@@ -107,9 +107,9 @@
             let peers = self.peers(index);
             let instance = &mut self.instances[index];
             let (dir, platform, peers) = (&self.dir, platform(index), peers.as_slice());
-            instance.start(&StartWith { binaries, dir, platform, peers, seed })?;
+            instance.start(&StartContext { binaries, dir, platform, peers, seed })?;
         }
-        let waits = self.instances.iter().map(Instance::wait_listening);
+        let waits = self.instances.iter().map(Instance::wait_until_listening);
         try_join_all(waits).await?;
         Ok(())
     }
@@ -122,7 +122,7 @@
     }
 
     /// Waits until each agent answers for each service of its team.
-    pub(crate) async fn wait_serving(&self) -> anyhow::Result<()> {
+    pub(crate) async fn wait_until_serving(&self) -> anyhow::Result<()> {
         let client = AgentClient::new()?;
         let rules = CallRules { patience: START_TIMEOUT, ..CallRules::default() };
         let mut probes = Vec::new();
@@ -157,19 +157,19 @@
     }
 
     /// Sets switches of the platform, as JSON.
-    pub(crate) async fn platform_fault(&self, faults: &str) -> anyhow::Result<()> {
+    pub(crate) async fn set_platform_faults(&self, faults: &str) -> anyhow::Result<()> {
         self.platform_call(Method::POST, "admin/fault", faults.to_owned()).await?;
         Ok(())
     }
 
     /// Has the platform keep a copy of itself.
-    pub(crate) async fn platform_keeps_copy(&self) -> anyhow::Result<()> {
+    pub(crate) async fn snapshot_platform(&self) -> anyhow::Result<()> {
         self.platform_call(Method::POST, "admin/keep-copy", String::new()).await?;
         Ok(())
     }
 
     /// Has the platform come back from its copy.
-    pub(crate) async fn platform_rolls_back(&self) -> anyhow::Result<()> {
+    pub(crate) async fn roll_back_platform(&self) -> anyhow::Result<()> {
         self.platform_call(Method::POST, "admin/roll-back", String::new()).await?;
         Ok(())
     }
--- a/xtask/src/cluster/process.rs
+++ b/xtask/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! A child process, ended by its id and always reaped.
+//! A child process that is signalled by its process id and always reaped.
 
 use std::{
     fs::{File, OpenOptions},
@@ -21,10 +21,10 @@
 
 use super::RunDir;
 
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Killed and reaped when dropped.
+/// Child process, killed and reaped when dropped.
 #[derive(Debug)]
 pub(crate) struct Process {
     name: String,
@@ -33,7 +33,7 @@
 }
 
 impl Process {
-    /// Starts a program whose output goes to a log in the run's folder.
+    /// Starts a program and redirects its output to a log file in the run's folder.
     pub(crate) fn spawn(
         name: &str,
         program: &Path,
@@ -44,11 +44,11 @@
         let child = Command::new(program)
             .args(arguments)
             .stdin(Stdio::null())
-            .stdout(log.try_clone().context("sharing a log")?)
+            .stdout(log.try_clone().context("duplicating the handle of the log file")?)
             .stderr(log)
             .spawn()
             .with_context(|| format!("starting {name}, {}", program.display()))?;
-        let pid = Pid::from_raw(i32::try_from(child.id()).context("a process id out of range")?);
+        let pid = Pid::from_raw(i32::try_from(child.id()).context("process id out of range")?);
         Ok(Process { name: name.to_owned(), pid, child: Mutex::new(child) })
     }
 
@@ -56,7 +56,7 @@
         self.pid.as_raw()
     }
 
-    /// Sends a signal, unless the process has been reaped: its id may be another's by then.
+    /// Sends a signal, unless the process has been reaped: the system may have reused its id.
     pub(crate) fn signal(&self, signal: Signal) -> anyhow::Result<()> {
         if self.exit_status()?.is_some() {
             return Ok(());
@@ -64,33 +64,41 @@
         kill(self.pid, signal).with_context(|| format!("sending {signal} to {}", self.name))
     }
 
-    /// Reaps the process if it has ended.
+    /// Returns the exit status and reaps the process if it has exited.
     pub(crate) fn exit_status(&self) -> anyhow::Result<Option<ExitStatus>> {
         let mut child = self.child.lock().unwrap_or_else(PoisonError::into_inner);
-        child.try_wait().with_context(|| format!("waiting for {}", self.name))
+        child.try_wait().with_context(|| format!("checking whether {} has exited", self.name))
     }
 
-    /// Waits for its end; an error after the limit.
-    pub(crate) async fn wait(&self, limit: Duration) -> anyhow::Result<ExitStatus> {
-        let deadline = Instant::now() + limit;
+    /// Waits until the process exits; fails after `timeout`.
+    pub(crate) async fn wait(&self, timeout: Duration) -> anyhow::Result<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.exit_status()? {
                 return Ok(status);
             }
-            anyhow::ensure!(Instant::now() < deadline, "{} still runs after {limit:?}", self.name);
-            sleep(POLL).await;
+            anyhow::ensure!(
+                Instant::now() < deadline,
+                "{} did not exit within {timeout:?}",
+                self.name
+            );
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until it takes connections.
-    pub(crate) async fn wait_listening(&self, address: SocketAddr) -> anyhow::Result<()> {
+    /// Waits until the process accepts connections at the address.
+    pub(crate) async fn wait_until_listening(&self, address: SocketAddr) -> anyhow::Result<()> {
         let deadline = Instant::now() + LISTEN_TIMEOUT;
         while TcpStream::connect(address).await.is_err() {
             if let Some(status) = self.exit_status()? {
-                anyhow::bail!("{} ended with {status} before it took connections", self.name);
+                anyhow::bail!("{} exited with {status} before it accepted connections", self.name);
             }
-            anyhow::ensure!(Instant::now() < deadline, "{} does not listen", self.name);
-            sleep(POLL).await;
+            anyhow::ensure!(
+                Instant::now() < deadline,
+                "{} did not accept connections in time",
+                self.name
+            );
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -99,7 +107,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         let child = self.child.get_mut().unwrap_or_else(PoisonError::into_inner);
-        // Both fail only where the process has been reaped already.
+        // Both fail only if the process has been reaped already.
         let _ = child.kill();
         let _ = child.wait();
     }
@@ -111,5 +119,5 @@
         .create(true)
         .append(true)
         .open(&path)
-        .with_context(|| format!("opening the log {}", path.display()))
+        .with_context(|| format!("opening the log file {}", path.display()))
 }
--- a/xtask/src/cluster/run_dir.rs
+++ b/xtask/src/cluster/run_dir.rs
@@ -1,10 +1,10 @@
-//! The folder with the settings, logs and journals of one run.
+//! Temporary folder with the settings, logs and journals of one run.
 
 use std::path::{Path, PathBuf};
 
 use anyhow::Context;
 
-/// Removed when dropped, unless it is kept.
+/// Folder that is removed when dropped, unless [`RunDir::keep`] was called.
 #[derive(Debug)]
 pub(crate) struct RunDir {
     path: PathBuf,
@@ -16,7 +16,7 @@
         let name = format!("pomelohill-{}-{seed}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)
-            .with_context(|| format!("making the folder {}", path.display()))?;
+            .with_context(|| format!("creating the folder {}", path.display()))?;
         Ok(RunDir { path, keep: false })
     }
 
@@ -36,7 +36,7 @@
 impl Drop for RunDir {
     fn drop(&mut self) {
         if !self.keep {
-            // What cannot be removed stays in the system's folder for temporary files.
+            // On an error the folder stays in the system's folder for temporary files.
             let _ = std::fs::remove_dir_all(&self.path);
         }
     }
--- a/xtask/src/cluster/service.rs
+++ b/xtask/src/cluster/service.rs
@@ -1,4 +1,4 @@
-//! A service of a deployment: its document, its size and what callers ask of it.
+//! A service of a deployment: its document, its number of instances and the requests of its callers.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 
 use super::repository;
 
-/// A service as a deployment plans it.
+/// Service as a deployment declares it.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceSpec {
     pub(crate) team: &'static str,
-    /// Where its document is, from the root of the repository.
+    /// Path of the service's document, relative to the root of the repository.
     pub(crate) document: &'static str,
     pub(crate) instances: usize,
     pub(crate) zones: &'static [&'static str],
-    /// `METHOD:PATH:repeat|once:SHARE`, the first one idempotent.
+    /// Routes as `METHOD:PATH:repeat|once:SHARE`; the first one has to be idempotent.
     pub(crate) routes: &'static [&'static str],
-    /// Mean time that an upstream takes for a request.
+    /// Mean service time of a request at an upstream.
     pub(crate) service_ms: f64,
 }
 
-/// A service with its checked document.
+/// Service with its parsed and validated document.
 #[derive(Debug, Clone)]
 pub(crate) struct Service {
     pub(crate) spec: ServiceSpec,
@@ -35,7 +35,7 @@
     pub(crate) routes: Vec<RouteMix>,
 }
 
-/// The name of a key.
+/// Returns the shard key with the given number.
 pub(crate) fn key(index: usize) -> String {
     format!("key-{index}")
 }
@@ -56,13 +56,14 @@
         self.document.service.as_str()
     }
 
-    /// An idempotent request; ids are apart from those that callers draw.
+    /// Builds an idempotent request on the first route; its id differs from all ids that callers
+    /// draw.
     pub(crate) fn probe(&self, number: u64) -> CallRequest {
         let route = &self.routes[0];
         self.request(route.method.clone(), &route.path, number)
     }
 
-    /// An idempotent request to any path.
+    /// Builds an idempotent request to the given path.
     pub(crate) fn request(&self, method: Method, path: &str, number: u64) -> CallRequest {
         let key = key(0);
         CallRequest {
@@ -79,10 +80,10 @@
         }
     }
 
-    /// The document with one more route in front, which needs a key in a header that nobody sends:
-    /// once it is in force, requests to its path are refused as bad ones.
+    /// Returns the document with an additional first route, whose shard key is in a header that no
+    /// caller sends: once the document is in force, requests to this path get `bad-request`.
     pub(crate) fn text_with_refusing_route(&self, path: &str) -> anyhow::Result<String> {
-        let class = self.document.classes.first().context("a document without classes")?;
+        let class = self.document.classes.first().context("the document has no request classes")?;
         let route = json!({
             "method": "GET",
             "path": path,
@@ -91,7 +92,11 @@
             "idempotent": true,
         });
         let changed = self.text.replacen("\"routes\": [", &format!("\"routes\": [ {route},"), 1);
-        anyhow::ensure!(changed != self.text, "{} has no routes", self.spec.document);
+        anyhow::ensure!(
+            changed != self.text,
+            "{}: found no \"routes\" list to extend",
+            self.spec.document
+        );
         Ok(changed)
     }
 }
--- a/xtask/src/demo/config_probe.rs
+++ b/xtask/src/demo/config_probe.rs
@@ -21,7 +21,7 @@
 
 /// A path that the document refuses once it is changed.
 pub(crate) const PROBE_PATH: &str = "/config-probe";
-const PROBE_EVERY: Duration = Duration::from_millis(50);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 /// An agent that was struck or left within this time after a change is not waited for.
 const WAIT_MAX_NS: u64 = 5_000_000_000;
 
@@ -85,7 +85,7 @@
     stop: watch::Receiver<bool>,
 ) -> Vec<Sample> {
     let mut samples = Vec::new();
-    let mut ticks = interval(PROBE_EVERY);
+    let mut ticks = interval(PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let path = format!("/{}{PROBE_PATH}", service.name());
     while !*stop.borrow() {
@@ -105,7 +105,7 @@
 }
 
 /// Judges a change: how long until the last agent had it in force, and whether one went back.
-pub(crate) fn judge(
+pub(crate) fn evaluate_change(
     change: Option<&ConfigChange>,
     samples: &[Sample],
     evidence: &Evidence,
@@ -116,7 +116,7 @@
     agents.dedup();
     let from_ns = change.acknowledged_ns;
     let wait = Window { from_ns, until_ns: from_ns + WAIT_MAX_NS };
-    let waited = agents.iter().filter(|it| !was_struck(evidence, **it, wait));
+    let waited = agents.iter().filter(|it| !was_faulty(evidence, **it, wait));
     let in_force_ns = waited.map(|agent| {
         let of_agent = samples.iter().filter(|it| it.agent == *agent);
         of_agent.filter(|it| it.changed == Some(true)).map(|it| it.ended_ns).min()
@@ -127,13 +127,14 @@
     ConfigProbe { in_force_ms: last_ns.map(|it| it.saturating_sub(from_ns) / 1_000_000), reverted }
 }
 
-fn was_struck(evidence: &Evidence, agent: SocketAddr, wait: Window) -> bool {
-    let sick = evidence.sick.iter().map(|it| (it.caller_address, it.window));
+fn was_faulty(evidence: &Evidence, agent: SocketAddr, wait: Window) -> bool {
+    let outages = evidence.ingress_outages.iter().map(|it| (it.caller_address, it.window));
     let stops = evidence.stops.iter().map(|it| {
         // An agent that has left does not come back.
         (it.caller_address, Window { until_ns: u64::MAX, ..it.window })
     });
-    sick.chain(stops)
+    outages
+        .chain(stops)
         .any(|(address, window)| address == agent && window.overlaps(wait.from_ns, wait.until_ns))
 }
 
--- a/xtask/src/demo/evidence.rs
+++ b/xtask/src/demo/evidence.rs
@@ -14,15 +14,15 @@
     pub(crate) calls: Vec<CallRecord>,
     pub(crate) upstreams: Vec<UpstreamJournal>,
     pub(crate) stops: Vec<PlannedStop>,
-    pub(crate) sick: Vec<SickIngress>,
+    pub(crate) ingress_outages: Vec<IngressOutage>,
     /// The time in which each key should be served.
-    pub(crate) watched: Window,
+    pub(crate) observed: Window,
     /// Keys that are asked for all the time. How long another one is not served can't be told.
     pub(crate) probed_keys: HashSet<String>,
     /// A time without faults, for the imbalance.
-    pub(crate) quiet: Window,
+    pub(crate) fault_free: Window,
     /// The time over which changes of owners are counted: up to the last stops, which move all.
-    pub(crate) churn: Window,
+    pub(crate) churn_window: Window,
 }
 
 /// Wall-clock nanoseconds from `from_ns` to `until_ns`.
@@ -51,7 +51,7 @@
     pub(crate) keyed: bool,
     pub(crate) entries: Vec<RunEntry>,
     /// When the process had ended; runs without an end count as open until then.
-    pub(crate) gone_ns: u64,
+    pub(crate) exited_ns: u64,
     /// When the process was stopped by a signal.
     pub(crate) frozen: Vec<Window>,
 }
@@ -66,7 +66,7 @@
 
 /// An agent that was killed or frozen: what callers met there says nothing about a key.
 #[derive(Debug, Clone)]
-pub(crate) struct SickIngress {
+pub(crate) struct IngressOutage {
     pub(crate) caller_address: SocketAddr,
     pub(crate) window: Window,
 }
@@ -124,7 +124,7 @@
                         key: key.clone(),
                         token: token.as_deref().and_then(parse_token),
                         from_ns: *at_ns,
-                        until_ns: self.gone_ns,
+                        until_ns: self.exited_ns,
                         end: None,
                     });
                 }
--- a/xtask/src/demo/faults.rs
+++ b/xtask/src/demo/faults.rs
@@ -13,13 +13,13 @@
 use crate::cluster::{Cluster, Instance};
 
 /// From one fault to the next.
-const SPACING: Duration = Duration::from_millis(4_500);
-const JITTER_MS: std::ops::Range<u64> = 0..1_000;
-const FREEZE_MS: std::ops::Range<u64> = 1_500..3_000;
-const OUTAGE_MS: std::ops::Range<u64> = 3_000..6_000;
+const FAULT_SPACING: Duration = Duration::from_millis(4_500);
+const JITTER_RANGE_MS: std::ops::Range<u64> = 0..1_000;
+const FREEZE_RANGE_MS: std::ops::Range<u64> = 1_500..3_000;
+const OUTAGE_RANGE_MS: std::ops::Range<u64> = 3_000..6_000;
 /// How long a change of a document is tried again while the platform is down.
-const CHANGE_TRIES: u32 = 100;
-const CHANGE_AGAIN: Duration = Duration::from_millis(100);
+const CHANGE_ATTEMPTS_MAX: u32 = 100;
+const CHANGE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// One fault, with what it strikes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -56,13 +56,13 @@
     let mut faults = Vec::new();
     if let [killed, frozen, ..] = keyed[..] {
         faults.push(Fault::Kill(killed));
-        faults.push(Fault::Freeze(frozen, draw_ms(&mut rng, FREEZE_MS)));
+        faults.push(Fault::Freeze(frozen, draw_ms(&mut rng, FREEZE_RANGE_MS)));
         let mut rest = indexes(candidates, |_| true);
         rest.retain(|it| *it != killed && *it != frozen);
         rest.shuffle(&mut rng);
         faults.extend(rest.first().copied().map(Fault::Leave));
     }
-    faults.push(Fault::PlatformOutage(draw_ms(&mut rng, OUTAGE_MS)));
+    faults.push(Fault::PlatformOutage(draw_ms(&mut rng, OUTAGE_RANGE_MS)));
     if let Some(index) = keyed.last() {
         faults.push(Fault::ChangeDocument(candidates[*index].service.to_owned()));
     }
@@ -71,8 +71,8 @@
     faults
         .into_iter()
         .map(|fault| {
-            let planned = PlannedFault { after: after + draw_ms(&mut rng, JITTER_MS), fault };
-            after += SPACING;
+            let planned = PlannedFault { after: after + draw_ms(&mut rng, JITTER_RANGE_MS), fault };
+            after += FAULT_SPACING;
             planned
         })
         .collect()
@@ -87,7 +87,7 @@
 }
 
 /// Brings the faults about, each at its time, and waits for their ends.
-pub(crate) async fn strike(
+pub(crate) async fn inject(
     cluster: &mut Cluster,
     faults: &[PlannedFault],
     start: Instant,
@@ -100,17 +100,17 @@
         log::info!(target: "demo", "{fault:?}.");
         match fault {
             Fault::Kill(index) => {
-                let sick = cluster.instances[*index].kill().await?;
-                evidence.sick.push(sick);
+                let outage = cluster.instances[*index].kill().await?;
+                evidence.ingress_outages.push(outage);
             }
             Fault::Freeze(index, duration) => {
                 let frozen_ns = cluster.instances[*index].freeze()?;
                 wait_until(cluster, Instant::now() + *duration, &mut outage_until).await?;
-                evidence.sick.push(cluster.instances[*index].thaw(frozen_ns)?);
+                evidence.ingress_outages.push(cluster.instances[*index].resume(frozen_ns)?);
             }
             Fault::Leave(index) => evidence.stops.push(cluster.instances[*index].leave().await?),
             Fault::PlatformOutage(duration) => {
-                cluster.platform_fault(r#"{"down": true}"#).await?;
+                cluster.set_platform_faults(r#"{"down": true}"#).await?;
                 outage_until = Some(Instant::now() + *duration);
             }
             Fault::ChangeDocument(service) => {
@@ -138,17 +138,17 @@
 async fn end_outage(cluster: &Cluster, outage_until: &mut Option<Instant>) -> anyhow::Result<()> {
     let Some(until) = outage_until.take() else { return Ok(()) };
     sleep_until(until).await;
-    cluster.platform_fault(r#"{"down": false}"#).await
+    cluster.set_platform_faults(r#"{"down": false}"#).await
 }
 
 async fn change_document(cluster: &Cluster, name: &str) -> anyhow::Result<ConfigChange> {
     let service = cluster.service(name).ok_or_else(|| anyhow::anyhow!("no service {name}"))?;
     let text = service.text_with_refusing_route(PROBE_PATH)?;
-    for _ in 0..CHANGE_TRIES {
+    for _ in 0..CHANGE_ATTEMPTS_MAX {
         if cluster.put_document(name, &text).await.is_ok() {
             return Ok(ConfigChange::now(name));
         }
-        sleep(CHANGE_AGAIN).await;
+        sleep(CHANGE_RETRY_DELAY).await;
     }
     anyhow::bail!("the platform took no change of {name}")
 }
@@ -161,7 +161,7 @@
 ) -> anyhow::Result<()> {
     let names: Vec<String> = cluster.services.iter().map(|it| it.name().to_owned()).collect();
     let mut groups: Vec<Vec<&mut Instance>> = names.iter().map(|_| Vec::new()).collect();
-    for instance in cluster.instances.iter_mut().filter(|it| it.is_up()) {
+    for instance in cluster.instances.iter_mut().filter(|it| it.is_running()) {
         let group = names.iter().position(|it| *it == instance.service);
         if let Some(group) = group {
             groups[group].push(instance);
@@ -191,7 +191,7 @@
     cluster: &mut Cluster,
     evidence: &mut Evidence,
 ) -> anyhow::Result<()> {
-    let rest = cluster.instances.iter_mut().filter(|it| it.is_up()).map(|it| it.leave());
+    let rest = cluster.instances.iter_mut().filter(|it| it.is_running()).map(|it| it.leave());
     evidence.stops.extend(futures_util::future::try_join_all(rest).await?);
     Ok(())
 }
--- a/xtask/src/demo/load.rs
+++ b/xtask/src/demo/load.rs
@@ -11,8 +11,8 @@
 use crate::cluster::{Cluster, Service, key};
 
 /// Callers of each service in the first second.
-const RUSH_CALLERS: usize = 100;
-const RUSH: Duration = Duration::from_secs(1);
+const BURST_CALLERS: usize = 100;
+const BURST_DURATION: Duration = Duration::from_secs(1);
 const STEADY_CALLERS: usize = 20;
 /// Often enough that each of the keys is asked for every 60 ms or so.
 const STEADY_REQUESTS_PER_S: f64 = 400.0;
@@ -25,7 +25,7 @@
 const HOT_SHARE: f64 = 0.1;
 const ANSWER_BYTES: usize = 2_000;
 const DEADLINE: Duration = Duration::from_secs(1);
-const PATIENCE: Duration = Duration::from_secs(8);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Callers at work in the background.
 pub(crate) struct Callers {
@@ -79,10 +79,15 @@
         hot_share: 0.0,
         ..steady.clone()
     };
-    let rush = Load { callers: RUSH_CALLERS, duration: RUSH, pace: Pace::Closed, ..broad.clone() };
+    let burst = Load {
+        callers: BURST_CALLERS,
+        duration: BURST_DURATION,
+        pace: Pace::Closed,
+        ..broad.clone()
+    };
     match service.document.keyed {
-        true => vec![rush, steady, broad],
-        false => vec![rush, steady],
+        true => vec![burst, steady, broad],
+        false => vec![burst, steady],
     }
 }
 
@@ -103,7 +108,7 @@
         hot_share: HOT_SHARE,
         answer_bytes: ANSWER_BYTES,
         deadline: DEADLINE,
-        rules: CallRules { patience: PATIENCE, ..CallRules::default() },
+        rules: CallRules { patience: WAIT_TIMEOUT, ..CallRules::default() },
         seed: 0,
         journal: String::new(),
     }
--- a/xtask/src/demo/mod.rs
+++ b/xtask/src/demo/mod.rs
@@ -18,27 +18,28 @@
 use tokio::time::{Instant, sleep_until};
 
 pub(crate) use self::{
-    config_probe::PROBE_PATH, deployments::SERVICES, faults::stop_rest, load::Callers, report::line,
+    config_probe::PROBE_PATH, deployments::SERVICES, faults::stop_rest, load::Callers,
+    report::print_line,
 };
 
 use self::{
-    config_probe::{Probes, judge},
+    config_probe::{Probes, evaluate_change},
     evidence::{Evidence, Window},
     faults::{Candidate, Fault, PlannedFault},
     verdict::Verdict,
 };
 use crate::{
     cluster::{Binaries, Cluster, Profile},
-    turn,
+    run_lock,
 };
 
 /// The first second belongs to the rush; the next ones show the spread without faults.
-const QUIET_FROM: Duration = Duration::from_secs(1);
-const FIRST_FAULT: Duration = Duration::from_secs(4);
-const FAULTS_END: Duration = Duration::from_secs(29);
+const QUIET_AFTER: Duration = Duration::from_secs(1);
+const FIRST_FAULT_AFTER: Duration = Duration::from_secs(4);
+const FAULTS_END_AFTER: Duration = Duration::from_secs(29);
 /// Callers go on for so long while instances leave one after another.
-const LOAD: Duration = Duration::from_secs(40);
-const LOAD_WITHOUT_FAULTS: Duration = Duration::from_secs(8);
+const LOAD_DURATION: Duration = Duration::from_secs(40);
+const LOAD_DURATION_WITHOUT_FAULTS: Duration = Duration::from_secs(8);
 
 /// Flags of `cargo xtask demo`.
 #[derive(Debug)]
@@ -60,16 +61,19 @@
 pub(crate) async fn run(options: DemoOptions) -> anyhow::Result<ExitCode> {
     // The run of the tests' profile keeps its checks on, and a fresh clone builds it but once.
     let binaries = Binaries::build(Profile::Dev)?;
-    let _turn = turn::wait().await?;
+    let _run_lock = run_lock::acquire().await?;
     let seed = options.seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    report::line(&format!("seed {seed}"))?;
+    report::print_line(&format!("seed {seed}"))?;
     let mut cluster = Cluster::start(deployments::SERVICES, &binaries, seed).await?;
-    let work = play(&mut cluster, seed, !options.no_faults).await;
+    let work = run_scenario(&mut cluster, seed, !options.no_faults).await;
     let (evidence, verdict) = match work {
         Ok(done) => done,
         Err(error) => {
             cluster.dir.keep();
-            report::line(&format!("logs and journals are in {}", cluster.dir.path().display()))?;
+            report::print_line(&format!(
+                "logs and journals are in {}",
+                cluster.dir.path().display()
+            ))?;
             return Err(error.context(format!("seed {seed}")));
         }
     };
@@ -81,32 +85,32 @@
     Ok(if verdict.holds() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn play(
+async fn run_scenario(
     cluster: &mut Cluster,
     seed: u64,
     with_faults: bool,
 ) -> anyhow::Result<(Evidence, Verdict)> {
-    cluster.wait_serving().await?;
+    cluster.wait_until_serving().await?;
     let faults = match with_faults {
         true => plan(cluster, seed),
         false => Vec::new(),
     };
-    let load = if with_faults { LOAD } else { LOAD_WITHOUT_FAULTS };
+    let load = if with_faults { LOAD_DURATION } else { LOAD_DURATION_WITHOUT_FAULTS };
     let mut evidence = Evidence::default();
     let start = Instant::now() + Duration::from_millis(100);
     let start_ns = wall_ns() + 100_000_000;
     let at = |after: Duration| start_ns + u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
     evidence.probed_keys = load::probed_keys().collect();
-    evidence.quiet = Window { from_ns: at(QUIET_FROM), until_ns: at(FIRST_FAULT) };
-    evidence.churn = Window { from_ns: start_ns, until_ns: at(FAULTS_END) };
-    evidence.watched = Window { from_ns: start_ns, until_ns: at(load) };
+    evidence.fault_free = Window { from_ns: at(QUIET_AFTER), until_ns: at(FIRST_FAULT_AFTER) };
+    evidence.churn_window = Window { from_ns: start_ns, until_ns: at(FAULTS_END_AFTER) };
+    evidence.observed = Window { from_ns: start_ns, until_ns: at(load) };
 
     let callers = Callers::start(cluster, load, start, seed);
     let probes = start_probes(cluster, &faults)?;
     let mut change = None;
-    faults::strike(cluster, &faults, start, &mut change, &mut evidence).await?;
+    faults::inject(cluster, &faults, start, &mut change, &mut evidence).await?;
     if with_faults {
-        sleep_until(start + FAULTS_END).await;
+        sleep_until(start + FAULTS_END_AFTER).await;
         faults::stop_gracefully(cluster, &mut evidence).await?;
     }
     sleep_until(start + load).await;
@@ -117,7 +121,7 @@
     };
     faults::stop_rest(cluster, &mut evidence).await?;
     evidence.upstreams = cluster.journals()?;
-    let config = judge(change.as_ref(), &samples, &evidence);
+    let config = evaluate_change(change.as_ref(), &samples, &evidence);
     let verdict = Verdict::new(&evidence, with_faults.then_some(config));
     Ok((evidence, verdict))
 }
@@ -131,7 +135,7 @@
             Candidate { service: &it.service, keyed }
         })
         .collect();
-    faults::plan(&candidates, FIRST_FAULT, seed)
+    faults::plan(&candidates, FIRST_FAULT_AFTER, seed)
 }
 
 fn start_probes(cluster: &Cluster, faults: &[PlannedFault]) -> anyhow::Result<Option<Probes>> {
--- a/xtask/src/demo/report.rs
+++ b/xtask/src/demo/report.rs
@@ -13,7 +13,7 @@
 const FINDINGS_MAX: usize = 20;
 
 /// Prints one line on standard output.
-pub(crate) fn line(text: &str) -> anyhow::Result<()> {
+pub(crate) fn print_line(text: &str) -> anyhow::Result<()> {
     writeln!(std::io::stdout(), "{text}").context("printing")
 }
 
@@ -25,22 +25,22 @@
 ) -> anyhow::Result<()> {
     let mut object = serde_json::to_value(verdict).context("encoding the verdict")?;
     for (name, value) in object.as_object().into_iter().flatten() {
-        line(&format!("{name:20} {value}"))?;
+        print_line(&format!("{name:20} {value}"))?;
     }
     for finding in verdict.findings.iter().take(FINDINGS_MAX) {
-        line(&format!("broken: {finding}"))?;
+        print_line(&format!("broken: {finding}"))?;
     }
     if verdict.findings.len() > FINDINGS_MAX {
-        line(&format!("and {} more", verdict.findings.len() - FINDINGS_MAX))?;
+        print_line(&format!("and {} more", verdict.findings.len() - FINDINGS_MAX))?;
     }
     if options.keep || !verdict.holds() {
-        line(&format!("seed {seed}; logs and journals are in {}", dir.path().display()))?;
+        print_line(&format!("seed {seed}; logs and journals are in {}", dir.path().display()))?;
     }
-    line(if verdict.holds() { "all invariants held" } else { "invariants broken" })?;
+    print_line(if verdict.holds() { "all invariants held" } else { "invariants broken" })?;
     if options.json {
         object["seed"] = json!(seed);
         object["holds"] = json!(verdict.holds());
-        line(&object.to_string())?;
+        print_line(&object.to_string())?;
     }
     Ok(())
 }
--- a/xtask/src/demo/tests.rs
+++ b/xtask/src/demo/tests.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use super::{
-    config_probe::{ConfigChange, Sample, judge},
-    evidence::{Evidence, SickIngress, Window},
+    config_probe::{ConfigChange, Sample, evaluate_change},
+    evidence::{Evidence, IngressOutage, Window},
     faults::{Candidate, Fault, plan},
     verdict::ConfigProbe,
 };
@@ -48,7 +48,7 @@
 }
 
 /// Samples as (agent, time in ms, whether the changed document decided).
-fn check(samples: &[(u16, u64, bool)], sick: Option<u16>, expected: ConfigProbe) {
+fn check(samples: &[(u16, u64, bool)], faulty_agent: Option<u16>, expected: ConfigProbe) {
     let samples = samples.iter().map(|(number, at_ms, changed)| Sample {
         agent: agent(*number),
         sent_ns: at_ms * MS,
@@ -56,13 +56,13 @@
         changed: Some(*changed),
     });
     let mut evidence = Evidence::default();
-    evidence.sick.extend(sick.map(|it| SickIngress {
+    evidence.ingress_outages.extend(faulty_agent.map(|it| IngressOutage {
         caller_address: agent(it),
         window: Window { from_ns: 0, until_ns: 2_000 * MS },
     }));
     let change = ConfigChange { service: "s".to_owned(), acknowledged_ns: 1_000 * MS };
     let samples: Vec<Sample> = samples.collect();
-    assert_eq!(judge(Some(&change), &samples, &evidence), expected);
+    assert_eq!(evaluate_change(Some(&change), &samples, &evidence), expected);
 }
 
 #[test]
--- a/xtask/src/demo/verdict/availability.rs
+++ b/xtask/src/demo/verdict/availability.rs
@@ -31,10 +31,10 @@
 struct KeyHistory {
     /// Ends of answered sendings, sorted.
     answered_ns: Vec<u64>,
-    failed: Vec<Failure>,
+    failed: Vec<FailedAttempt>,
 }
 
-struct Failure {
+struct FailedAttempt {
     sent_ns: u64,
     ended_ns: u64,
 }
@@ -44,7 +44,7 @@
     let histories = histories(evidence);
     histories
         .into_iter()
-        .filter_map(|(key, history)| longest_gap_of(key, history, evidence.watched.until_ns))
+        .filter_map(|(key, history)| longest_gap_of(key, history, evidence.observed.until_ns))
         .max_by_key(|it| it.gap_ms)
 }
 
@@ -59,14 +59,14 @@
         };
         let key = ServiceKey { service: call.service.clone(), key };
         let history = histories.entry(key).or_default();
-        for attempt in call.attempts.iter().filter(|it| evidence.watched.contains(it.sent_ns)) {
+        for attempt in call.attempts.iter().filter(|it| evidence.observed.contains(it.sent_ns)) {
             match () {
                 _ if attempt.result == AttemptResult::Answered => {
                     history.answered_ns.push(attempt.ended_ns);
                 }
-                _ if is_failure(attempt) && !is_sick(evidence, attempt) => {
+                _ if is_failure(attempt) && !is_during_outage(evidence, attempt) => {
                     let Attempt { sent_ns, ended_ns, .. } = *attempt;
-                    history.failed.push(Failure { sent_ns, ended_ns });
+                    history.failed.push(FailedAttempt { sent_ns, ended_ns });
                 }
                 _ => {}
             }
@@ -85,8 +85,8 @@
     }
 }
 
-fn is_sick(evidence: &Evidence, attempt: &Attempt) -> bool {
-    evidence.sick.iter().any(|it| {
+fn is_during_outage(evidence: &Evidence, attempt: &Attempt) -> bool {
+    evidence.ingress_outages.iter().any(|it| {
         it.caller_address == attempt.target && it.window.overlaps(attempt.sent_ns, attempt.ended_ns)
     })
 }
@@ -102,10 +102,10 @@
 /// was sent, over answers that came while it hung, to the first answer after its end.
 fn gaps_of(
     answered_ns: &[u64],
-    failure: &Failure,
+    failure: &FailedAttempt,
     until_ns: u64,
 ) -> impl Iterator<Item = (u64, u64)> {
-    let Failure { sent_ns, ended_ns } = *failure;
+    let FailedAttempt { sent_ns, ended_ns } = *failure;
     let first = answered_ns.partition_point(|it| *it <= sent_ns);
     let last = answered_ns.partition_point(|it| *it <= ended_ns);
     (first..=last).map(move |next| {
--- a/xtask/src/demo/verdict/ownership.rs
+++ b/xtask/src/demo/verdict/ownership.rs
@@ -21,7 +21,7 @@
         let others = last.values().filter(|it| it.instance != run.instance);
         findings.extend(others.filter(|it| it.until_ns > run.from_ns).map(|it| overlap(it, run)));
         if let Some(highest) = highest.filter(|it| it.token > run.token) {
-            findings.push(token_back(highest, run));
+            findings.push(token_decrease(highest, run));
         }
         if highest.is_none_or(|it| it.token <= run.token) {
             highest = Some(run);
@@ -36,15 +36,22 @@
 
 fn overlap(first: &Execution, second: &Execution) -> Finding {
     let overlap_us = (first.until_ns.min(second.until_ns) - second.from_ns) / 1000;
-    let detail = format!("{}, overlapped for {overlap_us} us by {}", show(first), show(second));
+    let detail = format!(
+        "{}, overlapped for {overlap_us} us by {}",
+        describe_run(first),
+        describe_run(second)
+    );
     Finding { invariant: INVARIANT, detail }
 }
 
-fn token_back(first: &Execution, second: &Execution) -> Finding {
-    Finding { invariant: INVARIANT, detail: format!("{}, later {}", show(first), show(second)) }
+fn token_decrease(first: &Execution, second: &Execution) -> Finding {
+    Finding {
+        invariant: INVARIANT,
+        detail: format!("{}, later {}", describe_run(first), describe_run(second)),
+    }
 }
 
-fn show(run: &Execution) -> String {
+fn describe_run(run: &Execution) -> String {
     let token = run.token.map_or("none".to_owned(), |it| it.to_string());
     format!(
         "{}/{} on {} under token {token} at {} for {} us, {:?}, id {:x}",
--- a/xtask/src/demo/verdict/requests.rs
+++ b/xtask/src/demo/verdict/requests.rs
@@ -33,12 +33,12 @@
 /// Requests that may not be repeated and ran more than once.
 pub(super) fn ran_twice(evidence: &Evidence, executions: &[Execution]) -> Vec<Finding> {
     let runs = by_id(executions);
-    let twice =
+    let is_repeated =
         |it: &&CallRecord| !it.idempotent && runs.get(&it.id).is_some_and(|runs| runs.len() > 1);
     evidence
         .calls
         .iter()
-        .filter(twice)
+        .filter(is_repeated)
         .map(|it| {
             let instances: Vec<&str> = runs[&it.id].iter().map(|it| it.instance.as_str()).collect();
             let detail = format!("{} on {instances:?}", describe(it));
@@ -73,12 +73,12 @@
 }
 
 /// Sendings that ended with another request's answer.
-pub(super) fn crossed(evidence: &Evidence) -> Vec<Finding> {
+pub(super) fn crossed_answers(evidence: &Evidence) -> Vec<Finding> {
     with_result(evidence, "crossed_answers", &AttemptResult::Crossed)
 }
 
 /// Sendings that ended in good order with a part of an answer.
-pub(super) fn broken(evidence: &Evidence) -> Vec<Finding> {
+pub(super) fn broken_answers(evidence: &Evidence) -> Vec<Finding> {
     with_result(evidence, "broken_answers", &AttemptResult::Broken)
 }
 
--- a/xtask/src/demo/verdict/spread.rs
+++ b/xtask/src/demo/verdict/spread.rs
@@ -11,7 +11,7 @@
     for upstream in evidence.upstreams.iter().filter(|it| it.keyed) {
         services.entry(&upstream.service).or_default().insert(&upstream.instance, 0);
     }
-    for run in executions.iter().filter(|it| it.keyed && evidence.quiet.contains(it.from_ns)) {
+    for run in executions.iter().filter(|it| it.keyed && evidence.fault_free.contains(it.from_ns)) {
         *services.entry(&run.service).or_default().entry(&run.instance).or_default() += 1;
     }
     services.values().map(max_over_mean).fold(0.0, f64::max)
@@ -30,7 +30,7 @@
 pub(super) fn churn(evidence: &Evidence, executions: &[Execution]) -> f64 {
     let keys = by_key(executions);
     let is_change = |it: &[&Execution]| {
-        it[0].instance != it[1].instance && evidence.churn.contains(it[1].from_ns)
+        it[0].instance != it[1].instance && evidence.churn_window.contains(it[1].from_ns)
     };
     let changes: usize =
         keys.values().map(|runs| runs.windows(2).filter(|it| is_change(it)).count()).sum();
--- a/xtask/src/demo/verdict/stops.rs
+++ b/xtask/src/demo/verdict/stops.rs
@@ -48,13 +48,13 @@
 
 /// Requests that upstreams refused because they had been leaving for too long.
 pub(super) fn late_work(evidence: &Evidence) -> Vec<Finding> {
-    let late = |entry: &&RunEntry| {
+    let is_late = |entry: &&RunEntry| {
         matches!(entry, RunEntry::Refused { reason: RefusedReason::Draining, .. })
     };
     evidence
         .upstreams
         .iter()
-        .flat_map(|it| it.entries.iter().filter(late).map(move |entry| (it, entry)))
+        .flat_map(|it| it.entries.iter().filter(is_late).map(move |entry| (it, entry)))
         .map(|(upstream, entry)| {
             let detail = format!("{} refused {entry:?}", upstream.instance);
             Finding { invariant: "late_work", detail }
--- a/xtask/src/demo/verdict/tests.rs
+++ b/xtask/src/demo/verdict/tests.rs
@@ -6,40 +6,40 @@
 };
 
 use super::{ConfigProbe, Verdict};
-use crate::demo::evidence::{Evidence, PlannedStop, SickIngress, UpstreamJournal, Window};
+use crate::demo::evidence::{Evidence, IngressOutage, PlannedStop, UpstreamJournal, Window};
 
 const GOOD_CONFIG: ConfigProbe = ConfigProbe { in_force_ms: Some(300), reverted: 0 };
 const MS: u64 = 1_000_000;
 
 /// Builds journals; times are in milliseconds.
 #[derive(Default)]
-struct Plot {
+struct EvidenceBuilder {
     evidence: Evidence,
 }
 
-impl Plot {
-    fn new() -> Plot {
+impl EvidenceBuilder {
+    fn new() -> EvidenceBuilder {
         let whole = Window { from_ns: 0, until_ns: 10_000 * MS };
-        let mut plot = Plot::default();
-        plot.evidence.quiet = whole;
-        plot.evidence.churn = whole;
-        plot.evidence.probed_keys.insert("k".to_owned());
+        let mut builder = EvidenceBuilder::default();
+        builder.evidence.fault_free = whole;
+        builder.evidence.churn_window = whole;
+        builder.evidence.probed_keys.insert("k".to_owned());
         for instance in ["a", "b"] {
-            plot.evidence.upstreams.push(UpstreamJournal {
+            builder.evidence.upstreams.push(UpstreamJournal {
                 instance: instance.to_owned(),
                 service: "s".to_owned(),
                 keyed: true,
                 entries: Vec::new(),
-                gone_ns: 20_000 * MS,
+                exited_ns: 20_000 * MS,
                 frozen: Vec::new(),
             });
         }
-        plot
+        builder
     }
 
     /// Judges the time without service, too.
-    fn watched(mut self) -> Plot {
-        self.evidence.watched = self.evidence.quiet;
+    fn watched(mut self) -> EvidenceBuilder {
+        self.evidence.observed = self.evidence.fault_free;
         self
     }
 
@@ -55,7 +55,7 @@
         token: &str,
         times: std::ops::Range<u64>,
         end: Option<RunEnd>,
-    ) -> Plot {
+    ) -> EvidenceBuilder {
         let entries = self.entries(instance);
         let run = entries.len() as u64;
         entries.push(RunEntry::Started {
@@ -72,7 +72,13 @@
         self
     }
 
-    fn ran(self, instance: &str, id: u128, token: &str, times: std::ops::Range<u64>) -> Plot {
+    fn ran(
+        self,
+        instance: &str,
+        id: u128,
+        token: &str,
+        times: std::ops::Range<u64>,
+    ) -> EvidenceBuilder {
         self.run(instance, id, token, times, Some(RunEnd::Ran))
     }
 
@@ -82,7 +88,7 @@
         id: u128,
         outcome: FinalOutcome,
         attempts: &[(std::ops::Range<u64>, AttemptResult)],
-    ) -> Plot {
+    ) -> EvidenceBuilder {
         let attempts = attempts.iter().map(|(times, result)| Attempt {
             target: "127.0.0.1:1".parse().unwrap(),
             sent_ns: times.start * MS,
@@ -101,11 +107,11 @@
         self
     }
 
-    fn answered(self, id: u128, times: std::ops::Range<u64>) -> Plot {
+    fn answered(self, id: u128, times: std::ops::Range<u64>) -> EvidenceBuilder {
         self.call(id, FinalOutcome::Answered, &[(times, AttemptResult::Answered)])
     }
 
-    fn stop(mut self, instance: &str, times: std::ops::Range<u64>) -> Plot {
+    fn stop(mut self, instance: &str, times: std::ops::Range<u64>) -> EvidenceBuilder {
         self.evidence.stops.push(PlannedStop {
             instance: instance.to_owned(),
             caller_address: "127.0.0.1:1".parse().unwrap(),
@@ -114,8 +120,8 @@
         self
     }
 
-    fn sick(mut self, times: std::ops::Range<u64>) -> Plot {
-        self.evidence.sick.push(SickIngress {
+    fn outage(mut self, times: std::ops::Range<u64>) -> EvidenceBuilder {
+        self.evidence.ingress_outages.push(IngressOutage {
             caller_address: "127.0.0.1:1".parse().unwrap(),
             window: Window { from_ns: times.start * MS, until_ns: times.end * MS },
         });
@@ -137,32 +143,35 @@
 
 #[test]
 fn a_clean_run_holds() {
-    let plot = Plot::new().ran("a", 1, "1.1", 10..20).ran("b", 2, "1.2", 20..30);
-    let verdict = plot.watched().answered(1, 5..25).answered(2, 15..35).check(&[]);
+    let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 10..20).ran("b", 2, "1.2", 20..30);
+    let verdict = builder.watched().answered(1, 5..25).answered(2, 15..35).check(&[]);
     assert_eq!((verdict.requests, verdict.answered, verdict.unavailable_ms_max), (2, 2, 0));
     assert_eq!((verdict.imbalance, verdict.churn), (1.0, 1.0));
 }
 
 #[test]
 fn two_owners_at_once_are_found() {
-    Plot::new().ran("a", 1, "1.1", 10..20).ran("b", 2, "1.2", 19..30).check(&["double_owned"]);
+    EvidenceBuilder::new()
+        .ran("a", 1, "1.1", 10..20)
+        .ran("b", 2, "1.2", 19..30)
+        .check(&["double_owned"]);
     // A run that is hidden by a shorter, later one on the same upstream.
-    let plot = Plot::new().ran("a", 1, "1.1", 0..100).ran("a", 2, "1.1", 10..20);
-    plot.ran("b", 3, "1.2", 50..60).check(&["double_owned"]);
+    let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 0..100).ran("a", 2, "1.1", 10..20);
+    builder.ran("b", 3, "1.2", 50..60).check(&["double_owned"]);
     // A run without an end lasts as long as its process.
-    let plot = Plot::new().run("a", 1, "1.1", 10..10, None);
-    plot.ran("b", 2, "1.2", 30..40).check(&["double_owned"]);
+    let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..10, None);
+    builder.ran("b", 2, "1.2", 30..40).check(&["double_owned"]);
     // One upstream runs several at once.
-    Plot::new().ran("a", 1, "1.1", 10..30).ran("a", 2, "1.1", 11..20).check(&[]);
+    EvidenceBuilder::new().ran("a", 1, "1.1", 10..30).ran("a", 2, "1.1", 11..20).check(&[]);
 }
 
 #[test]
 fn a_frozen_process_does_nothing() {
     let check = |end, until_ms, expected: &[&str]| {
-        let mut plot = Plot::new().run("a", 1, "1.1", 10..until_ms, Some(end));
+        let mut builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..until_ms, Some(end));
         let frozen = Window { from_ns: 20 * MS, until_ns: 500 * MS };
-        plot.evidence.upstreams[0].frozen.push(frozen);
-        plot.ran("b", 2, "1.2", 300..310).check(expected);
+        builder.evidence.upstreams[0].frozen.push(frozen);
+        builder.ran("b", 2, "1.2", 300..310).check(expected);
     };
     // Its deadline passed meanwhile, and it stopped at once when it went on.
     check(RunEnd::DeadlineExceeded, 400, &[]);
@@ -173,45 +182,48 @@
 
 #[test]
 fn a_token_that_goes_back_is_found() {
-    Plot::new().ran("a", 1, "1.2", 10..20).ran("b", 2, "1.1", 30..40).check(&["double_owned"]);
-    Plot::new().ran("a", 1, "1.2", 10..20).ran("b", 2, "2.1", 30..40).check(&[]);
+    EvidenceBuilder::new()
+        .ran("a", 1, "1.2", 10..20)
+        .ran("b", 2, "1.1", 30..40)
+        .check(&["double_owned"]);
+    EvidenceBuilder::new().ran("a", 1, "1.2", 10..20).ran("b", 2, "2.1", 30..40).check(&[]);
 }
 
 #[test]
 fn a_request_that_ran_twice_is_found() {
-    let plot = Plot::new().ran("a", 1, "1.1", 10..20).ran("b", 1, "1.2", 30..40);
-    plot.answered(1, 5..45).check(&["ran_twice"]);
-    let plot = Plot::new().run("a", 1, "1.1", 10..20, Some(RunEnd::Cancelled));
-    plot.ran("a", 1, "1.1", 30..40).answered(1, 5..45).check(&["ran_twice"]);
+    let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 10..20).ran("b", 1, "1.2", 30..40);
+    builder.answered(1, 5..45).check(&["ran_twice"]);
+    let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..20, Some(RunEnd::Cancelled));
+    builder.ran("a", 1, "1.1", 30..40).answered(1, 5..45).check(&["ran_twice"]);
 }
 
 #[test]
 fn a_false_not_run_is_found() {
     let refused = [(5..15, not_run("no-owner"))];
-    let plot = Plot::new().ran("a", 1, "1.1", 10..20);
-    plot.call(1, FinalOutcome::NotRun, &refused).check(&["not_run_but_ran"]);
+    let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 10..20);
+    builder.call(1, FinalOutcome::NotRun, &refused).check(&["not_run_but_ran"]);
     // It ran after the refusal without having been sent again.
-    let plot = Plot::new().ran("a", 1, "1.1", 20..30);
-    plot.call(1, FinalOutcome::NotRun, &refused).check(&["not_run_but_ran"]);
+    let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 20..30);
+    builder.call(1, FinalOutcome::NotRun, &refused).check(&["not_run_but_ran"]);
     // It ran after it had been sent again.
     let again = [(5..15, not_run("no-owner")), (40..60, AttemptResult::Answered)];
-    let plot = Plot::new().ran("a", 1, "1.1", 45..50);
-    plot.call(1, FinalOutcome::Answered, &again).check(&[]);
+    let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 45..50);
+    builder.call(1, FinalOutcome::Answered, &again).check(&[]);
 }
 
 #[test]
 fn a_lost_request_is_found() {
     let cut = [(5..15, AttemptResult::ConnectionLost)];
-    Plot::new().call(1, FinalOutcome::Lost, &cut).check(&["lost"]);
+    EvidenceBuilder::new().call(1, FinalOutcome::Lost, &cut).check(&["lost"]);
     // Answered, but it never ran to its end.
-    Plot::new().answered(1, 5..15).check(&["lost"]);
+    EvidenceBuilder::new().answered(1, 5..15).check(&["lost"]);
 }
 
 #[test]
 fn crossed_and_broken_answers_are_found() {
     let check = |result, expected| {
-        let plot = Plot::new().ran("a", 1, "1.1", 6..9);
-        plot.call(1, FinalOutcome::Answered, &[(5..15, result)]).check(&[expected]);
+        let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 6..9);
+        builder.call(1, FinalOutcome::Answered, &[(5..15, result)]).check(&[expected]);
     };
     check(AttemptResult::Crossed, "crossed_answers");
     check(AttemptResult::Broken, "broken_answers");
@@ -219,75 +231,76 @@
 
 #[test]
 fn what_a_planned_stop_cuts_off_is_found() {
-    let plot = Plot::new().run("a", 1, "1.1", 10..20, Some(RunEnd::Cancelled));
-    plot.stop("a", 15..30).check(&["cut_off"]);
-    Plot::new().run("a", 1, "1.1", 10..10, None).stop("a", 15..30).check(&["cut_off"]);
+    let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..20, Some(RunEnd::Cancelled));
+    builder.stop("a", 15..30).check(&["cut_off"]);
+    EvidenceBuilder::new().run("a", 1, "1.1", 10..10, None).stop("a", 15..30).check(&["cut_off"]);
     let lost = [(20..25, AttemptResult::ConnectionLost), (26..50, AttemptResult::Answered)];
-    let plot = Plot::new().ran("b", 1, "1.1", 30..40).stop("a", 15..30);
-    plot.call(1, FinalOutcome::Answered, &lost).check(&["cut_off"]);
+    let builder = EvidenceBuilder::new().ran("b", 1, "1.1", 30..40).stop("a", 15..30);
+    builder.call(1, FinalOutcome::Answered, &lost).check(&["cut_off"]);
     // Before the stop.
-    let plot = Plot::new().run("a", 1, "1.1", 10..12, Some(RunEnd::Cancelled));
-    plot.stop("a", 15..30).check(&[]);
+    let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..12, Some(RunEnd::Cancelled));
+    builder.stop("a", 15..30).check(&[]);
 }
 
 #[test]
 fn work_for_an_upstream_that_has_left_is_found() {
-    let mut plot = Plot::new();
-    plot.entries("a").push(RunEntry::Refused {
+    let mut builder = EvidenceBuilder::new();
+    builder.entries("a").push(RunEntry::Refused {
         at_ns: 20 * MS,
         id: RequestId(1),
         key: "k".to_owned(),
         reason: RefusedReason::Draining,
     });
-    plot.check(&["late_work"]);
+    builder.check(&["late_work"]);
 }
 
 #[test]
 fn the_longest_gap_of_a_key_is_found() {
     let failed = |from: u64, until: u64| {
         let ends = [(from..until, not_run("no-owner"))];
-        Plot::new().watched().ran("a", 1, "1.1", 6..9).answered(1, 5..10).call(
+        EvidenceBuilder::new().watched().ran("a", 1, "1.1", 6..9).answered(1, 5..10).call(
             2,
             FinalOutcome::NotRun,
             &ends,
         )
     };
-    let served_again = |plot: Plot| plot.ran("a", 3, "1.1", 2990..2995).answered(3, 2900..3000);
+    let served_again =
+        |builder: EvidenceBuilder| builder.ran("a", 3, "1.1", 2990..2995).answered(3, 2900..3000);
     let verdict = served_again(failed(500, 510)).check(&["unavailable_ms_max"]);
     assert_eq!(verdict.unavailable_ms_max, 2500);
     // Never served again.
     let verdict = failed(500, 510).check(&["unavailable_ms_max"]);
     assert_eq!(verdict.unavailable_ms_max, 9500);
     // The agent that was asked was not well itself.
-    let verdict = served_again(failed(500, 510)).sick(400..600).check(&[]);
+    let verdict = served_again(failed(500, 510)).outage(400..600).check(&[]);
     assert_eq!(verdict.unavailable_ms_max, 0);
 }
 
 #[test]
 fn a_sending_that_hangs_counts_from_its_start() {
     let hung = [(100..1100, AttemptResult::TimedOut)];
-    let plot = Plot::new().watched().call(2, FinalOutcome::Unknown, &hung);
-    let plot = plot.ran("a", 1, "1.1", 80..85).answered(1, 75..90);
-    let plot = plot.ran("b", 3, "1.2", 890..895).answered(3, 850..900);
-    let plot = plot.ran("b", 4, "1.2", 990..995).answered(4, 950..1000);
-    let plot = plot.ran("b", 5, "1.2", 1190..1195).answered(5, 1150..1200);
-    assert_eq!(plot.check(&[]).unavailable_ms_max, 800);
+    let builder = EvidenceBuilder::new().watched().call(2, FinalOutcome::Unknown, &hung);
+    let builder = builder.ran("a", 1, "1.1", 80..85).answered(1, 75..90);
+    let builder = builder.ran("b", 3, "1.2", 890..895).answered(3, 850..900);
+    let builder = builder.ran("b", 4, "1.2", 990..995).answered(4, 950..1000);
+    let builder = builder.ran("b", 5, "1.2", 1190..1195).answered(5, 1150..1200);
+    assert_eq!(builder.check(&[]).unavailable_ms_max, 800);
 }
 
 #[test]
 fn a_service_not_divided_by_key_is_served_by_any_upstream() {
     let failed = [(500..510, not_run("draining"))];
-    let mut plot = Plot::new().watched().call(2, FinalOutcome::NotRun, &failed);
-    plot.evidence.upstreams.iter_mut().for_each(|it| it.keyed = false);
-    let mut plot = plot.ran("a", 1, "1.1", 520..525).answered(1, 515..530);
-    plot.evidence.calls[1].key = "another".to_owned();
-    assert_eq!(plot.check(&[]).unavailable_ms_max, 30);
+    let mut builder = EvidenceBuilder::new().watched().call(2, FinalOutcome::NotRun, &failed);
+    builder.evidence.upstreams.iter_mut().for_each(|it| it.keyed = false);
+    let mut builder = builder.ran("a", 1, "1.1", 520..525).answered(1, 515..530);
+    builder.evidence.calls[1].key = "another".to_owned();
+    assert_eq!(builder.check(&[]).unavailable_ms_max, 30);
 }
 
 #[test]
 fn a_slow_or_reverted_change_is_found() {
     let check = |config, expected: &[&str]| {
-        let verdict = Verdict::new(&Plot::new().evidence, Some(config));
+        let verdict = Verdict::new(&EvidenceBuilder::new().evidence, Some(config));
         let found: Vec<&str> = verdict.findings.iter().map(|it| it.invariant).collect();
         assert_eq!(found, expected);
     };
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,10 +1,10 @@
-//! Repository chores: the demo and the measurements.
+//! Development tasks of the repository: the demo, the soak test and the measurements.
 
 mod bench;
 mod cluster;
 mod demo;
 mod soak;
-mod turn;
+mod run_lock;
 
 use std::process::ExitCode;
 
@@ -26,9 +26,9 @@
 enum Command {
     #[options(help = "run both deployments with faults and check the invariants")]
     Demo(demo::DemoOptions),
-    #[options(help = "measure")]
+    #[options(help = "run one measurement")]
     Bench(bench::BenchOptions),
-    #[options(help = "strike with overlapping faults for minutes and check the promises")]
+    #[options(help = "inject overlapping faults for minutes and check the invariants")]
     Soak(soak::SoakOptions),
 }
 
@@ -37,7 +37,7 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn,demo=info"))
         .init();
     let options = XtaskOptions::parse_args_default_or_exit();
-    // Dropping the work ends and reaps all processes that it started.
+    // Dropping the future kills and reaps all processes that it started.
     let code = tokio::select! {
         code = run(options) => code,
         signal = stop_signal() => signal.and_then(|()| anyhow::bail!("interrupted")),
@@ -49,15 +49,16 @@
 }
 
 async fn stop_signal() -> anyhow::Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).context("taking SIGTERM")?;
+    let mut terminate =
+        signal(SignalKind::terminate()).context("installing the SIGTERM handler")?;
     tokio::select! {
-        interrupted = tokio::signal::ctrl_c() => interrupted.context("taking SIGINT"),
+        interrupted = tokio::signal::ctrl_c() => interrupted.context("waiting for SIGINT"),
         _ = terminate.recv() => Ok(()),
     }
 }
 
 async fn run(options: XtaskOptions) -> anyhow::Result<ExitCode> {
-    match options.command.context("name a command; try --help")? {
+    match options.command.context("no command given; see --help")? {
         Command::Demo(options) => demo::run(options).await,
         Command::Bench(options) => bench::run(options).await,
         Command::Soak(options) => soak::run(options).await,
--- a/xtask/src/soak/faults.rs
+++ b/xtask/src/soak/faults.rs
@@ -64,14 +64,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PlannedFault {
     pub(super) after: Duration,
-    pub(super) lasts: Duration,
+    pub(super) duration: Duration,
     /// Which of the lane's instances it strikes; a fault of the store strikes all.
     pub(super) instance: usize,
     pub(super) fault: Fault,
 }
 
-const PAUSE_MS: std::ops::Range<u64> = 200..2_500;
-const LASTS_MS: std::ops::Range<u64> = 200..3_500;
+const PAUSE_RANGE_MS: std::ops::Range<u64> = 200..2_500;
+const DURATION_RANGE_MS: std::ops::Range<u64> = 200..3_500;
 
 /// The faults of one lane, which strikes only instances of its own: so no two lanes end the same process.
 pub(super) fn plan(seed: u64, instances: &[usize], until: Duration) -> Vec<PlannedFault> {
@@ -79,14 +79,14 @@
     let mut planned = Vec::new();
     let mut after = Duration::ZERO;
     loop {
-        after += Duration::from_millis(rng.random_range(PAUSE_MS));
-        let lasts = Duration::from_millis(rng.random_range(LASTS_MS));
-        if after + lasts > until || instances.is_empty() {
+        after += Duration::from_millis(rng.random_range(PAUSE_RANGE_MS));
+        let duration = Duration::from_millis(rng.random_range(DURATION_RANGE_MS));
+        if after + duration > until || instances.is_empty() {
             return planned;
         }
         let instance = instances[rng.random_range(0..instances.len())];
-        planned.push(PlannedFault { after, lasts, instance, fault: draw(&mut rng) });
-        after += lasts;
+        planned.push(PlannedFault { after, duration, instance, fault: draw(&mut rng) });
+        after += duration;
     }
 }
 
--- a/xtask/src/soak/harmful.rs
+++ b/xtask/src/soak/harmful.rs
@@ -23,20 +23,20 @@
 pub(super) const HARMFUL_KEY: &str = "harmful";
 
 /// Ends of upstreams after which nobody may send it on, but for a few sendings.
-const ENDS_MAX: usize = 3;
-const MORE_RUNS_MAX: usize = 3;
+const CRASHES_MAX: usize = 3;
+const EXTRA_RUNS_MAX: usize = 3;
 /// How long word of that may take, and for how long a fault excuses.
-const WORD_NS: u64 = 3_000_000_000;
+const CRASH_REPORT_DELAY_NS: u64 = 3_000_000_000;
 
 const OWN_STREAM: u64 = 1 << 63;
 /// How long one caller goes on; the next one comes with the same request.
-const PATIENCE: Duration = Duration::from_secs(1);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(1);
 const REQUESTS_PER_S: Range<f64> = 0.5..4.0;
 const CALLERS: Range<usize> = 1..4;
 
 /// What kept an instance, or all of them, from hearing of an end or telling of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Disturbed {
+pub(super) struct Disturbance {
     /// None: all.
     pub(super) instance: Option<String>,
     pub(super) window: Window,
@@ -61,7 +61,7 @@
             routes: load.routes[..1].to_vec(),
             keys: vec![HARMFUL_KEY.to_owned()],
             hot_share: 0.0,
-            rules: CallRules { patience: PATIENCE, ..load.rules.clone() },
+            rules: CallRules { patience: WAIT_TIMEOUT, ..load.rules.clone() },
             seed: rng.random(),
             ..load
         };
@@ -70,7 +70,7 @@
 }
 
 /// Runs of it that nothing excuses, beyond those that are allowed.
-pub(super) fn violations(evidence: &Evidence, disturbed: &[Disturbed]) -> Vec<Finding> {
+pub(super) fn violations(evidence: &Evidence, disturbances: &[Disturbance]) -> Vec<Finding> {
     let mut runs: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
     for upstream in &evidence.upstreams {
         let began = upstream.entries.iter().filter_map(|it| match it {
@@ -83,18 +83,18 @@
     let mut findings = Vec::new();
     for (service, mut runs) in runs {
         runs.sort_unstable();
-        let Some((third_ns, _)) = runs.get(ENDS_MAX - 1).copied() else { continue };
+        let Some((third_ns, _)) = runs.get(CRASHES_MAX - 1).copied() else { continue };
         let late = runs.iter().filter(|(at_ns, instance)| {
-            let excuses = |it: &Disturbed| {
+            let excuses = |it: &Disturbance| {
                 it.instance.as_deref().is_none_or(|it| it == *instance)
-                    && it.window.overlaps(at_ns.saturating_sub(WORD_NS), *at_ns)
+                    && it.window.overlaps(at_ns.saturating_sub(CRASH_REPORT_DELAY_NS), *at_ns)
             };
-            *at_ns > third_ns + WORD_NS && !disturbed.iter().any(excuses)
+            *at_ns > third_ns + CRASH_REPORT_DELAY_NS && !disturbances.iter().any(excuses)
         });
         let more = late.count();
-        if more > MORE_RUNS_MAX {
+        if more > EXTRA_RUNS_MAX {
             let detail = format!(
-                "{service}: {more} more runs long after {ENDS_MAX} upstreams had ended, {} in all",
+                "{service}: {more} more runs long after {CRASHES_MAX} upstreams had ended, {} in all",
                 runs.len()
             );
             findings.push(Finding { invariant: "harmful_sent_on", detail });
@@ -104,6 +104,6 @@
 }
 
 /// How long an ended upstream stays away, as drawn from the seed.
-pub(super) fn stays_away(seed: u64) -> Duration {
+pub(super) fn restart_delay_from_seed(seed: u64) -> Duration {
     Duration::from_millis(Pcg64Mcg::seed_from_u64(seed ^ !OWN_STREAM).random_range(500..4_000))
 }
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -7,7 +7,7 @@
 
 mod faults;
 mod harmful;
-mod lane;
+mod injector;
 mod proxy;
 mod verdict;
 
@@ -21,21 +21,21 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
-    cluster::{Binaries, Cluster, Ports, Profile, ServiceSpec},
-    demo::{Callers, SERVICES, evidence::Evidence, line, load::probed_keys},
-    turn,
+    cluster::{Binaries, Cluster, PortAllocator, Profile, ServiceSpec},
+    demo::{Callers, SERVICES, evidence::Evidence, load::probed_keys, print_line},
+    run_lock,
 };
 
 use self::{harmful::HARMFUL_KEY, proxy::Proxy, verdict::Violation};
 
 /// Faults that strike at a time.
-const LANES: usize = 3;
+const CONCURRENT_FAULTS: usize = 3;
 /// The first faults come once all callers are at work.
-const FIRST_FAULT: Duration = Duration::from_secs(2);
+const FIRST_FAULT_AFTER: Duration = Duration::from_secs(2);
 /// What is left to recover after the last fault: a lease, a takeover and the starts of processes.
-const RECOVERY: Duration = Duration::from_secs(10);
+const RECOVERY_PERIOD: Duration = Duration::from_secs(10);
 /// For so long after that each key is asked for, and has to be served.
-const CHECKED: Duration = Duration::from_secs(5);
+const CHECK_PERIOD: Duration = Duration::from_secs(5);
 const VIOLATIONS_SHOWN: usize = 20;
 
 /// Flags of `cargo xtask soak`.
@@ -70,30 +70,33 @@
 pub(crate) async fn run(options: SoakOptions) -> anyhow::Result<ExitCode> {
     anyhow::ensure!(options.minutes > 0.0, "--minutes: {} is no time to run for", options.minutes);
     let binaries = Binaries::build(Profile::Dev)?;
-    let _turn = turn::wait().await?;
+    let _run_lock = run_lock::acquire().await?;
     let seed = options.seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    line(&format!("seed {seed}"))?;
-    let mut ports = Ports::new();
+    print_line(&format!("seed {seed}"))?;
+    let mut ports = PortAllocator::new();
     let mut cluster = Cluster::prepare(&services(), &binaries, &mut ports, seed).await?;
-    let (report, violations) = match play(&mut cluster, &mut ports, &binaries, seed, &options).await
-    {
-        Ok(done) => done,
-        Err(error) => {
-            cluster.dir.keep();
-            line(&format!("logs and journals are in {}", cluster.dir.path().display()))?;
-            return Err(error.context(format!("seed {seed}")));
-        }
-    };
+    let (report, violations) =
+        match run_scenario(&mut cluster, &mut ports, &binaries, seed, &options).await {
+            Ok(done) => done,
+            Err(error) => {
+                cluster.dir.keep();
+                print_line(&format!("logs and journals are in {}", cluster.dir.path().display()))?;
+                return Err(error.context(format!("seed {seed}")));
+            }
+        };
     for it in violations.iter().take(VIOLATIONS_SHOWN) {
-        line(&format!("broken: {it}"))?;
+        print_line(&format!("broken: {it}"))?;
     }
     if !violations.is_empty() {
         cluster.dir.keep();
-        line(&format!("seed {seed}; logs and journals are in {}", cluster.dir.path().display()))?;
+        print_line(&format!(
+            "seed {seed}; logs and journals are in {}",
+            cluster.dir.path().display()
+        ))?;
     }
-    line(if violations.is_empty() { "all promises held" } else { "promises broken" })?;
+    print_line(if violations.is_empty() { "all promises held" } else { "promises broken" })?;
     if options.json {
-        line(&serde_json::to_string(&report)?)?;
+        print_line(&serde_json::to_string(&report)?)?;
     }
     Ok(if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
@@ -105,9 +108,9 @@
     SERVICES.iter().filter(is_wanted).cloned().collect()
 }
 
-async fn play(
+async fn run_scenario(
     cluster: &mut Cluster,
-    ports: &mut Ports,
+    ports: &mut PortAllocator,
     binaries: &Binaries,
     seed: u64,
     options: &SoakOptions,
@@ -116,27 +119,29 @@
     for _ in 0..cluster.instances.len() {
         proxies.push(Proxy::start(ports.next()?, cluster.platform_address).await?);
     }
-    cluster.instances.iter_mut().for_each(|it| it.ends_on(HARMFUL_KEY));
+    cluster.instances.iter_mut().for_each(|it| it.crash_on_key(HARMFUL_KEY));
     cluster.start_instances(binaries, seed, |it| proxies[it].address).await?;
-    cluster.wait_serving().await?;
-    let struck = Duration::from_secs_f64(options.minutes * 60.0);
+    cluster.wait_until_serving().await?;
+    let fault_period = Duration::from_secs_f64(options.minutes * 60.0);
     let start = Instant::now() + Duration::from_millis(100);
-    let load = FIRST_FAULT + struck + RECOVERY + CHECKED;
+    let load = FIRST_FAULT_AFTER + fault_period + RECOVERY_PERIOD + CHECK_PERIOD;
     let mut callers = Callers::start(cluster, load, start, seed);
-    harmful::add_callers(&mut callers, cluster, FIRST_FAULT + struck, start, seed);
+    harmful::add_callers(&mut callers, cluster, FIRST_FAULT_AFTER + fault_period, start, seed);
     let mut evidence = Evidence { probed_keys: probed_keys().collect(), ..Evidence::default() };
-    let mut lanes = lane::split(cluster, proxies, LANES, seed, struck);
-    let faults = faults::counts(lanes.iter().flat_map(|it| &it.planned));
-    let strikes = lanes.iter_mut().map(|it| it.strike(cluster, binaries, start + FIRST_FAULT));
-    let mut disturbed = Vec::new();
-    let struck_lanes = futures_util::future::try_join_all(strikes).await?;
-    for it in struck_lanes {
-        evidence.sick.extend(it.sick);
+    let mut injectors =
+        injector::split_instances(cluster, proxies, CONCURRENT_FAULTS, seed, fault_period);
+    let faults = faults::counts(injectors.iter().flat_map(|it| &it.planned));
+    let injections =
+        injectors.iter_mut().map(|it| it.inject(cluster, binaries, start + FIRST_FAULT_AFTER));
+    let mut disturbances = Vec::new();
+    let records = futures_util::future::try_join_all(injections).await?;
+    for it in records {
+        evidence.ingress_outages.extend(it.ingress_outages);
         evidence.stops.extend(it.stops);
-        disturbed.extend(it.disturbed);
+        disturbances.extend(it.disturbances);
     }
-    let proxies = lane::merge(cluster, lanes);
-    sleep_until(start + FIRST_FAULT + struck + RECOVERY).await;
+    let proxies = injector::return_instances(cluster, injectors);
+    sleep_until(start + FIRST_FAULT_AFTER + fault_period + RECOVERY_PERIOD).await;
     let checked_from_ns = wall_ns();
     sleep_until(start + load).await;
     let checked_until_ns = wall_ns();
@@ -144,10 +149,10 @@
     crate::demo::stop_rest(cluster, &mut evidence).await?;
     drop(proxies);
     evidence.upstreams = cluster.journals()?;
-    let checked =
+    let check_window =
         crate::demo::evidence::Window { from_ns: checked_from_ns, until_ns: checked_until_ns };
-    let mut violations = verdict::violations(&evidence, checked);
-    violations.extend(harmful::violations(&evidence, &disturbed));
+    let mut violations = verdict::violations(&evidence, check_window);
+    violations.extend(harmful::violations(&evidence, &disturbances));
     let answered = |it: &&standins::journal::CallRecord| {
         it.outcome == standins::journal::FinalOutcome::Answered
     };
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -19,7 +19,7 @@
 /// What happens to all connections of a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkState {
-    Passing,
+    Forwarding,
     /// Each chunk is held back for this long.
     Slow(Duration),
     /// Nothing arrives at the server.
@@ -57,9 +57,9 @@
 impl Proxy {
     pub(super) async fn start(listen: SocketAddr, server: SocketAddr) -> anyhow::Result<Proxy> {
         let listener = TcpListener::bind(listen).await.context("binding a proxy")?;
-        let (state, watched) = watch::channel(LinkState::Passing);
+        let (state, state_receiver) = watch::channel(LinkState::Forwarding);
         let mut connections = JoinSet::new();
-        connections.spawn(accept(listener, server, watched));
+        connections.spawn(accept(listener, server, state_receiver));
         Ok(Proxy { address: listen, state, _connections: connections })
     }
 
@@ -90,12 +90,12 @@
     let Ok(server) = TcpStream::connect(server).await else { return };
     let (client_reader, client_writer) = client.into_split();
     let (server_reader, server_writer) = server.into_split();
-    let there = copy(client_reader, server_writer, state.clone(), Direction::ToServer);
-    let back = copy(server_reader, client_writer, state.clone(), Direction::ToClient);
+    let to_server = forward(client_reader, server_writer, state.clone(), Direction::ToServer);
+    let to_client = forward(server_reader, client_writer, state.clone(), Direction::ToClient);
     tokio::select! {
         // An error on either side ends the connection like its end does: that is all the other side sees.
-        _ = there => {}
-        _ = back => {}
+        _ = to_server => {}
+        _ = to_client => {}
         // The proxy itself has ended, or closes what it has.
         _ = state.wait_for(|it| *it == LinkState::Closed) => {}
     }
@@ -103,7 +103,7 @@
 
 /// Passes bytes on until either side ends. What a cut has dropped leaves a gap, so the connection ends with
 /// the cut.
-async fn copy(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     state: watch::Receiver<LinkState>,
--- a/xtask/src/soak/tests.rs
+++ b/xtask/src/soak/tests.rs
@@ -9,7 +9,7 @@
 
 use super::{
     faults,
-    harmful::{self, Disturbed, HARMFUL_KEY},
+    harmful::{self, Disturbance, HARMFUL_KEY},
     verdict::violations,
 };
 
@@ -23,8 +23,8 @@
         assert!(planned.len() > 5, "seed {seed}: {planned:?}");
         let mut free_at = Duration::ZERO;
         for it in &planned {
-            assert!(it.after >= free_at && it.after + it.lasts <= MINUTE, "seed {seed}: {it:?}");
-            free_at = it.after + it.lasts;
+            assert!(it.after >= free_at && it.after + it.duration <= MINUTE, "seed {seed}: {it:?}");
+            free_at = it.after + it.duration;
         }
     }
 }
@@ -80,7 +80,7 @@
         service: "standings".to_owned(),
         keyed: true,
         entries: entries.collect(),
-        gone_ns: u64::MAX,
+        exited_ns: u64::MAX,
         frozen: Vec::new(),
     };
     Evidence { upstreams: vec![upstream], ..Evidence::default() }
@@ -93,7 +93,7 @@
     let many = harmful_runs(&[1, 2, 3, 10, 20, 30, 40]);
     assert_eq!(harmful::violations(&many, &[]).len(), 1);
     let window = Window { from_ns: 38_000_000_000, until_ns: 39_000_000_000 };
-    let other = Disturbed { instance: Some("standings-2".to_owned()), window };
+    let other = Disturbance { instance: Some("standings-2".to_owned()), window };
     assert_eq!(harmful::violations(&many, std::slice::from_ref(&other)).len(), 1);
-    assert_eq!(harmful::violations(&many, &[Disturbed { instance: None, ..other }]), []);
+    assert_eq!(harmful::violations(&many, &[Disturbance { instance: None, ..other }]), []);
 }
--- a/xtask/src/soak/verdict.rs
+++ b/xtask/src/soak/verdict.rs
@@ -13,7 +13,7 @@
 
 /// Promises of the demo that hold however many faults overlap. How long a key goes unserved, and that a
 /// request is answered at all, is promised for single faults only.
-const PROMISES: [&str; 6] = [
+const INVARIANTS: [&str; 6] = [
     "ran_twice",
     "not_run_but_ran",
     "double_owned",
@@ -22,18 +22,18 @@
     "cut_off",
 ];
 
-/// All violations; in `checked` each probed key has to be served again.
-pub(super) fn violations(evidence: &Evidence, checked: Window) -> Vec<Violation> {
+/// All violations; in `check_window` each probed key has to be served again.
+pub(super) fn violations(evidence: &Evidence, check_window: Window) -> Vec<Violation> {
     let verdict = Verdict::new(evidence, None);
     let mut violations: Vec<Violation> =
-        verdict.findings.into_iter().filter(|it| PROMISES.contains(&it.invariant)).collect();
-    violations.extend(unserved(evidence, checked));
+        verdict.findings.into_iter().filter(|it| INVARIANTS.contains(&it.invariant)).collect();
+    violations.extend(unserved(evidence, check_window));
     violations
 }
 
-fn unserved(evidence: &Evidence, checked: Window) -> impl Iterator<Item = Violation> {
+fn unserved(evidence: &Evidence, check_window: Window) -> impl Iterator<Item = Violation> {
     let of_key = |service: &str, key: &str| format!("{service}/{key}");
-    let in_time = evidence.calls.iter().filter(move |it| checked.contains(it.first_sent_ns()));
+    let in_time = evidence.calls.iter().filter(move |it| check_window.contains(it.first_sent_ns()));
     let asked: BTreeSet<String> = in_time.clone().map(|it| of_key(&it.service, &it.key)).collect();
     let answered = in_time.filter(|it| it.outcome == FinalOutcome::Answered);
     let answered: BTreeSet<String> = answered.map(|it| of_key(&it.service, &it.key)).collect();
