--- a/crates/ownership/src/tests/disabled_rules.rs
+++ b/crates/ownership/src/tests/disabled_rules.rs
@@ -34,8 +34,8 @@
 
 /// Asserts that a violation is detected in random runs with the first seeds.
 fn assert_detected(rule: Rule, seeds: u64) {
-    let first = (1..=seeds).find(|it| is_violation_detected(rule, &run_config(*it)));
-    assert!(first.is_some(), "no violation detected in {seeds} runs without {rule:?}");
+    let first_detected = (1..=seeds).find(|it| is_violation_detected(rule, &run_config(*it)));
+    assert!(first_detected.is_some(), "no violation detected in {seeds} runs without {rule:?}");
 }
 
 #[test]
@@ -53,10 +53,10 @@
 
 #[test]
 fn ending_an_earlier_incarnation_before_its_upstream_is_cleared_is_detected() {
-    let restarting =
+    let with_restarts =
         |seed| RandomRunConfig { ordered: true, agents_restart: true, ..run_config(seed) };
-    let detected =
-        (1..=2000).any(|it| is_violation_detected(Rule::ClearEarlierIncarnations, &restarting(it)));
+    let detected = (1..=2000)
+        .any(|it| is_violation_detected(Rule::ClearEarlierIncarnations, &with_restarts(it)));
     assert!(detected, "no violation detected in 2000 runs without the rule");
 }
 
--- a/crates/ownership/src/tests/large_groups.rs
+++ b/crates/ownership/src/tests/large_groups.rs
@@ -51,12 +51,7 @@
     let mut sim = Sim::new(config(hosts, seed));
     sim.start_all();
     let served = sim.run_until(FIRST_GRANTS_MAX, |it| it.unowned_slots() == 0);
-    assert!(
-        served,
-        "{hosts} hosts: {} slots without an owner, {:?}",
-        sim.unowned_slots(),
-        sim.events()
-    );
+    assert!(served, "{hosts} hosts: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
     sim
 }
@@ -97,7 +92,7 @@
     let lost = sim.coordinator().unwrap();
     sim.apply(Fault::Crash(lost));
     let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots without an owner, {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} unowned slots, {:?}", sim.unowned_slots(), sim.events());
     sim.run_for(Duration::from_secs(6));
     assert_eq!(sim.violation(), None);
     assert_eq!(terms_started(&sim), terms_before + 1, "{:?}", sim.events());
@@ -112,7 +107,7 @@
     }
     sim.start_all();
     let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots without an owner, {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} unowned slots, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
 }
 
@@ -126,6 +121,6 @@
     sim.run_for(Duration::from_millis(500));
     sim.start_all();
     let served = sim.run_until(LEASE + RECOVERY_MAX, |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots without an owner, {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} unowned slots, {:?}", sim.unowned_slots(), sim.events());
     assert_eq!(sim.violation(), None);
 }
--- a/crates/ownership/src/tests/lifecycle.rs
+++ b/crates/ownership/src/tests/lifecycle.rs
@@ -14,7 +14,7 @@
     let mut sim = Sim::new(SimConfig::new(seed));
     sim.start_all();
     let served = sim.run_until(Duration::from_secs(5), |it| it.unowned_slots() == 0);
-    assert!(served, "{} slots without an owner after 5 s: {:?}", sim.unowned_slots(), sim.events());
+    assert!(served, "{} unowned slots after 5 s: {:?}", sim.unowned_slots(), sim.events());
     sim
 }
 
@@ -240,18 +240,13 @@
             sim.run_until(EARLIER_LEASE_MIN, |it| it.unowned_slots() < it.slot_owners().len());
         assert!(
             !is_early,
-            "seed {seed}: granted too early, {} slots without an owner, {:?}",
+            "seed {seed}: granted too early, {} unowned slots, {:?}",
             sim.unowned_slots(),
             sim.events()
         );
         let rest = EARLIER_TERMS_WAIT_MAX - EARLIER_LEASE_MIN;
         let served = sim.run_until(rest, |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
         sim.run_for(Duration::from_secs(8));
         assert_served(&sim);
     }
@@ -264,24 +259,14 @@
         sim.apply(Fault::CrashAgent(0));
         sim.start_all();
         let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
         let mut sim = start_group_with_long_leases(seed);
         let owners = sim.slot_owners();
         let coordinator = sim.coordinator().unwrap();
         sim.apply(Fault::CrashAgent(coordinator));
         sim.start_all();
         let served = sim.run_until(Duration::from_secs(2), |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
         assert_served(&sim);
@@ -302,12 +287,7 @@
         sim.start_all();
         sim.apply(Fault::Upstream { host: left, state: crate::UpstreamState::Starting });
         let served = sim.run_until(Duration::from_millis(1_500), |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
     }
 }
 
@@ -323,12 +303,7 @@
         sim.apply(Fault::Start(coordinator));
         sim.apply(Fault::PlatformUp);
         let served = sim.run_until(EARLIER_TERMS_WAIT_MAX, |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
         sim.run_for(Duration::from_secs(8));
         assert_served(&sim);
     }
@@ -343,12 +318,7 @@
         sim.apply(Fault::Pause { host, duration_ms: 1_000 });
         sim.run_for(Duration::from_millis(1_100));
         let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
         assert_served(&sim);
@@ -364,12 +334,7 @@
         sim.apply(Fault::CrashAgent(host));
         sim.apply(Fault::Start(host));
         let served = sim.run_until(Duration::from_secs(1), |it| it.unowned_slots() == 0);
-        assert!(
-            served,
-            "seed {seed}: {} slots without an owner, {:?}",
-            sim.unowned_slots(),
-            sim.events()
-        );
+        assert!(served, "seed {seed}: {} unowned slots, {:?}", sim.unowned_slots(), sim.events());
         assert_eq!(sim.slot_owners(), owners, "seed {seed}");
         sim.run_for(Duration::from_secs(8));
         assert_served(&sim);
@@ -427,12 +392,7 @@
 #[track_caller]
 fn assert_served_within(sim: &mut Sim, max: Duration) {
     let served = sim.run_until(max, |it| it.unowned_slots() == 0);
-    assert!(
-        served,
-        "{} slots without an owner after {max:?}: {:?}",
-        sim.unowned_slots(),
-        sim.events()
-    );
+    assert!(served, "{} unowned slots after {max:?}: {:?}", sim.unowned_slots(), sim.events());
 }
 
 #[test]
--- a/crates/ownership/src/tests/loads.rs
+++ b/crates/ownership/src/tests/loads.rs
@@ -5,7 +5,7 @@
 use crate::{KeyLoad, LoadReport, SlotLoad};
 
 /// Returns the lowest key of one of 1,024 slots.
-fn key_of(slot: u16) -> KeyHash {
+fn lowest_key_in(slot: u16) -> KeyHash {
     KeyHash(u64::from(slot) << 54)
 }
 
@@ -15,7 +15,7 @@
 fn keys_of_a_hot_range_count_towards_their_slots() {
     let slot_count = SlotCount::new(1_024).unwrap();
     let keys = (0..16).map(|it| {
-        let KeyHash(first) = key_of(500 + it / 4);
+        let KeyHash(first) = lowest_key_in(500 + it / 4);
         KeyLoad { key_hash: KeyHash(first + u64::from(it % 4)), load_us: 25_000 }
     });
     let report = LoadReport {
--- a/crates/ownership/src/tests/random.rs
+++ b/crates/ownership/src/tests/random.rs
@@ -7,8 +7,8 @@
 
 use crate::sim::{RandomRunConfig, logged_run, random_run};
 
-/// Number of runs per part. The parts are separate tests, which run in parallel.
-const RUNS: u64 = 600;
+/// Number of runs per part, without `OWNERSHIP_RUNS`. The parts are separate tests, which run in parallel.
+const DEFAULT_RUNS_PER_PART: u64 = 600;
 /// Seeds that failed earlier. 407938: a member rejoined with a new session and was granted the slot of a hot key that
 /// it had held in its previous session. The key was not excluded, so two members owned it. 516725, 907334: a term
 /// counted as settled once all members had reported their holdings, while the earlier coordinator had returned a hot
@@ -31,6 +31,7 @@
 /// 2605, 2447: terms higher than the one in the coordinator object or in the plan prevented every node from acquiring
 /// the next term. 179: the update of a plan was never acknowledged.
 const ROLLBACK_FAILED_SEEDS: [u64; 6] = [6, 179, 1330, 2184, 2447, 2605];
+/// Seed of the generator of arbitrary configurations.
 const QUICKCHECK_SEED: u64 = 2026;
 
 /// Returns the value of an environment variable that holds a number.
@@ -39,7 +40,7 @@
 }
 
 fn runs_per_part() -> u64 {
-    env_number("OWNERSHIP_RUNS").unwrap_or(RUNS)
+    env_number("OWNERSHIP_RUNS").unwrap_or(DEFAULT_RUNS_PER_PART)
 }
 
 fn run_config(seed: u64) -> RandomRunConfig {
@@ -82,12 +83,12 @@
 }
 
 #[test]
-fn more_seeds() {
+fn second_part_of_seeds() {
     check_part(1);
 }
 
 #[test]
-fn yet_more_seeds() {
+fn third_part_of_seeds() {
     check_part(2);
 }
 
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn random_run_configs() {
+fn arbitrary_configs_recover_without_violation() {
     fn recovers_without_violation(run_config: RandomRunConfig) -> bool {
         let report = random_run(&run_config);
         report.violation.is_none() && report.unowned_slots == 0 && report.unowned_keys == 0
