--- a/crates/ownership/src/tests/lifecycle.rs
+++ b/crates/ownership/src/tests/lifecycle.rs
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn requests_of_an_earlier_incarnation_block_grants_to_another_member() {
+fn leases_of_an_earlier_incarnation_block_grants_to_another_member() {
     for seed in 80..90 {
         let mut sim = start_group_with_long_leases(seed);
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn requests_of_an_earlier_incarnation_block_slots_that_the_later_one_releases() {
+fn leases_of_an_earlier_incarnation_block_slots_that_the_later_one_releases() {
     for seed in 90..100 {
         let mut sim = start_group_with_long_leases(seed);
         let host = (sim.coordinator().unwrap() + 1) % sim.host_count();
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn requests_of_an_earlier_incarnation_block_grants_of_a_later_term() {
+fn leases_of_an_earlier_incarnation_block_grants_of_a_later_term() {
     for seed in 100..110 {
         let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn requests_of_an_earlier_incarnation_block_a_term_that_starts_after_its_restart() {
+fn leases_of_an_earlier_incarnation_block_a_term_that_starts_after_its_restart() {
     for seed in 110..120 {
         let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn requests_of_an_earlier_incarnation_block_a_handover_by_a_later_term() {
+fn leases_of_an_earlier_incarnation_block_a_handover_by_a_later_term() {
     for seed in 120..130 {
         let mut sim = start_group_with_long_leases(seed);
         let coordinator = sim.coordinator().unwrap();
