--- a/crates/client/tests/cli/apply.rs
+++ b/crates/client/tests/cli/apply.rs
@@ -189,7 +189,8 @@
     let accepted = json!({ "service": "standings", "version": 1, "document": DOCUMENT });
     desk.platform.put("accepted/standings", &accepted.to_string());
     desk.write(&DOCUMENT.replace("\"keyed\": true", "\"keyed\": false"));
-    let expected = "file.jsonc:5:3: keyed: cannot be changed while the service is running; the current value is true.";
+    let expected =
+        "file.jsonc:5:3: keyed: cannot change while the service runs; the current value is true.";
     desk.check(&["apply", "--base", "1", "file.jsonc"], (1, &[], &[expected]));
 }
 
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -68,23 +68,18 @@
     let raw = &parsed.raw;
     let mut checker = RuleChecker { source: &parsed.source, problems };
     checker.require(raw.keyed == previous.keyed, "keyed", || {
-        format!(
-            "cannot be changed while the service is running; the current value is {}.",
-            previous.keyed
-        )
+        format!("cannot change while the service runs; the current value is {}.", previous.keyed)
     });
     let slot_count = previous.slot_count.count();
     checker.require(raw.slot_count == slot_count, "slot_count", || {
-        format!(
-            "cannot be changed while the service is running; the current value is {slot_count}."
-        )
+        format!("cannot change while the service runs; the current value is {slot_count}.")
     });
     let ordered_keys = previous.ordered_keys.map(OrderedKeys::count);
     checker.require(raw.ordered_keys == ordered_keys, "ordered_keys", || match ordered_keys {
         Some(count) => {
-            format!("cannot be changed while the service is running; the current value is {count}.")
+            format!("cannot change while the service runs; the current value is {count}.")
         }
-        None => "cannot be set while the service is running.".to_owned(),
+        None => "cannot be set while the service runs.".to_owned(),
     });
 }
 
--- a/crates/settings/src/tests/versions.rs
+++ b/crates/settings/src/tests/versions.rs
@@ -109,7 +109,8 @@
     check_judge(Some(4), 4, MINIMAL, Ok(None));
     check_judge(Some(5), 4, "{", Ok(None));
     check_judge(Some(4), 5, "{", Err("line 1, column 1: Unterminated object."));
-    let keyed = "line 4, column 3: keyed: cannot be changed while the service is running; the current value is true.";
+    let keyed =
+        "line 4, column 3: keyed: cannot change while the service runs; the current value is true.";
     check_judge(Some(4), 5, &MINIMAL.replace("true", "false"), Err(keyed));
     let other = MINIMAL.replace("standings", "lapboard");
     check_judge(
