--- a/crates/wire/src/control/convert.rs
+++ b/crates/wire/src/control/convert.rs
@@ -1,4 +1,5 @@
-//! From typed messages to their wire types and back, with the bounds checked.
+//! Conversions between typed messages and their wire types. Received lists and values are checked
+//! against bounds.
 
 use std::sync::Arc;
 
@@ -15,24 +16,27 @@
     WireError,
     types::{
         WireCommand, WireHeldKey, WireHeldSlot, WireHolding, WireInstance, WireKeyLoad, WireLoad,
-        WireMemberStanding, WireMessage, WireRenew, WireRenewed, WireReport, WireRouteKey,
-        WireRouteMember, WireRouteMemberChange, WireRouteRun, WireRoutes, WireSlotLoad, WireToken,
-        WireUpstream,
+        WireMemberStatus, WireMessage, WireRenew, WireRenewed, WireReport, WireRouteKey,
+        WireRouteMember, WireRouteMemberChange, WireRouteRange, WireRoutes, WireSlotLoad,
+        WireToken, WireUpstream,
     },
 };
 
-/// Entries that concern slots: no group has more slots.
+/// Largest number of entries for slots: a group has no more slots.
 const SLOTS_MAX: usize = SlotCount::MAX as usize;
-/// Entries that concern hot keys.
+/// Largest number of entries for hot keys.
 const KEYS_MAX: usize = 1024;
-/// Reports or commands that wait to be heard.
+/// Largest number of reports or commands that have not been acknowledged.
 const STREAM_MAX: usize = SLOTS_MAX + KEYS_MAX;
-/// Members that may have gone since a receiver's version.
-const GONE_MAX: usize = 2 * GROUP_MEMBERS_MAX;
+/// Largest number of members removed since the route version of the receiver.
+const REMOVED_MAX: usize = 2 * GROUP_MEMBERS_MAX;
+/// Largest number of slots in a load report.
 const LOAD_SLOTS_MAX: usize = 64;
+/// Largest number of keys in a load report.
 const LOAD_KEYS_MAX: usize = 16;
 
-fn list<W, T>(list: &'static str, max: usize, items: Vec<W>) -> Result<Vec<T>, WireError>
+/// Converts the entries of a list after checking their number.
+fn convert_list<W, T>(list: &'static str, max: usize, items: Vec<W>) -> Result<Vec<T>, WireError>
 where
     T: TryFrom<W>,
     WireError: From<T::Error>,
@@ -49,7 +53,8 @@
     }
 }
 
-fn value(field: &'static str) -> impl Fn(model::NameError) -> WireError {
+/// Returns a function that converts the error of an invalid name into one that names the field.
+fn invalid_value(field: &'static str) -> impl Fn(model::NameError) -> WireError {
     move |it| WireError::Value { field, reason: it.to_string() }
 }
 
@@ -67,9 +72,9 @@
     fn try_from(it: WireInstance) -> Result<Instance, WireError> {
         let WireInstance(name, incarnation, zone, control, traffic) = it;
         Ok(Instance {
-            name: InstanceName::new(&name).map_err(value("instance"))?,
+            name: InstanceName::new(&name).map_err(invalid_value("instance"))?,
             incarnation: Incarnation(incarnation),
-            zone: Zone::new(&zone).map_err(value("zone"))?,
+            zone: Zone::new(&zone).map_err(invalid_value("zone"))?,
             control,
             traffic,
         })
@@ -118,15 +123,15 @@
     fn from(message: &Message) -> WireMessage {
         let instance = |it: &Option<Instance>| it.as_ref().map(WireInstance::from);
         match message {
-            Message::CoordinatorQuery { term } => WireMessage::WhoCoordinates(term.0),
+            Message::CoordinatorQuery { term } => WireMessage::CoordinatorQuery(term.0),
             Message::CoordinatorReply { term, coordinator, silence_ms } => {
-                WireMessage::Coordinates(term.0, instance(coordinator), *silence_ms)
+                WireMessage::CoordinatorReply(term.0, instance(coordinator), *silence_ms)
             }
             Message::Announce { term } => WireMessage::Announce(term.0),
             Message::Released { term } => WireMessage::Released(term.0),
-            Message::WitnessQuery { term, number } => WireMessage::Question(term.0, *number),
+            Message::WitnessQuery { term, number } => WireMessage::WitnessQuery(term.0, *number),
             Message::WitnessReply { term, number, has_read } => {
-                WireMessage::Answer(term.0, *number, *has_read)
+                WireMessage::WitnessReply(term.0, *number, *has_read)
             }
             Message::Renew(it) => WireMessage::Renew(Box::new(it.as_ref().into())),
             Message::Renewed(it) => WireMessage::Renewed(Box::new(it.as_ref().into())),
@@ -144,18 +149,20 @@
 
     fn try_from(message: WireMessage) -> Result<Message, WireError> {
         Ok(match message {
-            WireMessage::WhoCoordinates(term) => Message::CoordinatorQuery { term: Term(term) },
-            WireMessage::Coordinates(term, coordinator, silence_ms) => Message::CoordinatorReply {
-                term: Term(term),
-                coordinator: instance(coordinator)?,
-                silence_ms,
-            },
+            WireMessage::CoordinatorQuery(term) => Message::CoordinatorQuery { term: Term(term) },
+            WireMessage::CoordinatorReply(term, coordinator, silence_ms) => {
+                Message::CoordinatorReply {
+                    term: Term(term),
+                    coordinator: instance(coordinator)?,
+                    silence_ms,
+                }
+            }
             WireMessage::Announce(term) => Message::Announce { term: Term(term) },
             WireMessage::Released(term) => Message::Released { term: Term(term) },
-            WireMessage::Question(term, number) => {
+            WireMessage::WitnessQuery(term, number) => {
                 Message::WitnessQuery { term: Term(term), number }
             }
-            WireMessage::Answer(term, number, has_read) => {
+            WireMessage::WitnessReply(term, number, has_read) => {
                 Message::WitnessReply { term: Term(term), number, has_read }
             }
             WireMessage::Renew(it) => Message::Renew(Box::new((*it).try_into()?)),
@@ -203,7 +210,7 @@
             config: ConfigVersion(it.config),
             applied: it.applied,
             first_report: it.first_report,
-            reports: list("reports", STREAM_MAX, it.reports)?,
+            reports: convert_list("reports", STREAM_MAX, it.reports)?,
             holding: it.holding.map(Holding::try_from).transpose()?,
             load: it.load.map(LoadReport::try_from).transpose()?,
             route_version: it.route_version,
@@ -241,11 +248,11 @@
 
     fn try_from(it: WireHolding) -> Result<Holding, WireError> {
         let WireHolding(recently_lapsed, slots, keys, excluded) = it;
-        let excluded: Vec<u64> = list("excluded keys", KEYS_MAX, excluded)?;
+        let excluded: Vec<u64> = convert_list("excluded keys", KEYS_MAX, excluded)?;
         Ok(Holding {
             recently_lapsed,
-            slots: list("held slots", SLOTS_MAX, slots)?,
-            keys: list("held keys", KEYS_MAX, keys)?,
+            slots: convert_list("held slots", SLOTS_MAX, slots)?,
+            keys: convert_list("held keys", KEYS_MAX, keys)?,
             excluded: excluded.into_iter().map(KeyHash).collect(),
         })
     }
@@ -284,8 +291,8 @@
         Ok(LoadReport {
             period_ms,
             total_us,
-            slots: list("loads of slots", LOAD_SLOTS_MAX, slots)?,
-            keys: list("loads of keys", LOAD_KEYS_MAX, keys)?,
+            slots: convert_list("loads of slots", LOAD_SLOTS_MAX, slots)?,
+            keys: convert_list("loads of keys", LOAD_KEYS_MAX, keys)?,
         })
     }
 }
@@ -349,7 +356,7 @@
             lease_ms: it.lease_ms,
             last_report: it.last_report,
             first_command: it.first_command,
-            commands: list("commands", STREAM_MAX, it.commands)?,
+            commands: convert_list("commands", STREAM_MAX, it.commands)?,
             routes: routes.map(Arc::new),
             config: ConfigVersion(it.config),
             can_stop: it.can_stop,
@@ -372,7 +379,7 @@
             Command::ExcludeKey { key_hash, owner } => {
                 WireCommand::ExcludeKey(key_hash.0, owner.into())
             }
-            Command::RemoveKey { key_hash } => WireCommand::ForgetKey(key_hash.0),
+            Command::RemoveKey { key_hash } => WireCommand::RemoveKey(key_hash.0),
             Command::Clear { token } => WireCommand::Clear((*token).into()),
             Command::CloseKey { key_hash, token, to } => {
                 WireCommand::CloseKey(key_hash.0, (*token).into(), instance(to))
@@ -401,7 +408,7 @@
             WireCommand::ExcludeKey(key_hash, owner) => {
                 Command::ExcludeKey { key_hash: KeyHash(key_hash), owner: owner.try_into()? }
             }
-            WireCommand::ForgetKey(key_hash) => Command::RemoveKey { key_hash: KeyHash(key_hash) },
+            WireCommand::RemoveKey(key_hash) => Command::RemoveKey { key_hash: KeyHash(key_hash) },
             WireCommand::Clear(token) => Command::Clear { token: token.into() },
             WireCommand::CloseKey(key_hash, token, to) => Command::CloseKey {
                 key_hash: KeyHash(key_hash),
@@ -418,10 +425,10 @@
             WireRouteMember(it.number.0, (&it.instance).into(), it.status.into())
         };
         let change = |it: &RouteMemberChange| WireRouteMemberChange(it.number.0, it.status.into());
-        let run = |it: &RouteRange| {
+        let range = |it: &RouteRange| {
             let successors = it.successors.iter().map(|it| it.0).collect();
             let owner = it.owner.map(|it| it.0);
-            WireRouteRun(it.first.0, it.last.0, owner, it.token.into(), successors)
+            WireRouteRange(it.first.0, it.last.0, owner, it.token.into(), successors)
         };
         let key =
             |it: &RouteKey| WireRouteKey(it.key_hash.0, it.owner.map(|it| it.0), it.token.into());
@@ -431,7 +438,7 @@
             it.removed.iter().map(|it| it.0).collect(),
             it.joined.iter().map(member).collect(),
             it.changed.iter().map(change).collect(),
-            it.slots.iter().map(run).collect(),
+            it.slots.iter().map(range).collect(),
             it.keys.iter().map(key).collect(),
         )
     }
@@ -456,29 +463,29 @@
     }
 }
 
-impl From<MemberStatus> for WireMemberStanding {
-    fn from(it: MemberStatus) -> WireMemberStanding {
-        WireMemberStanding(it.state.into(), it.load_us_per_s, it.config.0)
+impl From<MemberStatus> for WireMemberStatus {
+    fn from(it: MemberStatus) -> WireMemberStatus {
+        WireMemberStatus(it.state.into(), it.load_us_per_s, it.config.0)
     }
 }
 
-impl From<WireMemberStanding> for MemberStatus {
-    fn from(WireMemberStanding(state, load_us_per_s, config): WireMemberStanding) -> MemberStatus {
+impl From<WireMemberStatus> for MemberStatus {
+    fn from(WireMemberStatus(state, load_us_per_s, config): WireMemberStatus) -> MemberStatus {
         let config = ConfigVersion(config);
         MemberStatus { state: state.into(), load_us_per_s, config }
     }
 }
 
-impl TryFrom<WireRouteRun> for RouteRange {
+impl TryFrom<WireRouteRange> for RouteRange {
     type Error = WireError;
 
-    fn try_from(it: WireRouteRun) -> Result<RouteRange, WireError> {
-        let WireRouteRun(first, last, owner, token, successors) = it;
+    fn try_from(it: WireRouteRange) -> Result<RouteRange, WireError> {
+        let WireRouteRange(first, last, owner, token, successors) = it;
         if last < first || last >= SlotCount::MAX {
-            let reason = format!("slots {first} to {last}");
+            let reason = format!("slots {first} to {last} are not a valid range");
             return Err(WireError::Value { field: "routes of slots", reason });
         }
-        let successors: Vec<u16> = list("successors", GROUP_MEMBERS_MAX, successors)?;
+        let successors: Vec<u16> = convert_list("successors", GROUP_MEMBERS_MAX, successors)?;
         let successors = successors.into_iter().map(MemberNumber).collect();
         let owner = owner.map(MemberNumber);
         let (first, last) = (Slot(first), Slot(last));
@@ -498,15 +505,15 @@
 
     fn try_from(it: WireRoutes) -> Result<Routes, WireError> {
         let WireRoutes(since, version, removed, joined, changed, slots, keys) = it;
-        let removed: Vec<u16> = list("members that are gone", GONE_MAX, removed)?;
+        let removed: Vec<u16> = convert_list("removed members", REMOVED_MAX, removed)?;
         Ok(Routes {
             since,
             version,
             removed: removed.into_iter().map(MemberNumber).collect(),
-            joined: list("members", GROUP_MEMBERS_MAX, joined)?,
-            changed: list("changed members", GROUP_MEMBERS_MAX, changed)?,
-            slots: list("routes of slots", SLOTS_MAX, slots)?,
-            keys: list("routes of keys", KEYS_MAX, keys)?,
+            joined: convert_list("members", GROUP_MEMBERS_MAX, joined)?,
+            changed: convert_list("changed members", GROUP_MEMBERS_MAX, changed)?,
+            slots: convert_list("routes of slots", SLOTS_MAX, slots)?,
+            keys: convert_list("routes of keys", KEYS_MAX, keys)?,
         })
     }
 }
--- a/crates/wire/src/control/mod.rs
+++ b/crates/wire/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! Messages between the nodes of one group, as CBOR.
+//! CBOR encoding of the messages between the nodes of a group.
 //!
-//! Field names are single letters and small things are arrays, since the control traffic of a
-//! node has to stay under 20 KB/s. What a peer sends is bounded: first the whole, in bytes, then
-//! each list, in entries.
+//! Field names are single letters and small types are arrays, since the control traffic of a node
+//! has to stay below 20 KB/s. Received messages are bounded: first their total length in bytes,
+//! then the number of entries of each list.
 
 mod convert;
 mod types;
@@ -14,29 +14,31 @@
 
 use self::types::WireMessage;
 
-/// The longest message that is accepted, in bytes.
+/// Longest message that is accepted, in bytes.
 pub const CONTROL_MESSAGE_MAX_BYTES: usize = 256 * 1024;
 
-/// Why bytes are no control message.
+/// Reason why received bytes are not a valid control message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum WireError {
-    #[error("decode: {0} bytes, at most {CONTROL_MESSAGE_MAX_BYTES} are allowed")]
+    #[error("control message of {0} bytes: expected at most {CONTROL_MESSAGE_MAX_BYTES}")]
     TooLong(usize),
-    #[error("decode: no control message: {0}")]
+    #[error("invalid control message: {0}")]
     Syntax(String),
-    #[error("decode: {list} has {count} entries, at most {max} are allowed")]
+    #[error(
+        "invalid control message: {count} entries in the list of {list}, expected at most {max}"
+    )]
     TooMany { list: &'static str, count: usize, max: usize },
-    #[error("decode: {field}: {reason}")]
+    #[error("invalid control message: {field}: {reason}")]
     Value { field: &'static str, reason: String },
 }
 
-/// The CBOR of a message.
+/// Encodes a message in CBOR.
 pub fn encode(message: &Message) -> Vec<u8> {
     crate::codec::encode(&WireMessage::from(message))
 }
 
-/// The message that bytes of a peer stand for.
+/// Decodes and checks a message of a peer.
 pub fn decode(bytes: &[u8]) -> Result<Message, WireError> {
     if bytes.len() > CONTROL_MESSAGE_MAX_BYTES {
         return Err(WireError::TooLong(bytes.len()));
--- a/crates/wire/src/control/tests.rs
+++ b/crates/wire/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! Round trips, sizes and hostile bytes.
+//! Round trips, sizes and decoding of mutated control messages.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 use super::{CONTROL_MESSAGE_MAX_BYTES, WireError, decode, encode};
 
-const FUZZ_RUNS: u64 = 20_000;
+const FUZZ_ROUNDS: u64 = 20_000;
 
 fn instance(rng: &mut Pcg64Mcg) -> Instance {
     let port = rng.random();
@@ -32,7 +32,7 @@
     Token { term: Term(rng.random_range(0..99)), sequence: rng.random() }
 }
 
-fn some<T>(rng: &mut Pcg64Mcg, max: usize, make: impl Fn(&mut Pcg64Mcg) -> T) -> Vec<T> {
+fn random_list<T>(rng: &mut Pcg64Mcg, max: usize, make: impl Fn(&mut Pcg64Mcg) -> T) -> Vec<T> {
     (0..rng.random_range(0..=max)).map(|_| make(rng)).collect()
 }
 
@@ -69,12 +69,12 @@
     LoadReport {
         period_ms: rng.random(),
         total_us: rng.random(),
-        slots: some(rng, 64, |rng| SlotLoad {
+        slots: random_list(rng, 64, |rng| SlotLoad {
             slot: Slot(rng.random()),
             load_us: rng.random(),
             in_flight: rng.random(),
         }),
-        keys: some(rng, 16, |rng| KeyLoad {
+        keys: random_list(rng, 16, |rng| KeyLoad {
             key_hash: KeyHash(rng.random()),
             load_us: rng.random(),
         }),
@@ -84,17 +84,17 @@
 fn holding(rng: &mut Pcg64Mcg) -> Holding {
     Holding {
         recently_lapsed: rng.random(),
-        slots: some(rng, 9, |rng| HeldSlot {
+        slots: random_list(rng, 9, |rng| HeldSlot {
             slot: Slot(rng.random()),
             token: token(rng),
             closing: rng.random(),
         }),
-        keys: some(rng, 3, |rng| HeldKey {
+        keys: random_list(rng, 3, |rng| HeldKey {
             key_hash: KeyHash(rng.random()),
             token: token(rng),
             closing: rng.random(),
         }),
-        excluded: some(rng, 3, |rng| KeyHash(rng.random())),
+        excluded: random_list(rng, 3, |rng| KeyHash(rng.random())),
     }
 }
 
@@ -108,7 +108,7 @@
         config: ConfigVersion(rng.random()),
         applied: rng.random(),
         first_report: rng.random(),
-        reports: some(rng, 5, report),
+        reports: random_list(rng, 5, report),
         holding: rng.random_bool(0.5).then(|| holding(rng)),
         load: rng.random_bool(0.5).then(|| load(rng)),
         route_version: rng.random(),
@@ -125,24 +125,27 @@
     Routes {
         since: rng.random(),
         version: rng.random(),
-        removed: some(rng, 4, index),
-        joined: some(rng, 32, |rng| RouteMember {
+        removed: random_list(rng, 4, index),
+        joined: random_list(rng, 32, |rng| RouteMember {
             number: index(rng),
             instance: instance(rng),
             status: status(rng),
         }),
-        changed: some(rng, 8, |rng| RouteMemberChange { number: index(rng), status: status(rng) }),
-        slots: some(rng, 20, |rng| {
+        changed: random_list(rng, 8, |rng| RouteMemberChange {
+            number: index(rng),
+            status: status(rng),
+        }),
+        slots: random_list(rng, 20, |rng| {
             let first = rng.random_range(0..4096);
             RouteRange {
                 first: Slot(first),
                 last: Slot(rng.random_range(first..4096)),
                 owner: rng.random_bool(0.8).then(|| index(rng)),
                 token: token(rng),
-                successors: some(rng, 3, index),
+                successors: random_list(rng, 3, index),
             }
         }),
-        keys: some(rng, 3, |rng| RouteKey {
+        keys: random_list(rng, 3, |rng| RouteKey {
             key_hash: KeyHash(rng.random()),
             owner: Some(index(rng)),
             token: token(rng),
@@ -158,7 +161,7 @@
         lease_ms: rng.random(),
         last_report: rng.random(),
         first_command: rng.random(),
-        commands: some(rng, 6, command),
+        commands: random_list(rng, 6, command),
         routes: rng.random_bool(0.5).then(|| Arc::new(routes(rng))),
         config: ConfigVersion(rng.random()),
         can_stop: rng.random(),
@@ -192,20 +195,20 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were() {
-    fn comes_back(seed: Seed) -> bool {
+fn encoded_messages_decode_to_the_same_value() {
+    fn round_trips(seed: Seed) -> bool {
         let message = message(&mut Pcg64Mcg::seed_from_u64(seed.0));
         decode(&encode(&message)) == Ok(message)
     }
-    QuickCheck::new().tests(2000).quickcheck(comes_back as fn(Seed) -> bool);
+    QuickCheck::new().tests(2000).quickcheck(round_trips as fn(Seed) -> bool);
 }
 
-/// Whatever bytes come, the decoder gives a message within its bounds or an error.
+/// Decoding mutated bytes returns an error or a message that can be encoded and decoded again.
 #[test]
-fn hostile_bytes_are_refused_in_order() {
+fn mutated_bytes_are_refused_or_decoded_within_bounds() {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     let mut refused = 0;
-    for _ in 0..FUZZ_RUNS {
+    for _ in 0..FUZZ_ROUNDS {
         let mut bytes = encode(&message(&mut rng));
         for _ in 0..rng.random_range(1..8) {
             let at = rng.random_range(0..bytes.len());
@@ -225,12 +228,12 @@
 }
 
 #[test]
-fn what_is_too_large_is_refused() {
+fn messages_and_lists_above_their_limits_are_refused() {
     let long = vec![0; CONTROL_MESSAGE_MAX_BYTES + 1];
     assert_eq!(decode(&long), Err(WireError::TooLong(long.len())));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let reports = vec![KeyLoad { key_hash: KeyHash(1), load_us: 1 }; 17];
-    let load = LoadReport { keys: reports, ..LoadReport::default() };
+    let loads = vec![KeyLoad { key_hash: KeyHash(1), load_us: 1 }; 17];
+    let load = LoadReport { keys: loads, ..LoadReport::default() };
     let renew = Renew { load: Some(load), ..renew(&mut rng) };
     let too_many = WireError::TooMany { list: "loads of keys", count: 17, max: 16 };
     assert_eq!(decode(&encode(&Message::Renew(Box::new(renew)))), Err(too_many));
@@ -270,16 +273,16 @@
 }
 
 #[test]
-fn a_run_of_slots_that_ends_before_it_begins_is_refused() {
+fn an_invalid_range_of_slots_is_refused() {
     for (first, last) in [(5, 4), (0, 4096)] {
-        let run = RouteRange {
+        let range = RouteRange {
             first: Slot(first),
             last: Slot(last),
             owner: None,
             token: Token::default(),
             successors: Vec::new(),
         };
-        let routes = Some(Arc::new(Routes { slots: vec![run], ..Routes::default() }));
+        let routes = Some(Arc::new(Routes { slots: vec![range], ..Routes::default() }));
         let renewed = Renewed { routes, ..renewed(&mut Pcg64Mcg::seed_from_u64(1)) };
         assert!(decode(&encode(&Message::Renewed(Box::new(renewed)))).is_err());
     }
--- a/crates/wire/src/control/types.rs
+++ b/crates/wire/src/control/types.rs
@@ -1,10 +1,11 @@
-//! The shapes on the wire. Tuple structs become arrays, which carry no field names.
+//! Wire types of control messages. Tuple structs are encoded as arrays, which contain no field
+//! names.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Name, incarnation, availability zone, control address, traffic address.
+/// Instance: name, incarnation, availability zone, control address, traffic address.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireInstance(
@@ -15,7 +16,7 @@
     pub(super) SocketAddr,
 );
 
-/// Term and sequence.
+/// Fence token: term and sequence.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireToken(pub(super) u64, pub(super) u64);
@@ -23,29 +24,35 @@
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) enum WireMessage {
+    /// Term.
     #[serde(rename = "w")]
-    WhoCoordinates(u64),
-    /// Term, coordinator, silent time in milliseconds.
+    CoordinatorQuery(u64),
+    /// Term, coordinator, milliseconds since the sender last received a message from it.
     #[serde(rename = "c")]
-    Coordinates(u64, Option<WireInstance>, u32),
+    CoordinatorReply(u64, Option<WireInstance>, u32),
+    /// Term.
     #[serde(rename = "a")]
     Announce(u64),
+    /// Term.
     #[serde(rename = "x")]
     Released(u64),
-    /// Term and number.
+    /// Term, number of the query.
     #[serde(rename = "q")]
-    Question(u64, u64),
+    WitnessQuery(u64, u64),
+    /// Term, number of the query, whether the witness has read the coordinator object.
     #[serde(rename = "y")]
-    Answer(u64, u64, bool),
+    WitnessReply(u64, u64, bool),
     #[serde(rename = "r")]
     Renew(Box<WireRenew>),
     #[serde(rename = "l")]
     Renewed(Box<WireRenewed>),
-    /// Term and session.
+    /// Term, session.
     #[serde(rename = "e")]
     SessionEnded(u64, u32),
+    /// Term, current coordinator.
     #[serde(rename = "n")]
     NotCoordinator(u64, Option<WireInstance>),
+    /// Term.
     #[serde(rename = "f")]
     JoinRefused(u64),
 }
@@ -93,7 +100,7 @@
     pub(super) route_version: u64,
 }
 
-/// Recently lapsed, slots, keys, excluded keys.
+/// Grants held by a member: whether a session ended recently, slots, keys, excluded keys.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireHolding(
@@ -103,17 +110,17 @@
     pub(super) Vec<u64>,
 );
 
-/// Slot, token, closing.
+/// Held slot: slot, token, whether it is being closed.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireHeldSlot(pub(super) u16, pub(super) WireToken, pub(super) bool);
 
-/// Key hash, token, closing.
+/// Held key: key hash, token, whether it is being closed.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireHeldKey(pub(super) u64, pub(super) WireToken, pub(super) bool);
 
-/// Period, total, slots, keys.
+/// Load report: period in milliseconds, total load in microseconds, loads of slots, loads of keys.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireLoad(
@@ -123,12 +130,12 @@
     pub(super) Vec<WireKeyLoad>,
 );
 
-/// Slot, load, requests in flight.
+/// Load of a slot: slot, load in microseconds, requests in flight.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireSlotLoad(pub(super) u16, pub(super) u64, pub(super) u16);
 
-/// Key hash, load.
+/// Load of a key: key hash, load in microseconds.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireKeyLoad(pub(super) u64, pub(super) u64);
@@ -186,14 +193,15 @@
     #[serde(rename = "x")]
     ExcludeKey(u64, WireInstance),
     #[serde(rename = "f")]
-    ForgetKey(u64),
+    RemoveKey(u64),
     #[serde(rename = "d")]
     CloseKey(u64, WireToken, Option<WireInstance>),
     #[serde(rename = "e")]
     Clear(WireToken),
 }
 
-/// Since, version, members that are gone, joined and changed, slots, keys.
+/// Routes: version that the changes apply to, new version, members that were removed, joined and
+/// changed, slots, keys.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireRoutes(
@@ -202,33 +210,34 @@
     pub(super) Vec<u16>,
     pub(super) Vec<WireRouteMember>,
     pub(super) Vec<WireRouteMemberChange>,
-    pub(super) Vec<WireRouteRun>,
+    pub(super) Vec<WireRouteRange>,
     pub(super) Vec<WireRouteKey>,
 );
 
-/// Number, instance, standing.
+/// Member: number, instance, status.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireRouteMember(
     pub(super) u16,
     pub(super) WireInstance,
-    pub(super) WireMemberStanding,
+    pub(super) WireMemberStatus,
 );
 
-/// Number, standing.
+/// Changed member: number, status.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-pub(super) struct WireRouteMemberChange(pub(super) u16, pub(super) WireMemberStanding);
+pub(super) struct WireRouteMemberChange(pub(super) u16, pub(super) WireMemberStatus);
 
-/// State, load, version of the document.
+/// Status of a member: state of its upstream, load in microseconds per second, version of its
+/// document.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-pub(super) struct WireMemberStanding(pub(super) WireUpstream, pub(super) u64, pub(super) u64);
+pub(super) struct WireMemberStatus(pub(super) WireUpstream, pub(super) u64, pub(super) u64);
 
-/// First and last slot, owner, token, successors.
+/// Routes of consecutive slots: first and last slot, owner, token, successors.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-pub(super) struct WireRouteRun(
+pub(super) struct WireRouteRange(
     pub(super) u16,
     pub(super) u16,
     pub(super) Option<u16>,
@@ -236,7 +245,7 @@
     pub(super) Vec<u16>,
 );
 
-/// Key hash, owner, token.
+/// Route of a hot key: key hash, owner, token.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct WireRouteKey(pub(super) u64, pub(super) Option<u16>, pub(super) WireToken);
