--- a/crates/wire/src/heads/mod.rs
+++ b/crates/wire/src/heads/mod.rs
@@ -1,12 +1,14 @@
-//! Heads of messages, compressed against the heads before them on the same link.
+//! Compression of the heads of messages, with the previous heads on the same link as the
+//! dictionary.
 //!
-//! What this answers: where every key has one owner, two thirds of all requests cross between availability
-//! zones, and what they carry besides their bodies, names of fields and headers above all, is the same each
-//! time. Bodies are sent as they are.
+//! With one owner per key, two thirds of all requests cross between availability zones. Apart from
+//! their bodies, they consist mostly of repeated field and header names. Bodies are sent
+//! uncompressed.
 //!
-//! A message on a link is the length of its head, the length of the compressed head, the compressed head,
-//! and the rest as it is; both lengths are in LEB128. Messages have to be decoded in the order in which they
-//! were encoded: both sides keep the last heads as the dictionary.
+//! An encoded message consists of the length of its head, the length of the compressed head, the
+//! compressed head, and the uncompressed rest. Both lengths are in LEB128. Messages have to be
+//! decoded in the order in which they were encoded, since both sides keep the last heads as the
+//! dictionary.
 
 #[cfg(test)]
 mod tests;
@@ -15,29 +17,30 @@
 
 use crate::CodecError;
 
-/// How much of the last heads is kept for reference, in bytes: five to ten heads, so one of each kind.
-const RECENT_BYTES_MAX: usize = 4096;
-/// The longest head, in bytes: the largest message without a body, a plan's routes.
+/// Size of the dictionary. It holds five to ten heads, so one of each kind of message.
+const DICTIONARY_BYTES_MAX: usize = 4096;
+/// Longest head: that of the largest message without a body, the routes of a plan.
 const HEAD_BYTES_MAX: usize = 1 << 20;
-/// LEB128 has seven bits a byte; three bytes hold the longest head.
+/// Longest encoded length. LEB128 has seven bits per byte, so three bytes hold the length of the
+/// longest head.
 const LENGTH_BYTES_MAX: usize = 3;
 
-/// The last heads of one direction of a link.
+/// Dictionary for one direction of a link: the last bytes of the previous heads.
 #[derive(Debug, Default)]
-struct Recent(Vec<u8>);
+struct Dictionary(Vec<u8>);
 
-impl Recent {
+impl Dictionary {
     fn add(&mut self, head: &[u8]) {
-        let head = &head[head.len().saturating_sub(RECENT_BYTES_MAX)..];
-        let excess = (self.0.len() + head.len()).saturating_sub(RECENT_BYTES_MAX);
+        let head = &head[head.len().saturating_sub(DICTIONARY_BYTES_MAX)..];
+        let excess = (self.0.len() + head.len()).saturating_sub(DICTIONARY_BYTES_MAX);
         self.0.drain(..excess);
         self.0.extend_from_slice(head);
     }
 }
 
-/// The sending end of a link.
+/// Encoder for the sending end of a link.
 #[derive(Debug, Default)]
-pub struct HeadEncoder(Recent);
+pub struct HeadEncoder(Dictionary);
 
 impl HeadEncoder {
     /// Encodes a message whose first `head_len` bytes are its head.
@@ -55,23 +58,29 @@
     }
 }
 
-/// The receiving end of a link.
+/// Decoder for the receiving end of a link.
 #[derive(Debug, Default)]
-pub struct HeadDecoder(Recent);
+pub struct HeadDecoder(Dictionary);
 
 impl HeadDecoder {
-    /// Decodes a message. After an error the link can't be used any more.
+    /// Decodes a message. After an error, the link can no longer be used, since the dictionaries of
+    /// both ends differ.
     pub fn decode(&mut self, encoded: &[u8]) -> Result<Vec<u8>, CodecError> {
-        let (head_len, encoded) = take_length(encoded)?;
-        let (compressed_len, encoded) = take_length(encoded)?;
+        let (head_len, encoded) = split_length(encoded)?;
+        let (compressed_len, encoded) = split_length(encoded)?;
         if head_len > HEAD_BYTES_MAX || compressed_len > encoded.len() {
-            return Err(invalid(format!("{head_len} bytes from {compressed_len}")));
+            return Err(invalid(format!(
+                "invalid lengths: {head_len} bytes, compressed to {compressed_len}"
+            )));
         }
         let (compressed, rest) = encoded.split_at(compressed_len);
         let mut message = decompress_with_dict(compressed, head_len, &self.0.0)
             .map_err(|error| invalid(error.to_string()))?;
         if message.len() != head_len {
-            return Err(invalid(format!("{} bytes in place of {head_len}", message.len())));
+            return Err(invalid(format!(
+                "decompressed to {} bytes, expected {head_len}",
+                message.len()
+            )));
         }
         self.0.add(&message);
         message.extend_from_slice(rest);
@@ -87,7 +96,7 @@
     bytes.push(length as u8);
 }
 
-fn take_length(bytes: &[u8]) -> Result<(usize, &[u8]), CodecError> {
+fn split_length(bytes: &[u8]) -> Result<(usize, &[u8]), CodecError> {
     let mut length = 0;
     for (at, byte) in bytes.iter().take(LENGTH_BYTES_MAX).enumerate() {
         length |= usize::from(byte & 0x7f) << (7 * at);
@@ -95,7 +104,7 @@
             return Ok((length, &bytes[at + 1..]));
         }
     }
-    Err(invalid("its length does not end".to_owned()))
+    Err(invalid("the encoded length is too long or truncated".to_owned()))
 }
 
 fn invalid(reason: String) -> CodecError {
--- a/crates/wire/src/heads/tests.rs
+++ b/crates/wire/src/heads/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of compressed heads.
+//! Tests of the compression of heads.
 
 use quickcheck::{Gen, QuickCheck};
 
 use super::{
-    HEAD_BYTES_MAX, HeadDecoder, HeadEncoder, RECENT_BYTES_MAX, compress_with_dict, push_length,
+    DICTIONARY_BYTES_MAX, HEAD_BYTES_MAX, HeadDecoder, HeadEncoder, compress_with_dict, push_length,
 };
 use crate::CodecError;
 
-/// Heads of any length, some of them alike, and bodies.
+/// Random heads of any length, some of them repetitive, and random bodies.
 #[test]
-fn messages_come_out_as_they_went_in() {
+fn decoded_messages_equal_the_encoded_ones() {
     fn property(messages: Vec<(Vec<u8>, Vec<u8>, u8)>) -> bool {
         let (mut encoder, mut decoder) = (HeadEncoder::default(), HeadDecoder::default());
         messages.into_iter().all(|(head, body, times)| {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_head_like_the_one_before_takes_few_bytes() {
+fn a_head_similar_to_the_previous_one_is_compressed_to_few_bytes() {
     let head =
         |number: u32| format!("{{\"service\":\"standings\",\"path\":\"/heat\",\"id\":{number}}}");
     let mut encoder = HeadEncoder::default();
@@ -36,18 +36,18 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn the_dictionary_is_bounded() {
     let mut encoder = HeadEncoder::default();
     for byte in 0..=255 {
         encoder.encode(&[byte; 1000], 1000);
-        assert!(encoder.0.0.len() <= RECENT_BYTES_MAX);
+        assert!(encoder.0.0.len() <= DICTIONARY_BYTES_MAX);
     }
     encoder.encode(&[7; 100_000], 100_000);
-    assert_eq!(encoder.0.0.len(), RECENT_BYTES_MAX);
+    assert_eq!(encoder.0.0.len(), DICTIONARY_BYTES_MAX);
 }
 
 #[test]
-fn other_bytes_are_refused_or_decoded_within_bounds() {
+fn invalid_bytes_are_refused_or_decoded_within_bounds() {
     fn property(bytes: Vec<u8>) -> bool {
         match HeadDecoder::default().decode(&bytes) {
             Ok(message) => message.len() <= HEAD_BYTES_MAX + bytes.len(),
@@ -68,7 +68,7 @@
     encoder.encode(b"lap lap lap lap", 15);
     let second = encoder.encode(b"lap lap lap lap", 15);
     refused(&second);
-    // A few kilobytes that would become a head longer than any may be.
+    // A few kilobytes that would decompress to a head above the limit.
     let head = vec![0; HEAD_BYTES_MAX + 1];
     let compressed = compress_with_dict(&head, &[]);
     let mut bomb = Vec::new();
