--- a/crates/wire/src/exchange/envelope.rs
+++ b/crates/wire/src/exchange/envelope.rs
@@ -1,48 +1,33 @@
-//! One message on a control link.
+//! Messages on a control link.
 
 use model::{ConfigVersion, GroupId, ServiceName};
 use serde::{Deserialize, Serialize};
 
 use crate::{CodecError, decode, encode, exchange::RouteTable};
 
-/// The longest document that is sent, in bytes; the platform holds values of a megabyte.
+/// Longest document that is accepted. The platform stores values of up to a megabyte.
 const DOCUMENT_BYTES_MAX: usize = 1 << 20;
-/// The most versions in one message.
+/// Largest number of versions in a message.
 const VERSIONS_MAX: usize = 1024;
 
-/// One message between two control threads.
+/// Message between two control threads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Envelope {
-    /// An encoded `ownership::Message` of one group.
-    Group {
-        service: ServiceName,
-        group: GroupId,
-        payload: Vec<u8>,
-    },
-    /// Asks for the document in force.
-    FetchDocument {
-        service: ServiceName,
-    },
-    /// The document in force, as its team wrote it.
-    Document {
-        service: ServiceName,
-        version: ConfigVersion,
-        text: String,
-    },
-    /// Accepted versions that the sender knows of.
+    /// Encoded `ownership::Message` of a group.
+    Group { service: ServiceName, group: GroupId, payload: Vec<u8> },
+    /// Requests the document in force.
+    FetchDocument { service: ServiceName },
+    /// Unmodified text of the document in force.
+    Document { service: ServiceName, version: ConfigVersion, text: String },
+    /// Announces the newest accepted versions known to the sender.
     Versions(Vec<(ServiceName, ConfigVersion)>),
-    /// Asks any member of a service for its routes, unless they are those of `known_version`.
-    FetchRoutes {
-        service: ServiceName,
-        known_version: u64,
-    },
+    /// Requests the routes of a service from any of its members, unless they still have version
+    /// `known_version`.
+    FetchRoutes { service: ServiceName, known_version: u64 },
+    /// Reply to `FetchRoutes`, with the routes.
     Routes(RouteTable),
-    /// The routes are those of this version still.
-    RoutesUnchanged {
-        service: ServiceName,
-        version: u64,
-        config: ConfigVersion,
-    },
+    /// Reply to `FetchRoutes`: the routes still have this version.
+    RoutesUnchanged { service: ServiceName, version: u64, config: ConfigVersion },
 }
 
 impl Envelope {
@@ -50,13 +35,14 @@
         encode(&Wire::from(self))
     }
 
-    /// Decodes a message of a peer.
+    /// Decodes and checks a message of a peer.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, CodecError> {
         Envelope::try_from(decode::<Wire>(bytes)?)
     }
 }
 
-/// The CBOR form; the short names spare bytes, since a renewal travels in each of these.
+/// CBOR form of an envelope. Names are short, since every lease renewal is sent in a `Group`
+/// envelope.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 enum Wire {
@@ -117,13 +103,13 @@
             }
             Wire::FetchDocument { service } => Ok(Envelope::FetchDocument { service }),
             Wire::Document { text, .. } if text.len() > DOCUMENT_BYTES_MAX => {
-                Err(invalid("text", format!("{} bytes", text.len())))
+                Err(invalid("text", format!("{} bytes are too many", text.len())))
             }
             Wire::Document { service, version, text } => {
                 Ok(Envelope::Document { service, version, text })
             }
             Wire::Versions { versions } if versions.len() > VERSIONS_MAX => {
-                Err(invalid("versions", format!("{} of them", versions.len())))
+                Err(invalid("versions", format!("{} entries are too many", versions.len())))
             }
             Wire::Versions { versions } => Ok(Envelope::Versions(versions)),
             Wire::FetchRoutes { service, known_version } => {
--- a/crates/wire/src/exchange/mod.rs
+++ b/crates/wire/src/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! What control threads tell each other: messages of a group, documents, routes.
+//! Messages between the control threads of agents: group messages, documents and routes.
 
 mod envelope;
 mod routes;
--- a/crates/wire/src/exchange/tests.rs
+++ b/crates/wire/src/exchange/tests.rs
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn every_message_survives_the_trip() {
+fn encoded_messages_decode_to_the_same_value() {
     messages().into_iter().for_each(check);
 }
 
 #[test]
-fn an_index_to_no_member_is_refused() {
+fn a_table_with_the_index_of_a_missing_member_is_refused() {
     assert!(Envelope::decode(&Envelope::Routes(table(1)).encode()).is_err());
 }
 
@@ -68,8 +68,8 @@
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     for _ in 0..20_000 {
         let messages = messages();
-        let pick = rng.random_range(0..messages.len());
-        let mut bytes = messages[pick].clone().encode();
+        let index = rng.random_range(0..messages.len());
+        let mut bytes = messages[index].clone().encode();
         for _ in 0..rng.random_range(1..4) {
             let at = rng.random_range(0..bytes.len());
             bytes[at] = rng.random();
