--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! The conversions between typed messages and their CBOR form on the links between agents.
+//! Messages on the links between agents, and their CBOR encoding.
 
 mod codec;
 pub mod control;
--- a/crates/wire/src/link/mod.rs
+++ b/crates/wire/src/link/mod.rs
@@ -1,8 +1,9 @@
 //! The handshake of a link between two agents.
 //!
-//! The dialling side sends [`Hello`], the listening side answers [`Welcome`] with its proof, the
-//! dialling side ends with [`Proof`]. Each proves that it has the key, over both nonces, both
-//! instances, the kind of link and its own side, so that no proof serves twice or elsewhere.
+//! The dialling side sends [`Hello`], the listening side replies with [`Welcome`], which contains
+//! its proof, and the dialling side completes the handshake with [`Proof`]. Each side proves that
+//! it has the link key. A proof covers both nonces, both instances, the kind of link and the side,
+//! so that it cannot be replayed or used on another link.
 
 #[cfg(test)]
 mod tests;
@@ -10,19 +11,19 @@
 use model::Instance;
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol between agents; both sides must have the same.
+/// Version of the protocol between agents, which has to be the same on both sides.
 pub const PROTOCOL_VERSION: u16 = 3;
-/// The largest message of the handshake.
+/// Longest message of the handshake.
 pub const HANDSHAKE_BYTES_MAX: usize = 1024;
 
-/// What a link is for.
+/// Purpose of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkKind {
-    /// Messages of control; ends at the control thread.
+    /// Control messages, handled by the control thread.
     Control,
-    /// Forwarded requests; ends at the traffic threads.
+    /// Forwarded requests, handled by the traffic threads.
     Traffic,
 }
 
@@ -55,7 +56,7 @@
     pub proof: [u8; 32],
 }
 
-/// The side whose proof it is.
+/// Side of a link that computes a proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -64,7 +65,7 @@
     Listening,
 }
 
-/// What a proof is computed over, in its CBOR form.
+/// Data that a proof is computed over, in CBOR encoding.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub struct Transcript<'a> {
--- a/crates/wire/src/link/tests.rs
+++ b/crates/wire/src/link/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn longest_messages_fit() {
+fn the_longest_messages_are_within_the_limit() {
     let welcome = Welcome { from: instance(), nonce: [255; 16], proof: [255; 32] };
     assert_eq!(decode::<Hello>(&encode(&hello())).unwrap(), hello());
     assert!(encode(&hello()).len() <= HANDSHAKE_BYTES_MAX);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn damaged_hellos_do_no_harm() {
+fn mutated_hellos_do_not_panic_and_are_mostly_refused() {
     let mut rng = Pcg64Mcg::seed_from_u64(FUZZ_SEED);
     let whole = encode(&hello());
     let mut refused = 0;
@@ -43,5 +43,5 @@
         bytes.truncate(rng.random_range(1..=bytes.len()));
         refused += usize::from(decode::<Hello>(&bytes).is_err());
     }
-    assert!(refused > FUZZ_ROUNDS / 2, "only {refused} damaged messages were refused");
+    assert!(refused > FUZZ_ROUNDS / 2, "only {refused} mutated messages were refused");
 }
