--- a/crates/wire/src/traffic/mod.rs
+++ b/crates/wire/src/traffic/mod.rs
@@ -1,8 +1,8 @@
-//! Frames of forwarded requests, and of records on their way to a new owner.
+//! Frames for forwarding requests and for transferring records to a new owner.
 //!
-//! A message is a head frame with the total length of its body and the first part of it, followed
-//! by [`Chunk`]s with the rest, in order. Head and chunks share a correlation id, which the side
-//! that asks draws at random.
+//! A message starts with a head frame, which contains the total length of the body and its first
+//! part. [`Chunk`]s with the rest of the body follow in order. Head and chunks have the same
+//! correlation id, which the requesting side draws at random.
 
 #[cfg(test)]
 mod tests;
@@ -16,43 +16,43 @@
 
 use crate::{CodecError, decode, encode};
 
-/// The largest part of a body in one frame.
+/// Largest part of a body in a frame.
 pub const CHUNK_BYTES_MAX: usize = 64 << 10;
-/// The largest frame: a chunk with the largest head.
+/// Largest frame: one part of a body, and space for the largest head.
 pub const FRAME_BYTES_MAX: usize = CHUNK_BYTES_MAX + (512 << 10);
-/// The longest body that is taken at all; documents set lower bounds.
+/// Longest body of a message. Service documents set lower limits.
 pub const BODY_BYTES_MAX: u64 = 64 << 20;
 
-/// Pairs an answer with its request on one link.
+/// Number that matches an answer to its request on a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CorrelationId(pub u128);
 
-/// One header of HTTP.
+/// HTTP header: name and value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Header(pub String, pub Bytes);
 
-/// One frame.
+/// Frame on a traffic link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Frame {
-    /// To an owner's gate.
+    /// Request to the gate of an owner.
     Request(Box<Request>),
-    /// The upstream's answer.
+    /// Answer of the upstream.
     Answer(Answer),
-    /// There is no answer.
+    /// Failure of a request without an answer.
     Failed(Failed),
-    /// The addressed gate doesn't own the key: not run.
+    /// Refusal of a request, which was not run: the addressed gate does not own the key.
     NotOwner(NotOwner),
-    /// More of a body.
+    /// Next part of a body.
     Chunk(Chunk),
-    /// The asking side needs no answer any more.
+    /// Cancellation of a request whose answer is no longer needed.
     Cancel(CorrelationId),
-    /// At-most-once records for a new owner.
+    /// At-most-once records, sent to a new owner.
     Records(Records),
-    /// The records have been taken over, or can't be.
+    /// Reply to `Records`: whether the new owner has imported them.
     RecordsTaken(RecordsTaken),
 }
 
@@ -62,48 +62,51 @@
 pub struct Request {
     pub id: CorrelationId,
     pub service: ServiceName,
-    /// None where the service is not divided by key.
+    /// Hash of the key; `None` if the service is not keyed.
     pub key_hash: Option<KeyHash>,
     pub request_id: RequestId,
-    /// What it asks for: the same for all attempts.
+    /// Fingerprint of the content of the request, which is the same for all attempts.
     pub content: Fingerprint,
     pub class: ClassName,
     pub idempotent: bool,
-    /// Time left to answer in.
+    /// Time until the deadline.
     pub remaining_us: u64,
-    /// Time since the caller first sent this request id, as it says; 0: this is the first sending.
+    /// Time since the first attempt with this request id, as reported by the caller; 0 for the
+    /// first attempt.
     pub age_us: u64,
-    /// Time that the asking agent has held this sending.
+    /// Time for which the sending agent has held this attempt.
     pub held_us: u64,
-    /// Requests of one kind are expected to take alike.
+    /// Kind of request. Requests of the same kind are expected to have similar service times.
     pub kind: Option<u8>,
-    /// Time left in which an answer is of full use to the caller.
+    /// Time until the latency objective; `None` if the objective is the deadline.
     pub objective_us: Option<u64>,
-    /// The caller has come back with it after a refusal.
+    /// Whether the caller sends the request again after a refusal.
     #[serde(rename = "has_come_back")]
     pub is_retry_after_refusal: bool,
-    /// The asking agent's version of the service's document.
+    /// Version of the service document in force on the sending agent.
     pub config: ConfigVersion,
     pub method: String,
     pub path: String,
     pub headers: Vec<Header>,
+    /// Total length of the body, in bytes.
     pub body_len: u64,
+    /// First part of the body.
     pub body: Bytes,
 }
 
-/// How busy the gate is that replies.
+/// Load of the gate that sends the reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct GateLoad {
-    /// Requests at the upstream.
+    /// Requests in flight at the upstream.
     pub running: u32,
-    /// Requests that wait for a slot of it.
+    /// Requests waiting for a free slot of the upstream.
     pub queued: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// What a request takes there, on average over all kinds as they come.
+    /// Mean service time over all requests.
     pub service_us: u64,
-    /// What one of the kind that was asked for takes there, if any has been measured.
+    /// Mean service time of requests of the same kind; `None` if none has been measured.
     #[serde(default)]
     pub kind_us: Option<u64>,
 }
@@ -120,7 +123,7 @@
     pub body: Bytes,
 }
 
-/// Why a request has no answer.
+/// Reason why a request has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum FailureReason {
@@ -128,7 +131,7 @@
     Unknown(UnknownReason),
 }
 
-/// The end of a request without an answer.
+/// Failure of a request without an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Failed {
@@ -138,32 +141,33 @@
     pub load: Option<GateLoad>,
 }
 
-/// A request that came to the wrong gate.
+/// Refusal of a request by a gate that does not own the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NotOwner {
     pub id: CorrelationId,
-    /// Who owns the key, as far as this gate knows.
+    /// Owner of the key in the routes of this gate, if there is one.
     pub owner: Option<Instance>,
-    /// How fresh that is.
+    /// Version of the routes of this gate.
     pub route_version: u64,
 }
 
-/// Part of a body after the head's.
+/// Part of a body after the one in the head frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Chunk {
     pub id: CorrelationId,
-    /// Where in the body it belongs.
+    /// Offset of the part in the body, in bytes.
     pub offset: u64,
     pub data: Bytes,
 }
 
-/// What records belong to.
+/// Unit whose records, or handover token, are transferred to a new owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum TransferUnit {
-    /// Neighbouring slots whose upstream keeps the leases; the body is its handover token.
+    /// Consecutive slots of an upstream that enforces leases. The body is the handover token of the
+    /// upstream.
     Slots {
         first: Slot,
         last: Slot,
@@ -172,24 +176,25 @@
     Key(KeyHash),
 }
 
-/// Head of a message whose body is the CBOR form of a unit's records.
+/// Head of a message whose body is the CBOR encoding of the records of a unit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Records {
     pub id: CorrelationId,
     pub service: ServiceName,
     pub unit: TransferUnit,
-    /// The token under which the former owner held it.
+    /// Fence token of the grant of the previous owner.
     pub token: Token,
     pub body_len: u64,
     pub body: Bytes,
 }
 
-/// The end of a handover of records.
+/// Reply to a transfer of records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordsTaken {
     pub id: CorrelationId,
+    /// Whether the new owner has imported the records.
     pub taken: bool,
 }
 
@@ -198,7 +203,7 @@
         encode(self)
     }
 
-    /// How many of the last bytes of the encoded frame are those of a body.
+    /// Returns the number of bytes at the end of the encoded frame that belong to a body.
     pub fn body_part_len(&self) -> usize {
         match self {
             Frame::Request(it) => it.body.len(),
@@ -227,7 +232,7 @@
         Ok(frame)
     }
 
-    /// The correlation id that the frame belongs to.
+    /// Returns the correlation id of the frame.
     pub fn id(&self) -> CorrelationId {
         match self {
             Frame::Request(it) => it.id,
@@ -248,7 +253,7 @@
             Err(invalid("body_len", format!("{body_len} bytes are too many")))
         }
         len if len > CHUNK_BYTES_MAX || len as u64 > body_len => {
-            Err(invalid("body", format!("{len} bytes of {body_len} in the head")))
+            Err(invalid("body", format!("the head frame contains {len} of {body_len} bytes")))
         }
         _ => Ok(()),
     }
@@ -258,7 +263,7 @@
     CodecError::Invalid { field, reason }
 }
 
-/// An answer as it is kept in records.
+/// Answer in at-most-once records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RecordedAnswer {
--- a/crates/wire/src/traffic/tests.rs
+++ b/crates/wire/src/traffic/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn round_trip() {
+fn encoded_frames_decode_to_the_same_value() {
     for frame in [
         Frame::Request(Box::new(request())),
         answer(9, b"part".to_vec()),
@@ -61,9 +61,9 @@
     }
 }
 
-/// Links compress what comes before the body.
+/// Links compress the part of a frame before the body.
 #[test]
-fn the_body_is_what_a_frame_ends_with() {
+fn encoded_frames_end_with_the_body() {
     let data = Bytes::from_static(b"rest");
     for (frame, body) in [
         (Frame::Request(Box::new(request())), b"body".as_slice()),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn refuses_wrong_lengths() {
+fn inconsistent_lengths_are_refused() {
     check_refused(&answer(3, b"four".to_vec()));
     check_refused(&answer(1 << 40, Vec::new()));
     check_refused(&answer(1 << 20, vec![0; CHUNK_BYTES_MAX + 1]));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn refuses_trailing_bytes_and_unknown_frames() {
+fn trailing_bytes_and_unknown_frames_are_refused() {
     let mut bytes = Frame::Cancel(CorrelationId(0)).to_bytes();
     bytes.push(0);
     assert!(Frame::parse(&bytes).is_err());
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn survives_damaged_frames() {
+fn mutated_frames_do_not_panic_and_are_mostly_refused() {
     let mut rng = Pcg64Mcg::seed_from_u64(FUZZ_SEED);
     let whole = Frame::Request(Box::new(request())).to_bytes();
     let mut refused = 0;
@@ -108,11 +108,11 @@
         bytes.truncate(rng.random_range(1..=bytes.len()));
         refused += usize::from(Frame::parse(&bytes).is_err());
     }
-    assert!(refused > FUZZ_ROUNDS / 2, "only {refused} damaged frames were refused");
+    assert!(refused > FUZZ_ROUNDS / 2, "only {refused} mutated frames were refused");
 }
 
 #[test]
-fn survives_random_bytes() {
+fn random_bytes_do_not_panic() {
     let mut rng = Pcg64Mcg::seed_from_u64(FUZZ_SEED);
     for _ in 0..FUZZ_ROUNDS {
         let len = rng.random_range(0..64);
