--- a/crates/ownership/src/sim/host.rs
+++ b/crates/ownership/src/sim/host.rs
@@ -1,4 +1,4 @@
-//! One host: a node, its clock, its gate and its upstream.
+//! Simulated instance: a node with its clock, its gate and its upstream.
 
 use std::{
     collections::VecDeque,
@@ -14,33 +14,38 @@
 
 use crate::{Input, Node, NodeConfig, Output, UpstreamState};
 
-use super::{SimConfig, gate::Gate, upstream::Run};
+use super::{SimConfig, gate::Gate, upstream::UpstreamRequest};
 
-/// The entities of a run, by index.
+/// Simulated instance; other modules refer to it by its index.
 pub(super) struct Host {
     pub(super) instance: Instance,
+    /// Node of the agent; `None` while the agent is down.
     pub(super) node: Option<Node>,
-    /// Counts restarts; what was meant for an earlier life is lost.
-    pub(super) life: u64,
+    /// Number of starts and crashes. Events that were scheduled for an earlier generation are dropped.
+    pub(super) generation: u64,
+    /// Reading of the host's clock at true time zero.
     clock_offset_ns: u64,
+    /// Speed of the host's clock relative to true time.
     clock_rate: f64,
     pub(super) gate: Gate,
-    /// What the upstream still holds that earlier lives of the agent granted it.
-    pub(super) left_over: Vec<Gate>,
-    /// What the upstream is at work on.
-    pub(super) runs: Vec<Run>,
+    /// Grants of earlier incarnations and sessions of the agent that the upstream still holds.
+    pub(super) orphaned_grants: Vec<Gate>,
+    /// Requests that the upstream has started. Ended ones are removed later.
+    pub(super) requests: Vec<UpstreamRequest>,
     pub(super) upstream: UpstreamState,
     pub(super) is_paused: bool,
-    /// Inputs that wait for the end of a pause, or of the step that is being carried through.
-    pub(super) mailbox: VecDeque<Input>,
-    /// Outputs of the step in which the pause began.
-    pub(super) held_back: Vec<Output>,
+    /// Inputs received during a pause or while a step is using the processor.
+    pub(super) queued_inputs: VecDeque<Input>,
+    /// Outputs of the step in which the pause began, carried out after the pause.
+    pub(super) held_outputs: Vec<Output>,
+    /// Duration of a pause that starts in the next step with outputs, before they are carried out.
     pub(super) pause_next_step_ms: Option<u64>,
-    /// A step is being carried through.
+    /// A step is using the processor.
     pub(super) is_busy: bool,
-    /// Until when what was sent keeps the link.
+    /// Time at which all messages sent so far have left the host.
     pub(super) link_busy_until: Timestamp,
     pub(super) is_stopping: bool,
+    /// The node has completed a graceful stop.
     pub(super) has_stopped: bool,
 }
 
@@ -58,16 +63,16 @@
                 traffic: address(2000 + at as u16),
             },
             node: None,
-            life: 0,
+            generation: 0,
             clock_offset_ns: rng.random_range(0..1_000_000_000_000),
-            clock_rate: 1.0 + config.drift * rng.random_range(-1.0..=1.0),
+            clock_rate: 1.0 + config.drift_max * rng.random_range(-1.0..=1.0),
             gate: Gate::default(),
-            left_over: Vec::new(),
-            runs: Vec::new(),
+            orphaned_grants: Vec::new(),
+            requests: Vec::new(),
             upstream: UpstreamState::Starting,
             is_paused: false,
-            mailbox: VecDeque::new(),
-            held_back: Vec::new(),
+            queued_inputs: VecDeque::new(),
+            held_outputs: Vec::new(),
             pause_next_step_ms: None,
             is_busy: false,
             link_busy_until: Timestamp::ZERO,
@@ -76,28 +81,33 @@
         }
     }
 
-    /// The host's own monotonic clock at a true time.
+    /// Returns the reading of the host's monotonic clock at a true time.
     pub(super) fn clock(&self, now: Timestamp) -> Timestamp {
         Timestamp { ns: self.clock_offset_ns + (now.ns as f64 * self.clock_rate) as u64 }
     }
 
+    /// Returns whether the agent is up and not paused.
     pub(super) fn is_running(&self) -> bool {
         self.node.is_some() && !self.is_paused
     }
 
+    /// Returns whether the agent is up; it may be paused.
     pub(super) fn is_up(&self) -> bool {
         self.node.is_some()
     }
 
+    /// Returns the term that the host's node coordinates, if any.
     pub(super) fn term(&self) -> Option<Term> {
         let view = self.node.as_ref()?.view();
         view.is_coordinator.then_some(view.term)
     }
 
+    /// Returns whether the host's node holds a settled term.
     pub(super) fn is_settled(&self) -> bool {
         self.node.as_ref().is_some_and(|it| it.view().settled)
     }
 
+    /// Starts the agent as a new incarnation, with an empty gate.
     pub(super) fn start(
         &mut self,
         now: Timestamp,
@@ -107,12 +117,12 @@
         config: &SimConfig,
     ) {
         self.instance.incarnation = Incarnation(incarnation);
-        self.life += 1;
+        self.generation += 1;
         self.gate = Gate::default();
         self.upstream = UpstreamState::Ready;
         self.is_paused = false;
-        self.mailbox.clear();
-        self.held_back.clear();
+        self.queued_inputs.clear();
+        self.held_outputs.clear();
         self.is_busy = false;
         self.is_stopping = false;
         self.has_stopped = false;
@@ -130,51 +140,51 @@
         self.node = Some(Node::new(node, self.clock(now)));
     }
 
-    /// The agent is lost, and the upstream beside it lives on.
+    /// Crashes the agent. The upstream beside it continues with its grants and requests.
     pub(super) fn crash_agent(&mut self) {
-        self.leave_over();
-        let left_over = std::mem::take(&mut self.left_over);
-        let runs = std::mem::take(&mut self.runs);
+        self.orphan_grants();
+        let orphaned_grants = std::mem::take(&mut self.orphaned_grants);
+        let requests = std::mem::take(&mut self.requests);
         self.crash();
-        self.left_over = left_over;
-        self.runs = runs;
+        self.orphaned_grants = orphaned_grants;
+        self.requests = requests;
     }
 
-    /// The gate lets go of what it holds; an upstream that enforces leases goes on holding it.
-    pub(super) fn leave_over(&mut self) {
-        let left_over = std::mem::take(&mut self.gate);
-        self.left_over.push(left_over);
+    /// Moves the grants of the gate to the orphaned grants, which an upstream that enforces leases continues to hold.
+    pub(super) fn orphan_grants(&mut self) {
+        let orphaned_grants = std::mem::take(&mut self.gate);
+        self.orphaned_grants.push(orphaned_grants);
     }
 
-    /// The upstream has given up what it was granted under tokens up to this one.
+    /// Removes the orphaned grants under tokens up to this one, which the upstream has released.
     pub(super) fn clear(&mut self, token: Token) {
-        self.left_over.iter_mut().for_each(|it| it.clear(token));
+        self.orphaned_grants.iter_mut().for_each(|it| it.clear(token));
     }
 
-    /// Whether requests of a slot may run here.
+    /// Returns whether requests of a slot may be running on this host.
     pub(super) fn holds(&self, now: Timestamp, slot: Slot) -> bool {
         let clock = self.clock(now);
         let held = self.is_up() && self.gate.holds(clock, slot);
-        held || self.left_over.iter().any(|it| it.holds(clock, slot))
+        held || self.orphaned_grants.iter().any(|it| it.holds(clock, slot))
     }
 
-    /// The same for one key in a slot.
+    /// Returns whether requests of a key in a slot may be running on this host.
     pub(super) fn holds_key(&self, now: Timestamp, slot: Slot, key_hash: KeyHash) -> bool {
         let clock = self.clock(now);
         let held = self.is_up() && self.gate.holds_key(clock, slot, key_hash);
-        held || self.left_over.iter().any(|it| it.holds_key(clock, slot, key_hash))
+        held || self.orphaned_grants.iter().any(|it| it.holds_key(clock, slot, key_hash))
     }
 
-    /// The agent and the upstream beside it are lost.
+    /// Crashes the agent and the upstream beside it.
     pub(super) fn crash(&mut self) {
-        self.left_over.clear();
-        self.runs.clear();
+        self.orphaned_grants.clear();
+        self.requests.clear();
         self.node = None;
-        self.life += 1;
+        self.generation += 1;
         self.gate = Gate::default();
         self.is_paused = false;
         self.is_busy = false;
-        self.mailbox.clear();
-        self.held_back.clear();
+        self.queued_inputs.clear();
+        self.held_outputs.clear();
     }
 }
