--- a/crates/agent/src/links/control.rs
+++ b/crates/agent/src/links/control.rs
@@ -19,8 +19,8 @@
 
 use crate::links::{
     LinkKey,
-    handshake::{Established, LinkIdentity},
-    socket::{self, Inbox, Outbound, Outbox},
+    handshake::{EstablishedLink, LinkIdentity},
+    socket::{self, Inbox, OutboundMessage, Outbox},
 };
 
 /// How many messages wait for one peer; the oldest give way.
@@ -53,16 +53,16 @@
 
 #[derive(Default)]
 struct Peer {
-    queue: VecDeque<Queued>,
+    queue: VecDeque<QueuedMessage>,
     /// Links that take from the queue.
-    writers: usize,
+    writer_count: usize,
     /// A task is dialling this peer or drives the link it dialled.
-    dialled: bool,
-    dropped: u64,
-    added: Arc<Notify>,
+    has_dialer: bool,
+    dropped_count: u64,
+    message_added: Arc<Notify>,
 }
 
-struct Queued {
+struct QueuedMessage {
     /// For this life of the peer only.
     to: Option<Incarnation>,
     payload: Bytes,
@@ -98,12 +98,12 @@
         let peer = peers.entry(address).or_default();
         if peer.queue.len() >= QUEUE_MAX {
             peer.queue.pop_front();
-            peer.dropped += 1;
+            peer.dropped_count += 1;
         }
-        peer.queue.push_back(Queued { to, payload: payload.into() });
-        peer.added.notify_one();
-        if peer.writers == 0 && !peer.dialled {
-            peer.dialled = true;
+        peer.queue.push_back(QueuedMessage { to, payload: payload.into() });
+        peer.message_added.notify_one();
+        if peer.writer_count == 0 && !peer.has_dialer {
+            peer.has_dialer = true;
             tokio::spawn(dial(Arc::clone(&self.shared), address));
         }
     }
@@ -117,37 +117,37 @@
     /// The next message for this life of a peer; those for other lives are dropped. That there are any
     /// may mean that this life has gone without hanging up, and that another listens at its address:
     /// a link on which nothing is written would not notice, and drop all that is meant for that one.
-    fn pop(&self, peer: &Instance, doubt: &Notify) -> Option<Bytes> {
+    fn next_message(&self, peer: &Instance, ping_request: &Notify) -> Option<Bytes> {
         let mut peers = self.peers();
         let entry = peers.get_mut(&peer.control)?;
         while let Some(queued) = entry.queue.pop_front() {
             if queued.to.is_none_or(|to| to == peer.incarnation) {
                 return Some(queued.payload);
             }
-            entry.dropped += 1;
-            doubt.notify_one();
+            entry.dropped_count += 1;
+            ping_request.notify_one();
         }
         None
     }
 
-    async fn run(self: &Arc<Shared>, link: Established, address: SocketAddr, writes: bool) {
-        let Established { peer, socket } = link;
+    async fn run(self: &Arc<Shared>, link: EstablishedLink, address: SocketAddr, is_writer: bool) {
+        let EstablishedLink { peer, socket } = link;
         log::debug!(target: "links", "Control link with {peer} at {address} is up.");
-        let added = writes.then(|| {
+        let message_added = is_writer.then(|| {
             let mut peers = self.peers();
             let entry = peers.entry(peer.control).or_default();
-            entry.writers += 1;
-            Arc::clone(&entry.added)
+            entry.writer_count += 1;
+            Arc::clone(&entry.message_added)
         });
-        let doubt = Arc::new(Notify::new());
+        let ping_request = Arc::new(Notify::new());
         let outbox = ControlOutbox {
             shared: Arc::clone(self),
             peer: peer.clone(),
-            added,
-            doubt: Arc::clone(&doubt),
+            message_added,
+            ping_request: Arc::clone(&ping_request),
         };
         let inbox = ControlInbox { shared: Arc::clone(self), from: peer.clone() };
-        match socket::run(socket, outbox, inbox, &doubt).await {
+        match socket::run(socket, outbox, inbox, &ping_request).await {
             Ok(()) => log::debug!(target: "links", "Control link with {peer} has ended."),
             Err(error) => log::warn!(target: "links", "Control link with {peer} ended: {error}."),
         }
@@ -168,9 +168,9 @@
         tokio::spawn(async move {
             match shared.identity.accept(address, stream).await {
                 Ok(link) => {
-                    let writers =
-                        shared.peers().get(&link.peer.control).map_or(0, |peer| peer.writers);
-                    shared.run(link, address, writers == 0).await;
+                    let writer_count =
+                        shared.peers().get(&link.peer.control).map_or(0, |peer| peer.writer_count);
+                    shared.run(link, address, writer_count == 0).await;
                 }
                 Err(error) => log::warn!(target: "links", "Refused a control link: {error}."),
             }
@@ -192,14 +192,14 @@
             }
             Err(error) => log::debug!(target: "links", "No control link: {error}."),
         }
-        let pause = rand::rng().random_range(backoff / 2..=backoff);
+        let delay = rand::rng().random_range(backoff / 2..=backoff);
         backoff = (backoff * 2).min(BACKOFF_MAX);
-        sleep(pause).await;
+        sleep(delay).await;
         let mut peers = shared.peers();
         let Some(peer) = peers.get_mut(&address) else { return };
-        if peer.queue.is_empty() || peer.writers > 0 {
-            peer.dialled = false;
-            if peer.writers == 0 {
+        if peer.queue.is_empty() || peer.writer_count > 0 {
+            peer.has_dialer = false;
+            if peer.writer_count == 0 {
                 peers.remove(&address);
             }
             return;
@@ -211,45 +211,48 @@
     shared: Arc<Shared>,
     peer: Instance,
     /// None: this link only reads, for another one writes.
-    added: Option<Arc<Notify>>,
+    message_added: Option<Arc<Notify>>,
     /// Makes the peer show that it is still there.
-    doubt: Arc<Notify>,
+    ping_request: Arc<Notify>,
 }
 
 impl Outbox for ControlOutbox {
-    async fn next(&mut self) -> Option<Outbound> {
-        let Some(added) = &self.added else { return std::future::pending().await };
+    async fn next(&mut self) -> Option<OutboundMessage> {
+        let Some(message_added) = &self.message_added else { return std::future::pending().await };
         loop {
-            if let Some(payload) = self.shared.pop(&self.peer, &self.doubt) {
-                return Some(Outbound::head(payload));
+            if let Some(payload) = self.shared.next_message(&self.peer, &self.ping_request) {
+                return Some(OutboundMessage::head(payload));
             }
-            if timeout(IDLE_MAX, added.notified()).await.is_err() {
+            if timeout(IDLE_MAX, message_added.notified()).await.is_err() {
                 return None;
             }
         }
     }
 
-    fn try_next(&mut self) -> Option<Outbound> {
-        let payload = self.added.as_ref().and_then(|_| self.shared.pop(&self.peer, &self.doubt));
-        payload.map(Outbound::head)
+    fn try_next(&mut self) -> Option<OutboundMessage> {
+        let payload = self
+            .message_added
+            .as_ref()
+            .and_then(|_| self.shared.next_message(&self.peer, &self.ping_request));
+        payload.map(OutboundMessage::head)
     }
 }
 
 impl Drop for ControlOutbox {
     fn drop(&mut self) {
-        if self.added.is_none() {
+        if self.message_added.is_none() {
             return;
         }
         let mut peers = self.shared.peers();
         let Some(peer) = peers.get_mut(&self.peer.control) else { return };
-        peer.writers -= 1;
-        if peer.writers > 0 || peer.dialled {
+        peer.writer_count -= 1;
+        if peer.writer_count > 0 || peer.has_dialer {
             return;
         }
         if peer.queue.is_empty() {
             peers.remove(&self.peer.control);
         } else {
-            peer.dialled = true;
+            peer.has_dialer = true;
             tokio::spawn(dial(Arc::clone(&self.shared), self.peer.control));
         }
     }
@@ -261,7 +264,7 @@
 }
 
 impl Inbox for ControlInbox {
-    async fn take(&mut self, payload: Bytes) -> Result<(), anyhow::Error> {
+    async fn handle(&mut self, payload: Bytes) -> Result<(), anyhow::Error> {
         let event = ControlEvent::Message { from: self.from.clone(), payload };
         self.shared.events.send(event).await.map_err(|_| anyhow::anyhow!("control has ended"))
     }
--- a/crates/agent/src/links/handshake.rs
+++ b/crates/agent/src/links/handshake.rs
@@ -38,7 +38,7 @@
 
 /// An authenticated link.
 #[derive(Debug)]
-pub(crate) struct Established {
+pub(crate) struct EstablishedLink {
     pub(crate) peer: Instance,
     pub(crate) socket: Socket,
 }
@@ -57,7 +57,7 @@
     Refused { peer: SocketAddr, reason: &'static str },
 }
 
-fn config() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(BUFFER_BYTES)
         .write_buffer_size(BUFFER_BYTES)
@@ -67,12 +67,12 @@
 
 impl LinkIdentity {
     /// Connects to a peer and proves both sides.
-    pub(crate) async fn dial(&self, peer: SocketAddr) -> Result<Established, HandshakeError> {
+    pub(crate) async fn dial(&self, peer: SocketAddr) -> Result<EstablishedLink, HandshakeError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer))
             .await
             .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
             .map_err(|source| HandshakeError::Connect { peer, source })?;
-        in_time(peer, self.dialling(peer, stream)).await
+        with_timeout(peer, self.handshake_as_dialer(peer, stream)).await
     }
 
     /// Proves both sides of an accepted connection.
@@ -80,20 +80,21 @@
         &self,
         peer: SocketAddr,
         stream: TcpStream,
-    ) -> Result<Established, HandshakeError> {
-        in_time(peer, self.listening(peer, stream)).await
+    ) -> Result<EstablishedLink, HandshakeError> {
+        with_timeout(peer, self.handshake_as_listener(peer, stream)).await
     }
 
-    async fn dialling(
+    async fn handshake_as_dialer(
         &self,
         peer: SocketAddr,
         stream: TcpStream,
-    ) -> Result<Established, HandshakeError> {
+    ) -> Result<EstablishedLink, HandshakeError> {
         let socket_error = |source| HandshakeError::Socket { peer, source: Box::new(source) };
         stream.set_nodelay(true).map_err(|source| HandshakeError::Connect { peer, source })?;
         let url = format!("ws://{peer}/");
-        let (mut socket, _) =
-            client_async_with_config(url, stream, Some(config())).await.map_err(socket_error)?;
+        let (mut socket, _) = client_async_with_config(url, stream, Some(websocket_config()))
+            .await
+            .map_err(socket_error)?;
         let hello = Hello {
             version: PROTOCOL_VERSION,
             kind: self.kind,
@@ -114,19 +115,20 @@
         transcript.side = Side::Dialling;
         let proof = Proof { proof: self.key.proof(&transcript) };
         send(&mut socket, &proof).await.map_err(socket_error)?;
-        Ok(Established { peer: welcome.from, socket })
+        Ok(EstablishedLink { peer: welcome.from, socket })
     }
 
-    async fn listening(
+    async fn handshake_as_listener(
         &self,
         peer: SocketAddr,
         stream: TcpStream,
-    ) -> Result<Established, HandshakeError> {
+    ) -> Result<EstablishedLink, HandshakeError> {
         let socket_error = |source| HandshakeError::Socket { peer, source: Box::new(source) };
         let refused = |reason| HandshakeError::Refused { peer, reason };
         stream.set_nodelay(true).map_err(|source| HandshakeError::Connect { peer, source })?;
-        let mut socket =
-            accept_async_with_config(stream, Some(config())).await.map_err(socket_error)?;
+        let mut socket = accept_async_with_config(stream, Some(websocket_config()))
+            .await
+            .map_err(socket_error)?;
         let hello: Hello = receive(peer, &mut socket).await?;
         if hello.version != PROTOCOL_VERSION {
             return Err(refused("the protocol version is another one"));
@@ -149,14 +151,14 @@
         if !self.key.verify(&transcript, &proof.proof) {
             return Err(refused("the proof is wrong"));
         }
-        Ok(Established { peer: hello.from, socket })
+        Ok(EstablishedLink { peer: hello.from, socket })
     }
 }
 
-async fn in_time(
+async fn with_timeout(
     peer: SocketAddr,
-    handshake: impl Future<Output = Result<Established, HandshakeError>>,
-) -> Result<Established, HandshakeError> {
+    handshake: impl Future<Output = Result<EstablishedLink, HandshakeError>>,
+) -> Result<EstablishedLink, HandshakeError> {
     timeout(HANDSHAKE_TIMEOUT, handshake)
         .await
         .unwrap_or(Err(HandshakeError::Refused { peer, reason: "it took too long" }))
--- a/crates/agent/src/links/socket.rs
+++ b/crates/agent/src/links/socket.rs
@@ -14,40 +14,40 @@
 use crate::links::handshake::Socket;
 
 /// How often a link looks whether its peer still answers.
-const CHECK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a peer may leave a ping unanswered.
-const SILENCE_MAX: Duration = Duration::from_millis(1500);
+const PING_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long one batch may take to be written.
-const WRITE_MAX: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How many messages are written before a flush.
-const BATCH_MAX: usize = 64;
+const BATCH_MESSAGES_MAX: usize = 64;
 
 /// A message to be written: a head, and what is not worth compressing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Outbound {
+pub(crate) struct OutboundMessage {
     pub(crate) bytes: Bytes,
     pub(crate) head_len: usize,
 }
 
-impl Outbound {
+impl OutboundMessage {
     /// A message without a body.
-    pub(crate) fn head(bytes: Bytes) -> Outbound {
-        Outbound { head_len: bytes.len(), bytes }
+    pub(crate) fn head(bytes: Bytes) -> OutboundMessage {
+        OutboundMessage { head_len: bytes.len(), bytes }
     }
 }
 
 /// Where a link takes its messages from.
 pub(crate) trait Outbox: Send {
     /// Waits for a message; none: the link is to be closed.
-    fn next(&mut self) -> impl Future<Output = Option<Outbound>> + Send;
+    fn next(&mut self) -> impl Future<Output = Option<OutboundMessage>> + Send;
     /// A message that needs no waiting for.
-    fn try_next(&mut self) -> Option<Outbound>;
+    fn try_next(&mut self) -> Option<OutboundMessage>;
 }
 
 /// Where a link gives its messages to.
 pub(crate) trait Inbox: Send {
     /// Takes one message; an error ends the link.
-    fn take(&mut self, message: Bytes) -> impl Future<Output = Result<(), anyhow::Error>> + Send;
+    fn handle(&mut self, message: Bytes) -> impl Future<Output = Result<(), anyhow::Error>> + Send;
 }
 
 /// Why a link has ended.
@@ -57,30 +57,30 @@
     #[error("{0}")]
     Socket(#[from] Box<tungstenite::Error>),
     #[error("a message is of an unknown kind")]
-    UnknownKind,
+    UnexpectedMessage,
     #[error("the peer leaves pings unanswered")]
-    Silent,
+    PeerUnresponsive,
     #[error("{0:#}")]
     Message(anyhow::Error),
 }
 
-/// Runs a link until either side closes it or something is wrong. A notice of `doubt` makes the peer show
+/// Runs a link until either side closes it or something is wrong. A notice of `ping_request` makes the peer show
 /// that it is still there, though nothing is to be written.
 pub(crate) async fn run(
     socket: Socket,
     mut outbox: impl Outbox,
     mut inbox: impl Inbox,
-    doubt: &Notify,
+    ping_request: &Notify,
 ) -> Result<(), LinkError> {
     let (mut sink, mut stream) = socket.split();
-    let heard = std::sync::Mutex::new(Instant::now());
+    let last_received = std::sync::Mutex::new(Instant::now());
     tokio::select! {
-        result = read(&mut stream, &mut inbox, &heard) => result,
-        result = write(&mut sink, &mut outbox, &heard, doubt) => result,
+        result = read(&mut stream, &mut inbox, &last_received) => result,
+        result = write(&mut sink, &mut outbox, &last_received, ping_request) => result,
     }
 }
 
-type Heard = std::sync::Mutex<Instant>;
+type LastReceived = std::sync::Mutex<Instant>;
 
 fn boxed(error: tungstenite::Error) -> LinkError {
     LinkError::Socket(Box::new(error))
@@ -89,20 +89,20 @@
 async fn read(
     stream: &mut SplitStream<Socket>,
     inbox: &mut impl Inbox,
-    heard: &Heard,
+    last_received: &LastReceived,
 ) -> Result<(), LinkError> {
     let mut decoder = HeadDecoder::default();
     while let Some(message) = stream.next().await {
-        *heard.lock().expect("no panic while held") = Instant::now();
+        *last_received.lock().expect("no panic while held") = Instant::now();
         match message.map_err(boxed)? {
             Message::Binary(bytes) => {
                 let message = decoder.decode(&bytes).map_err(anyhow::Error::from);
                 let message = message.map_err(LinkError::Message)?;
-                inbox.take(message.into()).await.map_err(LinkError::Message)?;
+                inbox.handle(message.into()).await.map_err(LinkError::Message)?;
             }
             Message::Ping(_) | Message::Pong(_) => {}
             Message::Close(_) => return Ok(()),
-            Message::Text(_) | Message::Frame(_) => return Err(LinkError::UnknownKind),
+            Message::Text(_) | Message::Frame(_) => return Err(LinkError::UnexpectedMessage),
         }
     }
     Ok(())
@@ -111,37 +111,37 @@
 async fn write(
     sink: &mut SplitSink<Socket, Message>,
     outbox: &mut impl Outbox,
-    heard: &Heard,
-    doubt: &Notify,
+    last_received: &LastReceived,
+    ping_request: &Notify,
 ) -> Result<(), LinkError> {
-    let mut check = interval(CHECK_EVERY);
+    let mut check = interval(CHECK_INTERVAL);
     check.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut encoder = HeadEncoder::default();
-    let mut pinged: Option<Instant> = None;
-    let mut written: Option<Instant> = None;
+    let mut pinged_at: Option<Instant> = None;
+    let mut written_at: Option<Instant> = None;
     loop {
         tokio::select! {
             message = outbox.next() => {
                 let Some(message) = message else {
                     return sink.close().await.map_err(boxed);
                 };
-                written = written.or_else(|| Some(Instant::now()));
-                timeout(WRITE_MAX, feed_batch(sink, &mut encoder, message, outbox))
+                written_at = written_at.or_else(|| Some(Instant::now()));
+                timeout(WRITE_TIMEOUT, feed_batch(sink, &mut encoder, message, outbox))
                     .await
-                    .unwrap_or(Err(LinkError::Silent))?;
+                    .unwrap_or(Err(LinkError::PeerUnresponsive))?;
             }
-            () = doubt.notified(), if pinged.is_none() => {
-                pinged = Some(Instant::now());
+            () = ping_request.notified(), if pinged_at.is_none() => {
+                pinged_at = Some(Instant::now());
                 sink.send(Message::Ping(Bytes::new())).await.map_err(boxed)?;
             }
             _ = check.tick() => {
-                let heard_at = *heard.lock().expect("no panic while held");
-                written = written.filter(|at| *at > heard_at);
-                pinged = pinged.filter(|at| *at > heard_at);
-                match (pinged, written) {
-                    (Some(at), _) if at.elapsed() > SILENCE_MAX => return Err(LinkError::Silent),
-                    (None, Some(at)) if at.elapsed() > CHECK_EVERY => {
-                        pinged = Some(Instant::now());
+                let last_received_at = *last_received.lock().expect("no panic while held");
+                written_at = written_at.filter(|at| *at > last_received_at);
+                pinged_at = pinged_at.filter(|at| *at > last_received_at);
+                match (pinged_at, written_at) {
+                    (Some(at), _) if at.elapsed() > PING_TIMEOUT => return Err(LinkError::PeerUnresponsive),
+                    (None, Some(at)) if at.elapsed() > CHECK_INTERVAL => {
+                        pinged_at = Some(Instant::now());
                         sink.send(Message::Ping(Bytes::new())).await.map_err(boxed)?;
                     }
                     _ => {}
@@ -154,12 +154,13 @@
 async fn feed_batch(
     sink: &mut SplitSink<Socket, Message>,
     encoder: &mut HeadEncoder,
-    first: Outbound,
+    first: OutboundMessage,
     outbox: &mut impl Outbox,
 ) -> Result<(), LinkError> {
-    let mut encoded = |it: Outbound| Message::Binary(encoder.encode(&it.bytes, it.head_len).into());
+    let mut encoded =
+        |it: OutboundMessage| Message::Binary(encoder.encode(&it.bytes, it.head_len).into());
     sink.feed(encoded(first)).await.map_err(boxed)?;
-    for _ in 1..BATCH_MAX {
+    for _ in 1..BATCH_MESSAGES_MAX {
         let Some(message) = outbox.try_next() else { break };
         sink.feed(encoded(message)).await.map_err(boxed)?;
     }
--- a/crates/agent/src/links/tests.rs
+++ b/crates/agent/src/links/tests.rs
@@ -12,7 +12,7 @@
 
 use crate::links::{
     ControlEvent, ControlLinks, LinkKey,
-    handshake::{Established, LinkIdentity, MESSAGE_BYTES_MAX},
+    handshake::{EstablishedLink, LinkIdentity, MESSAGE_BYTES_MAX},
 };
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -49,7 +49,7 @@
     }
 
     /// A link of a peer that the test plays.
-    async fn dialled(&self, secret: &[u8]) -> Option<Established> {
+    async fn dialled(&self, secret: &[u8]) -> Option<EstablishedLink> {
         let own = instance("peer", 9, SocketAddr::from(([127, 0, 0, 1], 9)));
         let identity = LinkIdentity { own, kind: LinkKind::Control, key: LinkKey::new(secret) };
         identity.dial(self.own.control).await.ok()
--- a/crates/agent/src/links/traffic/assembly.rs
+++ b/crates/agent/src/links/traffic/assembly.rs
@@ -33,8 +33,8 @@
 #[derive(Debug)]
 pub(super) enum Progress {
     /// The whole body is in the head.
-    Whole(Head),
-    More(Assembly),
+    Complete(Head),
+    Partial(Assembly),
     /// A part was lost, doubled, out of order or too long.
     Broken(Head),
 }
@@ -61,10 +61,10 @@
         let body_len = self.body_len();
         let body = self.body();
         match body.len() as u64 {
-            len if len == body_len => Progress::Whole(self),
+            len if len == body_len => Progress::Complete(self),
             _ => {
                 let body = BytesMut::from(std::mem::take(body));
-                Progress::More(Assembly { head: self, body })
+                Progress::Partial(Assembly { head: self, body })
             }
         }
     }
@@ -85,10 +85,10 @@
             len => {
                 self.body.extend_from_slice(&chunk.data);
                 if end < len {
-                    return Progress::More(self);
+                    return Progress::Partial(self);
                 }
                 *self.head.body() = self.body.freeze();
-                Progress::Whole(self.head)
+                Progress::Complete(self.head)
             }
         }
     }
--- a/crates/agent/src/links/traffic/link.rs
+++ b/crates/agent/src/links/traffic/link.rs
@@ -20,24 +20,24 @@
 use crate::{
     links::traffic::{
         assembly::{Handover, chunks},
-        outbox::{Outgoing, Senders, TrafficOutbox, channel},
+        outbox::{QueuedFrame, Senders, TrafficOutbox, channel},
     },
     request::{GateReply, GateRequest, ReplyWithLoad},
 };
 
 /// How much earlier than the asking side the gate gives up, so that its word arrives in time: it
 /// knows whether the request has run, the asking side does not.
-const DEADLINE_SLACK: Duration = Duration::from_millis(60);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(60);
 /// The part of a short deadline that this may take up.
-const DEADLINE_SLACK_PART: u32 = 20;
+const DEADLINE_MARGIN_DIVISOR: u32 = 20;
 /// How long a peer may take to take over records.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Who waits for a message with this correlation id.
 #[derive(Debug)]
-pub(super) enum Waiting {
+pub(super) enum PendingReply {
     Reply(oneshot::Sender<ReplyWithLoad>),
-    Taken(oneshot::Sender<bool>),
+    HandoverResult(oneshot::Sender<bool>),
 }
 
 /// One established link.
@@ -45,59 +45,59 @@
 pub(super) struct Link {
     pub(super) peer: Instance,
     senders: Senders,
-    waiting: Mutex<HashMap<CorrelationId, Waiting>>,
+    pending: Mutex<HashMap<CorrelationId, PendingReply>>,
     /// Becomes true when the link has ended.
-    down: watch::Sender<bool>,
+    closed_sender: watch::Sender<bool>,
     /// Makes the peer show that it is still there.
-    doubt: Notify,
+    ping_request: Notify,
 }
 
 /// The link has ended, or ended before the message was queued.
 #[derive(Debug)]
-pub(super) struct Down;
+pub(super) struct LinkClosed;
 
 impl Link {
     pub(super) fn new(peer: Instance) -> (Arc<Link>, TrafficOutbox) {
         let (senders, outbox) = channel();
-        let (down, _) = watch::channel(false);
-        let doubt = Notify::new();
-        let link = Link { peer, senders, waiting: Mutex::default(), down, doubt };
+        let (closed_sender, _) = watch::channel(false);
+        let ping_request = Notify::new();
+        let link = Link { peer, senders, pending: Mutex::default(), closed_sender, ping_request };
         (Arc::new(link), outbox)
     }
 
-    pub(super) fn doubt(&self) -> &Notify {
-        &self.doubt
+    pub(super) fn ping_request(&self) -> &Notify {
+        &self.ping_request
     }
 
-    pub(super) fn is_down(&self) -> bool {
-        *self.down.borrow()
+    pub(super) fn is_closed(&self) -> bool {
+        *self.closed_sender.borrow()
     }
 
     /// Fails everything that waits for an answer on this link.
-    pub(super) fn end(&self) {
-        self.down.send_replace(true);
-        self.waiting().clear();
+    pub(super) fn close(&self) {
+        self.closed_sender.send_replace(true);
+        self.pending().clear();
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<CorrelationId, Waiting>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, HashMap<CorrelationId, PendingReply>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes out who waits for a message; nobody, if it is late, doubled or made up.
-    pub(super) fn take(&self, id: CorrelationId) -> Option<Waiting> {
-        self.waiting().remove(&id)
+    pub(super) fn take_pending(&self, id: CorrelationId) -> Option<PendingReply> {
+        self.pending().remove(&id)
     }
 
     /// Sends a request, once, and waits for its answer.
     pub(super) async fn send_request(self: &Arc<Link>, request: &GateRequest) -> ReplyWithLoad {
         let id = CorrelationId(rand::random());
         let (sender, receiver) = oneshot::channel();
-        let mut pending = Pending::new(Arc::clone(self), id, Waiting::Reply(sender));
-        let written = Arc::clone(&pending.written);
+        let mut guard = PendingGuard::new(Arc::clone(self), id, PendingReply::Reply(sender));
+        let written = Arc::clone(&guard.written);
         let first_len = first_len(&request.body);
         let mut head = request.to_wire(id, first_len);
-        let slack = DEADLINE_SLACK.min(request.remaining / DEADLINE_SLACK_PART);
-        head.remaining_us -= u64::try_from(slack.as_micros()).unwrap_or(0);
+        let margin = DEADLINE_MARGIN.min(request.remaining / DEADLINE_MARGIN_DIVISOR);
+        head.remaining_us -= u64::try_from(margin.as_micros()).unwrap_or(0);
         let head = Frame::Request(Box::new(head));
         let exchange = async {
             self.send(head, id, &request.body, first_len, Some(Arc::clone(&written))).await.ok()?;
@@ -106,9 +106,9 @@
         let result = timeout(request.remaining, exchange).await;
         let may_have_run = written.load(Ordering::SeqCst);
         match result {
-            Ok(Some(replied)) => {
-                pending.done = true;
-                replied
+            Ok(Some(reply)) => {
+                guard.is_done = true;
+                reply
             }
             Ok(None) if may_have_run => GateReply::unknown(UnknownReason::ConnectionLost).into(),
             Ok(None) => GateReply::not_run(NotRunReason::Unreachable).into(),
@@ -120,7 +120,8 @@
     pub(super) async fn hand_over(self: &Arc<Link>, handover: &Handover) -> bool {
         let id = CorrelationId(rand::random());
         let (sender, receiver) = oneshot::channel();
-        let mut pending = Pending::new(Arc::clone(self), id, Waiting::Taken(sender));
+        let mut guard =
+            PendingGuard::new(Arc::clone(self), id, PendingReply::HandoverResult(sender));
         let first_len = first_len(&handover.records);
         let head = Frame::Records(Records {
             id,
@@ -135,7 +136,7 @@
             receiver.await.ok()
         };
         let taken = timeout(HANDOVER_TIMEOUT, exchange).await.ok().flatten();
-        pending.done = taken.is_some();
+        guard.is_done = taken.is_some();
         taken == Some(true)
     }
 
@@ -147,23 +148,23 @@
         body: &Bytes,
         first_len: usize,
         written: Option<Arc<AtomicBool>>,
-    ) -> Result<(), Down> {
-        let head = Outgoing::new(&head, written);
+    ) -> Result<(), LinkClosed> {
+        let head = QueuedFrame::new(&head, written);
         if first_len == body.len() {
-            return self.senders.small.send(head).await.map_err(|_| Down);
+            return self.senders.small.send(head).await.map_err(|_| LinkClosed);
         }
-        self.senders.large.send(head).await.map_err(|_| Down)?;
+        self.senders.large.send(head).await.map_err(|_| LinkClosed)?;
         for chunk in chunks(id, body, first_len) {
-            let part = Outgoing::new(&chunk, None);
-            self.senders.large.send(part).await.map_err(|_| Down)?;
+            let part = QueuedFrame::new(&chunk, None);
+            self.senders.large.send(part).await.map_err(|_| LinkClosed)?;
         }
         Ok(())
     }
 
     /// Queues a message without a body.
-    pub(super) async fn send_small(&self, frame: &Frame) -> Result<(), Down> {
-        let outgoing = Outgoing::new(frame, None);
-        self.senders.small.send(outgoing).await.map_err(|_| Down)
+    pub(super) async fn send_small(&self, frame: &Frame) -> Result<(), LinkClosed> {
+        let queued = QueuedFrame::new(frame, None);
+        self.senders.small.send(queued).await.map_err(|_| LinkClosed)
     }
 }
 
@@ -173,33 +174,33 @@
 }
 
 /// A place in the table of those who wait. Dropped undone, it cancels the request at the peer.
-struct Pending {
+struct PendingGuard {
     link: Arc<Link>,
     id: CorrelationId,
     written: Arc<AtomicBool>,
-    done: bool,
+    is_done: bool,
 }
 
-impl Pending {
-    fn new(link: Arc<Link>, id: CorrelationId, waiting: Waiting) -> Pending {
+impl PendingGuard {
+    fn new(link: Arc<Link>, id: CorrelationId, pending: PendingReply) -> PendingGuard {
         {
-            let mut table = link.waiting();
+            let mut table = link.pending();
             // Checked under the lock: `end` clears the table after setting it.
-            if !link.is_down() {
-                table.insert(id, waiting);
+            if !link.is_closed() {
+                table.insert(id, pending);
             }
         }
-        Pending { link, id, written: Arc::default(), done: false }
+        PendingGuard { link, id, written: Arc::default(), is_done: false }
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
-        if self.done {
+        if self.is_done {
             return;
         }
-        self.link.take(self.id);
-        let cancel = Outgoing::new(&Frame::Cancel(self.id), None);
+        self.link.take_pending(self.id);
+        let cancel = QueuedFrame::new(&Frame::Cancel(self.id), None);
         // If the queue is full the peer's own deadline ends the request.
         drop(self.link.senders.small.try_send(cancel));
     }
--- a/crates/agent/src/links/traffic/mod.rs
+++ b/crates/agent/src/links/traffic/mod.rs
@@ -28,7 +28,7 @@
 use crate::{
     links::{
         LinkKey,
-        handshake::{Established, LinkIdentity},
+        handshake::{EstablishedLink, LinkIdentity},
         socket,
     },
     request::{GateReply, GateRequest, ReplyWithLoad},
@@ -40,7 +40,7 @@
 pub(crate) use assembly::Handover;
 
 /// How long a peer that could not be reached is not dialled again.
-const DIAL_PAUSE: Duration = Duration::from_millis(100);
+const REDIAL_PAUSE: Duration = Duration::from_millis(100);
 const ACCEPT_PAUSE: Duration = Duration::from_millis(500);
 
 /// A request of a peer on its way to its reply.
@@ -67,19 +67,19 @@
 }
 
 enum Peer {
-    Up(Arc<Link>),
+    Connected(Arc<Link>),
     /// Resolves, with an error, when the dialling has ended.
     Dialling(watch::Receiver<()>),
-    Down {
+    Unreachable {
         since: Instant,
     },
 }
 
-enum Next {
-    Use(Arc<Link>),
-    Wait(watch::Receiver<()>),
+enum NextStep {
+    UseLink(Arc<Link>),
+    WaitForDial(watch::Receiver<()>),
     Dial(watch::Sender<()>),
-    Refuse,
+    Fail,
 }
 
 impl TrafficLinks {
@@ -120,7 +120,7 @@
     /// Makes a link ahead of the first request.
     pub(crate) fn preconnect(&self, peer: &Instance) {
         if peer.traffic == self.shared.identity.own.traffic
-            || matches!(self.shared.peers().get(&peer.traffic), Some(Peer::Up(_)))
+            || matches!(self.shared.peers().get(&peer.traffic), Some(Peer::Connected(_)))
         {
             return;
         }
@@ -130,18 +130,18 @@
 
     async fn link(&self, peer: &Instance) -> Option<Arc<Link>> {
         loop {
-            match self.shared.next(peer) {
-                Next::Use(link) => return Some(link),
-                Next::Refuse => return None,
+            match self.shared.next_step(peer) {
+                NextStep::UseLink(link) => return Some(link),
+                NextStep::Fail => return None,
                 // The error means that the dialling has ended.
-                Next::Wait(mut ended) => drop(ended.changed().await),
-                Next::Dial(ended) => {
+                NextStep::WaitForDial(mut dial_ended) => drop(dial_ended.changed().await),
+                NextStep::Dial(dial_ended) => {
                     // Dialled in a task of its own: whoever waits first may give up.
                     let shared = Arc::clone(&self.shared);
                     let address = peer.traffic;
                     tokio::spawn(async move {
                         dial(&shared, address).await;
-                        drop(ended);
+                        drop(dial_ended);
                     });
                 }
             }
@@ -154,51 +154,53 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn next(&self, peer: &Instance) -> Next {
+    fn next_step(&self, peer: &Instance) -> NextStep {
         let mut peers = self.peers();
         match peers.get(&peer.traffic) {
             // Another life of the peer is there, so the one that is asked for is gone. Or it is the other
             // way round, and that one has gone without hanging up: then it does not answer.
-            Some(Peer::Up(link)) if !link.is_down() && link.peer != *peer => {
-                link.doubt().notify_one();
-                Next::Refuse
+            Some(Peer::Connected(link)) if !link.is_closed() && link.peer != *peer => {
+                link.ping_request().notify_one();
+                NextStep::Fail
             }
-            Some(Peer::Up(link)) if !link.is_down() => Next::Use(Arc::clone(link)),
-            Some(Peer::Dialling(ended)) => Next::Wait(ended.clone()),
-            Some(Peer::Down { since }) if since.elapsed() < DIAL_PAUSE => Next::Refuse,
-            Some(Peer::Up(_) | Peer::Down { .. }) | None => {
-                let (sender, ended) = watch::channel(());
-                peers.insert(peer.traffic, Peer::Dialling(ended));
-                Next::Dial(sender)
+            Some(Peer::Connected(link)) if !link.is_closed() => NextStep::UseLink(Arc::clone(link)),
+            Some(Peer::Dialling(dial_ended)) => NextStep::WaitForDial(dial_ended.clone()),
+            Some(Peer::Unreachable { since }) if since.elapsed() < REDIAL_PAUSE => NextStep::Fail,
+            Some(Peer::Connected(_) | Peer::Unreachable { .. }) | None => {
+                let (sender, dial_ended) = watch::channel(());
+                peers.insert(peer.traffic, Peer::Dialling(dial_ended));
+                NextStep::Dial(sender)
             }
         }
     }
 
     /// Runs a link. It is used for requests unless there is one already.
-    fn run(self: &Arc<Shared>, established: Established) {
-        let Established { peer, socket } = established;
+    fn run(self: &Arc<Shared>, established: EstablishedLink) {
+        let EstablishedLink { peer, socket } = established;
         let (link, outbox) = Link::new(peer.clone());
         {
             let mut peers = self.peers();
             match peers.get(&peer.traffic) {
-                Some(Peer::Up(it)) if !it.is_down() && it.peer == peer => {}
-                _ => drop(peers.insert(peer.traffic, Peer::Up(Arc::clone(&link)))),
+                Some(Peer::Connected(it)) if !it.is_closed() && it.peer == peer => {}
+                _ => drop(peers.insert(peer.traffic, Peer::Connected(Arc::clone(&link)))),
             }
         }
         log::debug!(target: "links", "Traffic link with {peer} is up.");
         let inbox = TrafficInbox::new(Arc::clone(&link), Arc::clone(&self.handler));
         let shared = Arc::clone(self);
         tokio::spawn(async move {
-            match socket::run(socket, outbox, inbox, link.doubt()).await {
+            match socket::run(socket, outbox, inbox, link.ping_request()).await {
                 Ok(()) => log::debug!(target: "links", "Traffic link with {peer} has ended."),
                 Err(error) => {
                     log::warn!(target: "links", "Traffic link with {peer} ended: {error}.");
                 }
             }
-            link.end();
+            link.close();
             let mut peers = shared.peers();
             match peers.get(&peer.traffic) {
-                Some(Peer::Up(it)) if Arc::ptr_eq(it, &link) => drop(peers.remove(&peer.traffic)),
+                Some(Peer::Connected(it)) if Arc::ptr_eq(it, &link) => {
+                    drop(peers.remove(&peer.traffic))
+                }
                 _ => {}
             }
         });
@@ -215,7 +217,7 @@
     }
     let mut peers = shared.peers();
     if matches!(peers.get(&address), Some(Peer::Dialling(_))) {
-        peers.insert(address, Peer::Down { since: Instant::now() });
+        peers.insert(address, Peer::Unreachable { since: Instant::now() });
     }
 }
 
--- a/crates/agent/src/links/traffic/serve.rs
+++ b/crates/agent/src/links/traffic/serve.rs
@@ -20,40 +20,40 @@
 
 /// Running requests of one link.
 #[derive(Debug, Default)]
-pub(super) struct Served(Mutex<HashMap<CorrelationId, AbortHandle>>);
+pub(super) struct RunningRequests(Mutex<HashMap<CorrelationId, AbortHandle>>);
 
-impl Served {
-    fn table(&self) -> MutexGuard<'_, HashMap<CorrelationId, AbortHandle>> {
+impl RunningRequests {
+    fn tasks(&self) -> MutexGuard<'_, HashMap<CorrelationId, AbortHandle>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sends the reply when it comes. Cancelling drops the request on its way.
     pub(super) fn start(
-        self: &Arc<Served>,
+        self: &Arc<RunningRequests>,
         link: &Arc<Link>,
         id: CorrelationId,
-        serving: ReplyFuture,
+        reply_future: ReplyFuture,
     ) {
-        let (served, link) = (Arc::clone(self), Arc::clone(link));
-        let mut table = self.table();
+        let (running, link) = (Arc::clone(self), Arc::clone(link));
+        let mut tasks = self.tasks();
         let task = tokio::spawn(async move {
-            let ReplyWithLoad { reply, load } = serving.await;
+            let ReplyWithLoad { reply, load } = reply_future.await;
             send(&link, id, reply, load).await;
-            served.table().remove(&id);
+            running.tasks().remove(&id);
         });
-        table.insert(id, task.abort_handle());
+        tasks.insert(id, task.abort_handle());
     }
 
     pub(super) fn cancel(&self, id: CorrelationId) {
-        if let Some(task) = self.table().remove(&id) {
+        if let Some(task) = self.tasks().remove(&id) {
             task.abort();
         }
     }
 }
 
-impl Drop for Served {
+impl Drop for RunningRequests {
     fn drop(&mut self) {
-        for task in self.table().values() {
+        for task in self.tasks().values() {
             task.abort();
         }
     }
--- a/crates/agent/src/links/traffic/tests.rs
+++ b/crates/agent/src/links/traffic/tests.rs
@@ -14,30 +14,30 @@
 use super::{
     Handler, Handover, LinkIdentity, LinkKey, ReplyFuture, TrafficLinks,
     assembly::{Assembly, Head, Progress, chunks},
-    outbox::{Outgoing, channel},
+    outbox::{QueuedFrame, channel},
 };
 use crate::{
-    links::socket::{Outbound, Outbox},
+    links::socket::{OutboundMessage, Outbox},
     request::GateRequest,
 };
 
 const ID: CorrelationId = CorrelationId(7);
 
-fn outgoing(text: &str) -> Outgoing {
-    let message = Outbound::head(Bytes::copy_from_slice(text.as_bytes()));
-    Outgoing { message, written: None }
+fn queued_frame(text: &str) -> QueuedFrame {
+    let message = OutboundMessage::head(Bytes::copy_from_slice(text.as_bytes()));
+    QueuedFrame { message, written: None }
 }
 
 #[test]
 fn large_messages_neither_starve_nor_are_starved() {
     let (senders, mut outbox) = channel();
     for _ in 0..100 {
-        senders.small.try_send(outgoing("s")).unwrap();
+        senders.small.try_send(queued_frame("s")).unwrap();
     }
     for _ in 0..4 {
-        senders.large.try_send(outgoing("L")).unwrap();
+        senders.large.try_send(queued_frame("L")).unwrap();
     }
-    assert!(senders.large.try_send(outgoing("L")).is_err(), "large messages wait for room");
+    assert!(senders.large.try_send(queued_frame("L")).is_err(), "large messages wait for room");
     let order: Vec<Bytes> = std::iter::from_fn(|| outbox.try_next().map(|it| it.bytes)).collect();
     let order = String::from_utf8(order.concat()).unwrap();
     let runs: Vec<usize> = order.split('L').map(str::len).collect();
@@ -52,7 +52,7 @@
 
 fn assembly(progress: Progress) -> Assembly {
     match progress {
-        Progress::More(assembly) => assembly,
+        Progress::Partial(assembly) => assembly,
         other => panic!("{other:?}"),
     }
 }
@@ -63,12 +63,12 @@
     for (offset, data) in parts {
         let chunk = Chunk { id: ID, offset: *offset, data: Bytes::from_static(data) };
         progress = match progress {
-            Progress::More(assembly) => assembly.add(&chunk),
+            Progress::Partial(assembly) => assembly.add(&chunk),
             ended => ended,
         };
     }
     match (progress, expected) {
-        (Progress::Whole(Head::Answer(answer)), Some(body)) => assert_eq!(answer.body, body),
+        (Progress::Complete(Head::Answer(answer)), Some(body)) => assert_eq!(answer.body, body),
         (Progress::Broken(_), None) => {}
         (other, _) => panic!("{parts:?}: {other:?}"),
     }
@@ -96,12 +96,12 @@
         body_len: body.len() as u64,
         body: body.slice(..first_len),
     };
-    let mut progress = Progress::More(assembly(Head::Answer(head).start()));
+    let mut progress = Progress::Partial(assembly(Head::Answer(head).start()));
     for frame in chunks(ID, &body, first_len) {
         let Frame::Chunk(chunk) = frame else { panic!("{frame:?}") };
         progress = assembly(progress).add(&chunk);
     }
-    let Progress::Whole(Head::Answer(answer)) = progress else { panic!("{progress:?}") };
+    let Progress::Complete(Head::Answer(answer)) = progress else { panic!("{progress:?}") };
     assert!(answer.body == body);
 }
 
