--- a/crates/agent/src/links/control.rs
+++ b/crates/agent/src/links/control.rs
@@ -1,4 +1,5 @@
-//! Links between control threads: opaque messages, sent without waiting, lost rather than late.
+//! Links between control threads. Messages are opaque, sending never waits, and messages that queue up are
+//! dropped rather than delivered late.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -23,19 +24,19 @@
     socket::{self, Inbox, OutboundMessage, Outbox},
 };
 
-/// How many messages wait for one peer; the oldest give way.
+/// Largest number of messages queued for one peer; beyond it the oldest are dropped.
 const QUEUE_MAX: usize = 256;
-/// How many events wait for the control thread.
+/// Largest number of events queued for the control thread.
 const EVENTS_MAX: usize = 4096;
-/// How long an unused link stays open.
+/// Time after which an unused link is closed.
 const IDLE_MAX: Duration = Duration::from_secs(60);
 const BACKOFF_MIN: Duration = Duration::from_millis(25);
 const BACKOFF_MAX: Duration = Duration::from_millis(500);
 
-/// What comes in over control links.
+/// An event received over the control links.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlEvent {
-    /// A message of an authenticated peer.
+    /// A message from an authenticated peer.
     Message { from: Instance, payload: Bytes },
 }
 
@@ -54,23 +55,23 @@
 #[derive(Default)]
 struct Peer {
     queue: VecDeque<QueuedMessage>,
-    /// Links that take from the queue.
+    /// Number of links that send from the queue.
     writer_count: usize,
-    /// A task is dialling this peer or drives the link it dialled.
+    /// Whether a task dials this peer or drives the link that it dialled.
     has_dialer: bool,
     dropped_count: u64,
     message_added: Arc<Notify>,
 }
 
 struct QueuedMessage {
-    /// For this life of the peer only.
+    /// The incarnation of the peer that the message is for. `None` if it is for any.
     to: Option<Incarnation>,
     payload: Bytes,
 }
 
 impl ControlLinks {
-    /// Listens, and dials peers as messages for them come up. To be called on the runtime of the
-    /// control thread; everything runs there.
+    /// Starts to listen; peers are dialled when there are messages for them. Must be called on the runtime of
+    /// the control thread, where all tasks of the links run.
     pub fn start(
         own: Instance,
         listener: TcpListener,
@@ -83,12 +84,13 @@
         (ControlLinks { shared }, receiver)
     }
 
-    /// Queues a message for one life of a peer and returns at once. It may be lost.
+    /// Queues a message for one incarnation of a peer, without waiting. The message may be lost.
     pub fn send(&self, to: &Instance, payload: Vec<u8>) {
         self.queue(to.control, Some(to.incarnation), payload);
     }
 
-    /// The same for whoever listens at a control address.
+    /// Queues a message for any instance that listens at a control address, without waiting. The message may
+    /// be lost.
     pub fn send_to_address(&self, to: SocketAddr, payload: Vec<u8>) {
         self.queue(to, None, payload);
     }
@@ -114,9 +116,10 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next message for this life of a peer; those for other lives are dropped. That there are any
-    /// may mean that this life has gone without hanging up, and that another listens at its address:
-    /// a link on which nothing is written would not notice, and drop all that is meant for that one.
+    /// Returns the next message for this incarnation of a peer. Messages for other incarnations are dropped and
+    /// trigger a ping: this incarnation may have ended without closing the connection, with another listening at
+    /// its address. A link on which nothing is written would not detect that, and would drop all messages for
+    /// the new incarnation.
     fn next_message(&self, peer: &Instance, ping_request: &Notify) -> Option<Bytes> {
         let mut peers = self.peers();
         let entry = peers.get_mut(&peer.control)?;
@@ -132,7 +135,7 @@
 
     async fn run(self: &Arc<Shared>, link: EstablishedLink, address: SocketAddr, is_writer: bool) {
         let EstablishedLink { peer, socket } = link;
-        log::debug!(target: "links", "Control link with {peer} at {address} is up.");
+        log::debug!(target: "links", "Established a control link with {peer} at {address}.");
         let message_added = is_writer.then(|| {
             let mut peers = self.peers();
             let entry = peers.entry(peer.control).or_default();
@@ -148,8 +151,10 @@
         };
         let inbox = ControlInbox { shared: Arc::clone(self), from: peer.clone() };
         match socket::run(socket, outbox, inbox, &ping_request).await {
-            Ok(()) => log::debug!(target: "links", "Control link with {peer} has ended."),
-            Err(error) => log::warn!(target: "links", "Control link with {peer} ended: {error}."),
+            Ok(()) => log::debug!(target: "links", "Closed the control link with {peer}."),
+            Err(error) => {
+                log::warn!(target: "links", "Lost the control link with {peer}: {error}.")
+            }
         }
     }
 }
@@ -159,7 +164,7 @@
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!(target: "links", "Accepting a control link failed: {error}.");
+                log::warn!(target: "links", "Cannot accept a control connection; retrying: {error}.");
                 sleep(BACKOFF_MAX).await;
                 continue;
             }
@@ -172,13 +177,13 @@
                         shared.peers().get(&link.peer.control).map_or(0, |peer| peer.writer_count);
                     shared.run(link, address, writer_count == 0).await;
                 }
-                Err(error) => log::warn!(target: "links", "Refused a control link: {error}."),
+                Err(error) => log::warn!(target: "links", "Rejected a control link: {error}."),
             }
         });
     }
 }
 
-/// Dials a peer until its queue is empty.
+/// Dials a peer, and drives the link, until its queue is empty or another link sends from it.
 async fn dial(shared: Arc<Shared>, address: SocketAddr) {
     let mut backoff = BACKOFF_MIN;
     loop {
@@ -188,9 +193,11 @@
                 shared.run(link, address, true).await;
             }
             Ok(link) => {
-                log::warn!(target: "links", "{} at {address} says it is at {}.", link.peer, link.peer.control);
+                log::warn!(target: "links", "Closed a control link: {} answered at {address} but announces the address {}.", link.peer, link.peer.control);
+            }
+            Err(error) => {
+                log::debug!(target: "links", "Cannot establish a control link; retrying: {error}.")
             }
-            Err(error) => log::debug!(target: "links", "No control link: {error}."),
         }
         let delay = rand::rng().random_range(backoff / 2..=backoff);
         backoff = (backoff * 2).min(BACKOFF_MAX);
@@ -210,9 +217,9 @@
 struct ControlOutbox {
     shared: Arc<Shared>,
     peer: Instance,
-    /// None: this link only reads, for another one writes.
+    /// Notified when a message is queued. `None` if this link only reads, because another one sends.
     message_added: Option<Arc<Notify>>,
-    /// Makes the peer show that it is still there.
+    /// Makes the link send a ping.
     ping_request: Arc<Notify>,
 }
 
@@ -266,6 +273,10 @@
 impl Inbox for ControlInbox {
     async fn handle(&mut self, payload: Bytes) -> Result<(), anyhow::Error> {
         let event = ControlEvent::Message { from: self.from.clone(), payload };
-        self.shared.events.send(event).await.map_err(|_| anyhow::anyhow!("control has ended"))
+        self.shared
+            .events
+            .send(event)
+            .await
+            .map_err(|_| anyhow::anyhow!("the control thread has ended"))
     }
 }
--- a/crates/agent/src/links/handshake.rs
+++ b/crates/agent/src/links/handshake.rs
@@ -1,4 +1,4 @@
-//! Both sides of the handshake.
+//! The handshake of a link, for the dialling and the listening side.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,17 +18,17 @@
 
 use crate::links::LinkKey;
 
-/// How long a whole handshake may take.
+/// Time limit of a whole handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may take to come about; then it is tried anew.
+/// Time limit for connecting, after which the attempt fails and may be repeated.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest message of a link.
+/// Size limit of a message on a link.
 pub(crate) const MESSAGE_BYTES_MAX: usize = 2 << 20;
 const BUFFER_BYTES: usize = 16 << 10;
 
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Who this process is on its links, and the key that proves it.
+/// The identity of this process on links of one kind, and the key that proves it.
 #[derive(Debug, Clone)]
 pub(crate) struct LinkIdentity {
     pub(crate) own: Instance,
@@ -43,17 +43,17 @@
     pub(crate) socket: Socket,
 }
 
-/// Why no link came about.
+/// The reason for which a link could not be established.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub(crate) enum HandshakeError {
-    #[error("connect to {peer}: {source}")]
+    #[error("cannot connect to {peer}: {source}")]
     Connect { peer: SocketAddr, source: std::io::Error },
-    #[error("handshake with {peer}: {source}")]
+    #[error("handshake with {peer} failed: {source}")]
     Socket { peer: SocketAddr, source: Box<tungstenite::Error> },
-    #[error("handshake with {peer}: {source}")]
+    #[error("handshake with {peer} failed, undecodable message: {source}")]
     Codec { peer: SocketAddr, source: CodecError },
-    #[error("handshake with {peer}: {reason}")]
+    #[error("handshake with {peer} failed: {reason}")]
     Refused { peer: SocketAddr, reason: &'static str },
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl LinkIdentity {
-    /// Connects to a peer and proves both sides.
+    /// Connects to a peer and performs the mutual authentication.
     pub(crate) async fn dial(&self, peer: SocketAddr) -> Result<EstablishedLink, HandshakeError> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer))
             .await
@@ -75,7 +75,7 @@
         with_timeout(peer, self.handshake_as_dialer(peer, stream)).await
     }
 
-    /// Proves both sides of an accepted connection.
+    /// Performs the mutual authentication on an accepted connection.
     pub(crate) async fn accept(
         &self,
         peer: SocketAddr,
@@ -110,7 +110,10 @@
             listening_nonce: welcome.nonce,
         };
         if !self.key.verify(&transcript, &welcome.proof) {
-            return Err(HandshakeError::Refused { peer, reason: "the proof is wrong" });
+            return Err(HandshakeError::Refused {
+                peer,
+                reason: "the proof of the peer does not match the link key",
+            });
         }
         transcript.side = Side::Dialling;
         let proof = Proof { proof: self.key.proof(&transcript) };
@@ -131,10 +134,10 @@
             .map_err(socket_error)?;
         let hello: Hello = receive(peer, &mut socket).await?;
         if hello.version != PROTOCOL_VERSION {
-            return Err(refused("the protocol version is another one"));
+            return Err(refused("the peer uses another protocol version"));
         }
         if hello.kind != self.kind {
-            return Err(refused("the link is of another kind"));
+            return Err(refused("the peer requested a link of another kind"));
         }
         let nonce = rand::random();
         let mut transcript = Transcript {
@@ -149,7 +152,7 @@
         let proof: Proof = receive(peer, &mut socket).await?;
         transcript.side = Side::Dialling;
         if !self.key.verify(&transcript, &proof.proof) {
-            return Err(refused("the proof is wrong"));
+            return Err(refused("the proof of the peer does not match the link key"));
         }
         Ok(EstablishedLink { peer: hello.from, socket })
     }
@@ -178,13 +181,13 @@
     let refused = |reason| Err(HandshakeError::Refused { peer, reason });
     match socket.next().await {
         Some(Ok(Message::Binary(bytes))) if bytes.len() > HANDSHAKE_BYTES_MAX => {
-            refused("a message is too large")
+            refused("a handshake message is too large")
         }
         Some(Ok(Message::Binary(bytes))) => {
             wire::decode(&bytes).map_err(|source| HandshakeError::Codec { peer, source })
         }
-        Some(Ok(_)) => refused("a message is of an unknown kind"),
+        Some(Ok(_)) => refused("received a WebSocket message that is not binary"),
         Some(Err(source)) => Err(HandshakeError::Socket { peer, source: Box::new(source) }),
-        None => refused("the peer hung up"),
+        None => refused("the peer closed the connection"),
     }
 }
--- a/crates/agent/src/links/key.rs
+++ b/crates/agent/src/links/key.rs
@@ -1,4 +1,4 @@
-//! Proofs of having the key, by HMAC-SHA256.
+//! Proofs of possession of the link key, by HMAC-SHA256.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use sha2::Sha256;
 use wire::link::Transcript;
 
-/// The key that all agents share, from the settings. Never logged.
+/// The key that all agents share, from the settings. It is never logged.
 #[derive(Clone)]
 pub struct LinkKey(Hmac<Sha256>);
 
@@ -19,7 +19,7 @@
         self.mac(transcript).finalize().into_bytes().into()
     }
 
-    /// Compares in constant time.
+    /// Verifies a proof; compares in constant time.
     pub(crate) fn verify(&self, transcript: &Transcript<'_>, proof: &[u8; 32]) -> bool {
         self.mac(transcript).verify_slice(proof).is_ok()
     }
--- a/crates/agent/src/links/mod.rs
+++ b/crates/agent/src/links/mod.rs
@@ -1,7 +1,7 @@
 //! Authenticated WebSocket links between agents.
 //!
-//! Control and traffic have a port and links of their own, so that a rush of requests can't delay
-//! a lease. A link carries opaque messages both ways; whatever is wrong with one ends that link.
+//! Control and traffic have separate ports and links, so that a burst of requests cannot delay a lease. A link
+//! carries opaque messages in both directions; an invalid message closes its link only.
 
 mod control;
 pub(crate) mod handshake;
--- a/crates/agent/src/links/socket.rs
+++ b/crates/agent/src/links/socket.rs
@@ -1,4 +1,4 @@
-//! Drives one established link: reads, writes, and notices a peer that has gone silent.
+//! Drives one established link: reads, writes and detects a peer that stopped responding.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 
 use crate::links::handshake::Socket;
 
-/// How often a link looks whether its peer still answers.
+/// Interval at which a link checks that its peer responds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a peer may leave a ping unanswered.
+/// Time within which a peer must respond to a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long one batch may take to be written.
+/// Time within which a batch must be written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many messages are written before a flush.
+/// Largest number of messages written before a flush.
 const BATCH_MESSAGES_MAX: usize = 64;
 
-/// A message to be written: a head, and what is not worth compressing.
+/// A message to be written: a head, which is compressed, and a body, which is not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct OutboundMessage {
     pub(crate) bytes: Bytes,
@@ -36,36 +36,36 @@
     }
 }
 
-/// Where a link takes its messages from.
+/// The source of the messages that a link writes.
 pub(crate) trait Outbox: Send {
-    /// Waits for a message; none: the link is to be closed.
+    /// Waits for a message. Returns `None` if the link is to be closed.
     fn next(&mut self) -> impl Future<Output = Option<OutboundMessage>> + Send;
-    /// A message that needs no waiting for.
+    /// Returns a message if one is available without waiting.
     fn try_next(&mut self) -> Option<OutboundMessage>;
 }
 
-/// Where a link gives its messages to.
+/// The consumer of the messages that a link reads.
 pub(crate) trait Inbox: Send {
-    /// Takes one message; an error ends the link.
+    /// Handles one message. An error closes the link.
     fn handle(&mut self, message: Bytes) -> impl Future<Output = Result<(), anyhow::Error>> + Send;
 }
 
-/// Why a link has ended.
+/// The reason for which a link was closed.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub(crate) enum LinkError {
     #[error("{0}")]
     Socket(#[from] Box<tungstenite::Error>),
-    #[error("a message is of an unknown kind")]
+    #[error("received a WebSocket message that is not binary")]
     UnexpectedMessage,
-    #[error("the peer leaves pings unanswered")]
+    #[error("the peer stopped responding")]
     PeerUnresponsive,
     #[error("{0:#}")]
     Message(anyhow::Error),
 }
 
-/// Runs a link until either side closes it or something is wrong. A notice of `ping_request` makes the peer show
-/// that it is still there, though nothing is to be written.
+/// Runs a link until either side closes it or it fails. Notifying `ping_request` sends a ping even if there is
+/// nothing to write, so that a peer that stopped responding is detected.
 pub(crate) async fn run(
     socket: Socket,
     mut outbox: impl Outbox,
@@ -80,6 +80,7 @@
     }
 }
 
+/// The time at which the last message was received.
 type LastReceived = std::sync::Mutex<Instant>;
 
 fn boxed(error: tungstenite::Error) -> LinkError {
--- a/crates/agent/src/links/traffic/assembly.rs
+++ b/crates/agent/src/links/traffic/assembly.rs
@@ -1,16 +1,16 @@
-//! Bodies that come in many frames.
+//! Assembles bodies that arrive in several frames.
 
 use bytes::{Bytes, BytesMut};
 use model::{ServiceName, Token};
 use wire::traffic::{Answer, Chunk, Frame, Records, Request, Unit};
 
-/// Records on their way from one gate to another.
+/// The records that one gate hands over to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Handover {
     pub(crate) service: ServiceName,
     pub(crate) unit: Unit,
     pub(crate) token: Token,
-    /// The CBOR form of the records.
+    /// The records, encoded as CBOR.
     pub(crate) records: Bytes,
 }
 
@@ -22,20 +22,20 @@
     Records(Records),
 }
 
-/// A message whose body has not come in full.
+/// A message whose body has not been received in full.
 #[derive(Debug)]
 pub(super) struct Assembly {
     head: Head,
     body: BytesMut,
 }
 
-/// What has become of a message.
+/// The state of a message after a frame was received.
 #[derive(Debug)]
 pub(super) enum Progress {
-    /// The whole body is in the head.
+    /// The head contains the whole body.
     Complete(Head),
     Partial(Assembly),
-    /// A part was lost, doubled, out of order or too long.
+    /// A chunk is missing, repeated, out of order or too long.
     Broken(Head),
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Starts with what the head frame holds.
+    /// Starts the assembly with the part of the body in the head frame.
     pub(super) fn start(mut self) -> Progress {
         let body_len = self.body_len();
         let body = self.body();
@@ -71,11 +71,12 @@
 }
 
 impl Assembly {
-    /// Bytes held.
+    /// Returns the number of bytes received.
     pub(super) fn len(&self) -> usize {
         self.body.len()
     }
 
+    /// Adds a chunk, which has to continue the body where it ends.
     pub(super) fn add(mut self, chunk: &Chunk) -> Progress {
         let end = self.body.len() as u64 + chunk.data.len() as u64;
         match self.head.body_len() {
@@ -94,7 +95,7 @@
     }
 }
 
-/// The parts of a body after the head's first part.
+/// Splits the body after the first part, which the head contains, into chunk frames.
 pub(super) fn chunks(
     id: wire::traffic::CorrelationId,
     body: &Bytes,
--- a/crates/agent/src/links/traffic/inbox.rs
+++ b/crates/agent/src/links/traffic/inbox.rs
@@ -1,4 +1,4 @@
-//! What comes in over a traffic link.
+//! Handles the frames received over a traffic link.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -20,9 +20,9 @@
     request::{GateReply, GateRequest, ReplyWithLoad, answer_from_parts},
 };
 
-/// How many bytes of unfinished bodies a link may hold.
+/// Largest total size of a link's incomplete bodies.
 const ASSEMBLY_BYTES_MAX: usize = 256 << 20;
-/// How many unfinished bodies a link may hold.
+/// Largest number of a link's incomplete bodies.
 const ASSEMBLIES_MAX: usize = 4096;
 
 pub(super) struct TrafficInbox {
@@ -47,15 +47,24 @@
     async fn handle_frame(&mut self, frame: Frame) -> Result<(), anyhow::Error> {
         match frame {
             Frame::Request(it) => {
-                ensure!(!self.assemblies.contains_key(&it.id), "a request came twice");
+                ensure!(
+                    !self.assemblies.contains_key(&it.id),
+                    "received a request frame whose id is in use"
+                );
                 self.handle_progress(it.id, Head::Request(it).start()).await
             }
             Frame::Answer(it) => {
-                ensure!(!self.assemblies.contains_key(&it.id), "an answer came twice");
+                ensure!(
+                    !self.assemblies.contains_key(&it.id),
+                    "received an answer frame whose id is in use"
+                );
                 self.handle_progress(it.id, Head::Answer(it).start()).await
             }
             Frame::Records(it) => {
-                ensure!(!self.assemblies.contains_key(&it.id), "records came twice");
+                ensure!(
+                    !self.assemblies.contains_key(&it.id),
+                    "received a records frame whose id is in use"
+                );
                 self.handle_progress(it.id, Head::Records(it).start()).await
             }
             Frame::Chunk(chunk) => self.handle_chunk(&chunk).await,
@@ -77,7 +86,7 @@
             }
             Frame::RecordsTaken(it) => {
                 if let Some(PendingReply::HandoverResult(sender)) = self.link.take_pending(it.id) {
-                    // Whoever waited may have given up.
+                    // Fails if the handover has timed out.
                     _ = sender.send(it.taken);
                 }
                 Ok(())
@@ -86,7 +95,7 @@
     }
 
     async fn handle_chunk(&mut self, chunk: &Chunk) -> Result<(), anyhow::Error> {
-        // The rest of something cancelled or broken may still come in.
+        // Chunks of a cancelled or broken body may still arrive.
         let Some(assembly) = self.discard_assembly(chunk.id) else { return Ok(()) };
         self.handle_progress(chunk.id, assembly.add(chunk)).await
     }
@@ -108,18 +117,23 @@
                 self.assemblies.insert(id, assembly);
                 ensure!(
                     self.assembly_bytes <= ASSEMBLY_BYTES_MAX,
-                    "unfinished bodies are too large"
+                    "incomplete bodies exceed {ASSEMBLY_BYTES_MAX} bytes"
+                );
+                ensure!(
+                    self.assemblies.len() <= ASSEMBLIES_MAX,
+                    "more than {ASSEMBLIES_MAX} incomplete bodies"
                 );
-                ensure!(self.assemblies.len() <= ASSEMBLIES_MAX, "unfinished bodies are too many");
                 Ok(())
             }
             Progress::Broken(Head::Answer(_)) => {
                 self.deliver_reply(id, GateReply::unknown(UnknownReason::BrokenAnswer).into());
                 Ok(())
             }
-            Progress::Broken(_) => anyhow::bail!("a body is broken"),
+            Progress::Broken(_) => {
+                anyhow::bail!("a chunk of a body is missing, repeated, out of order or too long")
+            }
             Progress::Complete(Head::Request(it)) => {
-                let request = GateRequest::try_from(*it).context("request")?;
+                let request = GateRequest::try_from(*it).context("invalid request frame")?;
                 let reply_future = self.handler.request(&self.link.peer, request);
                 self.running.start(&self.link, id, reply_future);
                 Ok(())
@@ -143,13 +157,16 @@
         let handover = Handover { service, unit, token, records: body };
         let taken = self.handler.records(&self.link.peer, handover);
         let frame = Frame::RecordsTaken(RecordsTaken { id, taken });
-        self.link.send_small(&frame).await.map_err(|_| anyhow::anyhow!("the writer has ended"))
+        self.link
+            .send_small(&frame)
+            .await
+            .map_err(|_| anyhow::anyhow!("the link's writer has ended"))
     }
 
-    /// An answer nobody waits for is late, doubled or made up, and goes nowhere else.
+    /// Passes a reply to the request that awaits it. Drops a reply that is late, duplicate or made up.
     fn deliver_reply(&self, id: CorrelationId, reply_with_load: ReplyWithLoad) {
         if let Some(PendingReply::Reply(sender)) = self.link.take_pending(id) {
-            // Whoever waited may have given up.
+            // Fails if the request was cancelled or has timed out.
             drop(sender.send(reply_with_load));
         }
     }
@@ -157,7 +174,7 @@
 
 impl Inbox for TrafficInbox {
     async fn handle(&mut self, message: Bytes) -> Result<(), anyhow::Error> {
-        let frame = Frame::parse(&message).context("frame")?;
+        let frame = Frame::parse(&message).context("invalid frame")?;
         self.handle_frame(frame).await
     }
 }
--- a/crates/agent/src/links/traffic/link.rs
+++ b/crates/agent/src/links/traffic/link.rs
@@ -1,4 +1,4 @@
-//! One link: requests that wait for their answer, and the sending of messages.
+//! One link: the requests that await a reply, and the sending of messages.
 
 use std::{
     collections::HashMap,
@@ -25,15 +25,15 @@
     request::{GateReply, GateRequest, ReplyWithLoad},
 };
 
-/// How much earlier than the asking side the gate gives up, so that its word arrives in time: it
-/// knows whether the request has run, the asking side does not.
+/// Time by which the deadline at the gate is earlier than at the sender, so that the gate's reply arrives in
+/// time: only the gate can determine whether the request was run.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(60);
-/// The part of a short deadline that this may take up.
+/// Divisor of the remaining time that bounds the margin for short deadlines.
 const DEADLINE_MARGIN_DIVISOR: u32 = 20;
-/// How long a peer may take to take over records.
+/// Time within which a peer must import the records of a handover.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who waits for a message with this correlation id.
+/// The channel to the task that awaits a reply.
 #[derive(Debug)]
 pub(super) enum PendingReply {
     Reply(oneshot::Sender<ReplyWithLoad>),
@@ -46,13 +46,13 @@
     pub(super) peer: Instance,
     senders: Senders,
     pending: Mutex<HashMap<CorrelationId, PendingReply>>,
-    /// Becomes true when the link has ended.
+    /// Set to true when the link is closed.
     closed_sender: watch::Sender<bool>,
-    /// Makes the peer show that it is still there.
+    /// Makes the link send a ping.
     ping_request: Notify,
 }
 
-/// The link has ended, or ended before the message was queued.
+/// The link was closed before the message was queued.
 #[derive(Debug)]
 pub(super) struct LinkClosed;
 
@@ -73,7 +73,7 @@
         *self.closed_sender.borrow()
     }
 
-    /// Fails everything that waits for an answer on this link.
+    /// Marks the link as closed and fails all requests that await a reply on it.
     pub(super) fn close(&self) {
         self.closed_sender.send_replace(true);
         self.pending().clear();
@@ -83,12 +83,12 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes out who waits for a message; nobody, if it is late, doubled or made up.
+    /// Removes and returns the entry for a reply. Returns `None` if the reply is late, duplicate or made up.
     pub(super) fn take_pending(&self, id: CorrelationId) -> Option<PendingReply> {
         self.pending().remove(&id)
     }
 
-    /// Sends a request, once, and waits for its answer.
+    /// Sends a request once and waits for its reply.
     pub(super) async fn send_request(self: &Arc<Link>, request: &GateRequest) -> ReplyWithLoad {
         let id = CorrelationId(rand::random());
         let (sender, receiver) = oneshot::channel();
@@ -117,6 +117,7 @@
         }
     }
 
+    /// Sends the records of a handover. Returns whether the peer has imported them.
     pub(super) async fn hand_over(self: &Arc<Link>, handover: &Handover) -> bool {
         let id = CorrelationId(rand::random());
         let (sender, receiver) = oneshot::channel();
@@ -168,12 +169,13 @@
     }
 }
 
-/// How much of a body goes into the head frame.
+/// Returns how many bytes of a body go into the head frame.
 pub(super) fn first_len(body: &Bytes) -> usize {
     body.len().min(CHUNK_BYTES_MAX)
 }
 
-/// A place in the table of those who wait. Dropped undone, it cancels the request at the peer.
+/// An entry in the table of pending replies. If dropped before the reply has arrived, it cancels the request
+/// at the peer.
 struct PendingGuard {
     link: Arc<Link>,
     id: CorrelationId,
@@ -185,7 +187,7 @@
     fn new(link: Arc<Link>, id: CorrelationId, pending: PendingReply) -> PendingGuard {
         {
             let mut table = link.pending();
-            // Checked under the lock: `end` clears the table after setting it.
+            // Checked under the lock, since `close` marks the link as closed before it clears the table.
             if !link.is_closed() {
                 table.insert(id, pending);
             }
@@ -201,7 +203,7 @@
         }
         self.link.take_pending(self.id);
         let cancel = QueuedFrame::new(&Frame::Cancel(self.id), None);
-        // If the queue is full the peer's own deadline ends the request.
+        // If the queue is full, the deadline at the peer ends the request.
         drop(self.link.senders.small.try_send(cancel));
     }
 }
--- a/crates/agent/src/links/traffic/mod.rs
+++ b/crates/agent/src/links/traffic/mod.rs
@@ -39,18 +39,19 @@
 
 pub(crate) use assembly::Handover;
 
-/// How long a peer that could not be reached is not dialled again.
+/// Time for which a peer that could not be reached is not dialled again.
 const REDIAL_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(500);
 
-/// A request of a peer on its way to its reply.
+/// The pending reply to a peer's request.
 pub(crate) type ReplyFuture = Pin<Box<dyn Future<Output = ReplyWithLoad> + Send>>;
 
-/// Takes what peers send.
+/// Handles requests and records received from peers.
 pub(crate) trait Handler: Send + Sync {
-    /// Takes a request to its end; dropping the future cancels it.
+    /// Runs a request. Dropping the future cancels it.
     fn request(&self, from: &Instance, request: GateRequest) -> ReplyFuture;
-    /// Takes over records; false: they can't be used.
+    /// Imports records from a handover. Returns false if they cannot be used.
     fn records(&self, from: &Instance, handover: Handover) -> bool;
 }
 
@@ -66,15 +67,17 @@
     peers: Mutex<HashMap<SocketAddr, Peer>>,
 }
 
+/// The state of the link with a peer.
 enum Peer {
     Connected(Arc<Link>),
-    /// Resolves, with an error, when the dialling has ended.
+    /// The receiver resolves, with an error, when the dial attempt has ended.
     Dialling(watch::Receiver<()>),
     Unreachable {
         since: Instant,
     },
 }
 
+/// The next step towards a link with a peer.
 enum NextStep {
     UseLink(Arc<Link>),
     WaitForDial(watch::Receiver<()>),
@@ -83,7 +86,7 @@
 }
 
 impl TrafficLinks {
-    /// Listens, and dials peers as requests for them come up.
+    /// Starts to listen; peers are dialled when there are requests for them.
     pub(crate) fn start(
         own: Instance,
         listener: TcpListener,
@@ -96,8 +99,8 @@
         TrafficLinks { shared }
     }
 
-    /// Asks a peer's gate. Resolves by the end of the request's remaining time; dropping the
-    /// future cancels the request there.
+    /// Sends a request to a peer's gate and waits for the reply, at most for the request's remaining time.
+    /// Dropping the future cancels the request at the peer.
     pub(crate) async fn send_request(
         &self,
         peer: &Instance,
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Hands records over; true once the peer has taken them.
+    /// Hands records over to a peer. Returns whether the peer has imported them.
     pub(crate) async fn hand_over(&self, peer: &Instance, handover: &Handover) -> bool {
         match self.link(peer).await {
             Some(link) => link.hand_over(handover).await,
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Makes a link ahead of the first request.
+    /// Establishes a link with a peer before the first request needs it.
     pub(crate) fn preconnect(&self, peer: &Instance) {
         if peer.traffic == self.shared.identity.own.traffic
             || matches!(self.shared.peers().get(&peer.traffic), Some(Peer::Connected(_)))
@@ -133,10 +136,11 @@
             match self.shared.next_step(peer) {
                 NextStep::UseLink(link) => return Some(link),
                 NextStep::Fail => return None,
-                // The error means that the dialling has ended.
+                // The error means that the dial attempt has ended.
                 NextStep::WaitForDial(mut dial_ended) => drop(dial_ended.changed().await),
                 NextStep::Dial(dial_ended) => {
-                    // Dialled in a task of its own: whoever waits first may give up.
+                    // Dialled in a separate task, since the request that started it may be cancelled while
+                    // others wait for the link.
                     let shared = Arc::clone(&self.shared);
                     let address = peer.traffic;
                     tokio::spawn(async move {
@@ -157,8 +161,8 @@
     fn next_step(&self, peer: &Instance) -> NextStep {
         let mut peers = self.peers();
         match peers.get(&peer.traffic) {
-            // Another life of the peer is there, so the one that is asked for is gone. Or it is the other
-            // way round, and that one has gone without hanging up: then it does not answer.
+            // The link is with another incarnation, so the requested one has probably ended. Or the linked
+            // one has ended without closing the connection, which the ping detects.
             Some(Peer::Connected(link)) if !link.is_closed() && link.peer != *peer => {
                 link.ping_request().notify_one();
                 NextStep::Fail
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Runs a link. It is used for requests unless there is one already.
+    /// Runs a link. Requests use it unless there is one already.
     fn run(self: &Arc<Shared>, established: EstablishedLink) {
         let EstablishedLink { peer, socket } = established;
         let (link, outbox) = Link::new(peer.clone());
@@ -185,14 +189,14 @@
                 _ => drop(peers.insert(peer.traffic, Peer::Connected(Arc::clone(&link)))),
             }
         }
-        log::debug!(target: "links", "Traffic link with {peer} is up.");
+        log::debug!(target: "links", "Established a traffic link with {peer}.");
         let inbox = TrafficInbox::new(Arc::clone(&link), Arc::clone(&self.handler));
         let shared = Arc::clone(self);
         tokio::spawn(async move {
             match socket::run(socket, outbox, inbox, link.ping_request()).await {
-                Ok(()) => log::debug!(target: "links", "Traffic link with {peer} has ended."),
+                Ok(()) => log::debug!(target: "links", "Closed the traffic link with {peer}."),
                 Err(error) => {
-                    log::warn!(target: "links", "Traffic link with {peer} ended: {error}.");
+                    log::warn!(target: "links", "Lost the traffic link with {peer}: {error}.");
                 }
             }
             link.close();
@@ -211,9 +215,9 @@
     match shared.identity.dial(address).await {
         Ok(link) if link.peer.traffic == address => return shared.run(link),
         Ok(link) => {
-            log::warn!(target: "links", "{} at {address} says it is at {}.", link.peer, link.peer.traffic);
+            log::warn!(target: "links", "Closed a traffic link: {} answered at {address} but announces the address {}.", link.peer, link.peer.traffic);
         }
-        Err(error) => log::debug!(target: "links", "No traffic link: {error}."),
+        Err(error) => log::debug!(target: "links", "Cannot establish a traffic link: {error}."),
     }
     let mut peers = shared.peers();
     if matches!(peers.get(&address), Some(Peer::Dialling(_))) {
@@ -226,7 +230,7 @@
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!(target: "links", "Accepting a traffic link failed: {error}.");
+                log::warn!(target: "links", "Cannot accept a traffic connection; retrying: {error}.");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -235,7 +239,7 @@
         tokio::spawn(async move {
             match shared.identity.accept(address, stream).await {
                 Ok(link) => shared.run(link),
-                Err(error) => log::warn!(target: "links", "Refused a traffic link: {error}."),
+                Err(error) => log::warn!(target: "links", "Rejected a traffic link: {error}."),
             }
         });
     }
--- a/crates/agent/src/links/traffic/outbox.rs
+++ b/crates/agent/src/links/traffic/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be written on a traffic link.
+//! The queues of frames to be written on a traffic link.
 
 use std::sync::{
     Arc,
@@ -10,18 +10,18 @@
 
 use crate::links::socket::{OutboundMessage, Outbox};
 
-/// How many small messages wait.
+/// Largest number of queued frames of small messages.
 const SMALL_QUEUE_MAX: usize = 1024;
-/// How many parts of large messages wait: little, so that they mix fairly.
+/// Largest number of queued frames of large messages. It is small so that large messages are interleaved fairly.
 const LARGE_QUEUE_MAX: usize = 4;
-/// How many small messages are written for each waiting part of a large one.
+/// Number of small messages written for each queued frame of a large one.
 const SMALL_FRAMES_PER_LARGE: u32 = 16;
 
-/// One frame to be written.
+/// A frame to be written.
 #[derive(Debug)]
 pub(super) struct QueuedFrame {
     pub(super) message: OutboundMessage,
-    /// Set when the frame is taken to be written: from then on it may have reached the peer.
+    /// Set when the frame is dequeued for writing. From then on it may have reached the peer.
     pub(super) written: Option<Arc<AtomicBool>>,
 }
 
@@ -33,14 +33,15 @@
     }
 }
 
-/// The sending ends. Messages in one frame and those in many go apart, each in order.
+/// The sending ends of the queues. Messages of one frame and those of several are queued separately, each in
+/// order.
 #[derive(Debug)]
 pub(super) struct Senders {
     pub(super) small: mpsc::Sender<QueuedFrame>,
     pub(super) large: mpsc::Sender<QueuedFrame>,
 }
 
-/// The receiving end of a link's writer.
+/// The receiving ends of the queues, from which a link's writer takes frames.
 #[derive(Debug)]
 pub(crate) struct TrafficOutbox {
     small: mpsc::Receiver<QueuedFrame>,
@@ -56,6 +57,7 @@
     (Senders { small, large }, outbox)
 }
 
+/// Marks a frame as written and returns its message.
 fn mark_written(queued: QueuedFrame) -> OutboundMessage {
     if let Some(written) = queued.written {
         written.store(true, Ordering::SeqCst);
--- a/crates/agent/src/links/traffic/serve.rs
+++ b/crates/agent/src/links/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of a peer that this side works on.
+//! Runs the requests received from a peer.
 
 use std::{
     collections::HashMap,
@@ -18,7 +18,7 @@
     request::{GateReply, ReplyWithLoad, headers_to_wire},
 };
 
-/// Running requests of one link.
+/// The tasks of one link's running requests.
 #[derive(Debug, Default)]
 pub(super) struct RunningRequests(Mutex<HashMap<CorrelationId, AbortHandle>>);
 
@@ -27,7 +27,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends the reply when it comes. Cancelling drops the request on its way.
+    /// Spawns a task that runs a request and sends its reply. Cancelling the request aborts the task.
     pub(super) fn start(
         self: &Arc<RunningRequests>,
         link: &Arc<Link>,
@@ -76,7 +76,7 @@
             let reason = match outcome {
                 Outcome::NotRun(reason) => Reason::NotRun(reason),
                 Outcome::Unknown(reason) => Reason::Unknown(reason),
-                Outcome::Answered => unreachable!("an answer has its own reply"),
+                Outcome::Answered => unreachable!("an answered request has the reply `Answered`"),
             };
             let retry_after_ms =
                 retry_after.map(|it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
@@ -86,6 +86,6 @@
             (Frame::NotOwner(NotOwner { id, owner, route_version }), Bytes::new())
         }
     };
-    // A link that has ended fails the request at the other side.
+    // If the link is closed, the peer fails the request by itself.
     drop(link.send(head, id, &body, first_len(&body), None).await);
 }
