--- a/crates/agent/src/links/tests.rs
+++ b/crates/agent/src/links/tests.rs
@@ -15,7 +15,7 @@
     handshake::{EstablishedLink, LinkIdentity, MESSAGE_BYTES_MAX},
 };
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const SECRET: &[u8] = b"a secret of all agents";
 
 fn instance(name: &str, incarnation: u64, control: SocketAddr) -> Instance {
@@ -42,14 +42,14 @@
         Node { own, links, events }
     }
 
-    async fn hears(&mut self, from: &Instance, payload: &[u8]) {
-        let event = timeout(PATIENCE, self.events.recv()).await.unwrap().unwrap();
-        let ControlEvent::Message { from: sender, payload: heard } = event;
-        assert_eq!((&sender, &heard[..]), (from, payload));
+    async fn expect_message(&mut self, from: &Instance, payload: &[u8]) {
+        let event = timeout(WAIT_TIMEOUT, self.events.recv()).await.unwrap().unwrap();
+        let ControlEvent::Message { from: sender, payload: received } = event;
+        assert_eq!((&sender, &received[..]), (from, payload));
     }
 
-    /// A link of a peer that the test plays.
-    async fn dialled(&self, secret: &[u8]) -> Option<EstablishedLink> {
+    /// Establishes a link with this node from a peer that the test simulates.
+    async fn dial_as_peer(&self, secret: &[u8]) -> Option<EstablishedLink> {
         let own = instance("peer", 9, SocketAddr::from(([127, 0, 0, 1], 9)));
         let identity = LinkIdentity { own, kind: LinkKind::Control, key: LinkKey::new(secret) };
         identity.dial(self.own.control).await.ok()
@@ -57,91 +57,96 @@
 }
 
 #[tokio::test]
-async fn messages_go_both_ways_in_order() {
+async fn messages_are_delivered_in_both_directions_in_order() {
     let (mut a, mut b) = (Node::start("a", SECRET).await, Node::start("b", SECRET).await);
     a.links.send(&b.own, b"one".to_vec());
     a.links.send_to_address(b.own.control, b"two".to_vec());
-    b.hears(&a.own, b"one").await;
-    b.hears(&a.own, b"two").await;
+    b.expect_message(&a.own, b"one").await;
+    b.expect_message(&a.own, b"two").await;
     b.links.send(&a.own, b"three".to_vec());
-    a.hears(&b.own, b"three").await;
+    a.expect_message(&b.own, b"three").await;
 }
 
 #[tokio::test]
-async fn message_for_another_life_is_dropped() {
+async fn message_for_another_incarnation_is_dropped() {
     let (a, mut b) = (Node::start("a", SECRET).await, Node::start("b", SECRET).await);
-    let former = Instance { incarnation: Incarnation(77), ..b.own.clone() };
-    a.links.send(&former, b"for the former one".to_vec());
-    a.links.send(&b.own, b"for this one".to_vec());
-    b.hears(&a.own, b"for this one").await;
+    let previous = Instance { incarnation: Incarnation(77), ..b.own.clone() };
+    a.links.send(&previous, b"for the previous incarnation".to_vec());
+    a.links.send(&b.own, b"for this incarnation".to_vec());
+    b.expect_message(&a.own, b"for this incarnation").await;
 }
 
-/// A process goes silent without hanging up, and another life listens at its address. What is sent to that
-/// one must not be swallowed by the link to the silent one, on which nothing is ever written.
+/// A process stops responding without closing its connection, and another incarnation listens at its address.
+/// Messages for the latter must not be lost on the link to the former, on which nothing is ever written.
 #[tokio::test]
-async fn another_life_at_the_address_of_a_silent_one_is_reached() {
+async fn new_incarnation_at_the_address_of_an_unresponsive_one_is_reached() {
     let mut a = Node::start("a", SECRET).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let silent = instance("b", 1, address);
-    let identity =
-        LinkIdentity { own: silent.clone(), kind: LinkKind::Control, key: LinkKey::new(SECRET) };
-    a.links.send(&silent, b"before".to_vec());
-    let (stream, peer) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
+    let unresponsive = instance("b", 1, address);
+    let identity = LinkIdentity {
+        own: unresponsive.clone(),
+        kind: LinkKind::Control,
+        key: LinkKey::new(SECRET),
+    };
+    a.links.send(&unresponsive, b"before".to_vec());
+    let (stream, peer) = timeout(WAIT_TIMEOUT, listener.accept()).await.unwrap().unwrap();
     let mut held = identity.accept(peer, stream).await.unwrap().socket;
-    timeout(PATIENCE, held.next()).await.unwrap().unwrap().unwrap();
-    // It answers what it has got, so nothing is owed. Then it is held open and never read again.
+    timeout(WAIT_TIMEOUT, held.next()).await.unwrap().unwrap().unwrap();
+    // The peer responds once, so no ping is due. Then the socket stays open and is never read again.
     let answer = HeadEncoder::default().encode(b"still here", 10);
     held.send(Message::Binary(answer.into())).await.unwrap();
-    a.hears(&silent, b"still here").await;
+    a.expect_message(&unresponsive, b"still here").await;
     let own = instance("c", 2, address);
     let (links, events) = ControlLinks::start(own.clone(), listener, LinkKey::new(SECRET));
-    let mut later = Node { own, links, events };
+    let mut successor = Node { own, links, events };
     let resend = async {
         loop {
-            a.links.send(&later.own, b"for the later one".to_vec());
+            a.links.send(&successor.own, b"for the successor".to_vec());
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let heard = timeout(PATIENCE, later.events.recv());
+    let received = timeout(WAIT_TIMEOUT, successor.events.recv());
     tokio::select! {
-        () = resend => unreachable!("it goes on for ever"),
-        event = heard => assert!(event.expect("nothing came").is_some()),
+        () = resend => unreachable!("sending never ends"),
+        event = received => assert!(event.expect("no message arrived").is_some()),
     }
 }
 
 #[tokio::test]
 async fn peer_without_the_key_gets_no_link() {
     let (a, mut b) = (Node::start("a", b"some other secret").await, Node::start("b", SECRET).await);
-    assert!(b.dialled(b"some other secret").await.is_none());
+    assert!(b.dial_as_peer(b"some other secret").await.is_none());
     a.links.send(&b.own, b"let me in".to_vec());
     let c = Node::start("c", SECRET).await;
     c.links.send(&b.own, b"hello".to_vec());
-    b.hears(&c.own, b"hello").await;
+    b.expect_message(&c.own, b"hello").await;
     assert!(b.events.try_recv().is_err());
 }
 
-/// Whatever a peer sends ends its own link at the most.
-async fn check_ends_own_link_only(message: Message) {
+/// Sends a message that closes the sender's link, and checks that other links stay usable.
+async fn check_closes_only_own_link(message: Message) {
     let (mut a, b) = (Node::start("a", SECRET).await, Node::start("b", SECRET).await);
     b.links.send(&a.own, b"before".to_vec());
-    a.hears(&b.own, b"before").await;
-    let mut bad = a.dialled(SECRET).await.unwrap().socket;
-    // The other side may hang up before all of it is sent.
+    a.expect_message(&b.own, b"before").await;
+    let mut bad = a.dial_as_peer(SECRET).await.unwrap().socket;
+    // The other side may close the connection before the message is sent in full.
     _ = bad.send(message).await;
-    while let Some(Ok(_)) = timeout(PATIENCE, bad.next()).await.expect("the link ends") {}
+    while let Some(Ok(_)) =
+        timeout(WAIT_TIMEOUT, bad.next()).await.expect("the link was not closed in time")
+    {}
     b.links.send(&a.own, b"after".to_vec());
-    a.hears(&b.own, b"after").await;
+    a.expect_message(&b.own, b"after").await;
 }
 
 #[tokio::test]
-async fn text_ends_the_link() {
-    check_ends_own_link_only(Message::text("hello")).await;
+async fn text_message_closes_the_link() {
+    check_closes_only_own_link(Message::text("hello")).await;
 }
 
 #[tokio::test]
-async fn oversized_message_ends_the_link() {
-    check_ends_own_link_only(Message::Binary(vec![0; MESSAGE_BYTES_MAX + 1].into())).await;
+async fn oversized_message_closes_the_link() {
+    check_closes_only_own_link(Message::Binary(vec![0; MESSAGE_BYTES_MAX + 1].into())).await;
 }
 
 #[tokio::test]
@@ -153,14 +158,16 @@
 }
 
 #[tokio::test]
-async fn noise_is_refused() {
+async fn invalid_handshake_bytes_are_refused() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (mut a, b) = (Node::start("a", SECRET).await, Node::start("b", SECRET).await);
     let mut stream = TcpStream::connect(a.own.control).await.unwrap();
     stream.write_all(b"\x00\xff\r\n\r\n\r\n\r\n").await.unwrap();
     let mut rest = Vec::new();
-    // Either an error or the end.
-    _ = timeout(PATIENCE, stream.read_to_end(&mut rest)).await.expect("the link ends");
+    // Reading ends with an error or at the end of the stream.
+    _ = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut rest))
+        .await
+        .expect("the link was not closed in time");
     b.links.send(&a.own, b"after".to_vec());
-    a.hears(&b.own, b"after").await;
+    a.expect_message(&b.own, b"after").await;
 }
--- a/crates/agent/src/links/traffic/tests.rs
+++ b/crates/agent/src/links/traffic/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn large_messages_neither_starve_nor_are_starved() {
+fn small_and_large_messages_do_not_starve_each_other() {
     let (senders, mut outbox) = channel();
     for _ in 0..100 {
         senders.small.try_send(queued_frame("s")).unwrap();
@@ -37,11 +37,14 @@
     for _ in 0..4 {
         senders.large.try_send(queued_frame("L")).unwrap();
     }
-    assert!(senders.large.try_send(queued_frame("L")).is_err(), "large messages wait for room");
+    assert!(
+        senders.large.try_send(queued_frame("L")).is_err(),
+        "the queue for large messages is bounded"
+    );
     let order: Vec<Bytes> = std::iter::from_fn(|| outbox.try_next().map(|it| it.bytes)).collect();
     let order = String::from_utf8(order.concat()).unwrap();
-    let runs: Vec<usize> = order.split('L').map(str::len).collect();
-    assert_eq!(runs, [16, 16, 16, 16, 36], "{order}");
+    let small_counts: Vec<usize> = order.split('L').map(str::len).collect();
+    assert_eq!(small_counts, [16, 16, 16, 16, 36], "{order}");
 }
 
 fn answer(body_len: u64, first: &'static [u8]) -> Progress {
@@ -57,35 +60,35 @@
     }
 }
 
-/// Adds parts to the head of a body of eight bytes whose first four have come.
-fn check_parts(parts: &[(u64, &'static [u8])], expected: Option<&[u8]>) {
+/// Adds chunks to a body of eight bytes whose head contains the first four.
+fn check_chunks(added_chunks: &[(u64, &'static [u8])], expected: Option<&[u8]>) {
     let mut progress = answer(8, b"1234");
-    for (offset, data) in parts {
+    for (offset, data) in added_chunks {
         let chunk = Chunk { id: ID, offset: *offset, data: Bytes::from_static(data) };
         progress = match progress {
             Progress::Partial(assembly) => assembly.add(&chunk),
-            ended => ended,
+            other => other,
         };
     }
     match (progress, expected) {
         (Progress::Complete(Head::Answer(answer)), Some(body)) => assert_eq!(answer.body, body),
         (Progress::Broken(_), None) => {}
-        (other, _) => panic!("{parts:?}: {other:?}"),
+        (other, _) => panic!("{added_chunks:?}: {other:?}"),
     }
 }
 
 #[test]
-fn parts_make_a_whole_in_order_only() {
-    check_parts(&[(4, b"56"), (6, b"78")], Some(b"12345678"));
-    check_parts(&[(4, b"5678")], Some(b"12345678"));
-    check_parts(&[(6, b"78"), (4, b"56")], None);
-    check_parts(&[(4, b"56"), (4, b"56")], None);
-    check_parts(&[(4, b"56789")], None);
-    check_parts(&[(0, b"12")], None);
+fn body_is_complete_only_if_its_chunks_are_in_order() {
+    check_chunks(&[(4, b"56"), (6, b"78")], Some(b"12345678"));
+    check_chunks(&[(4, b"5678")], Some(b"12345678"));
+    check_chunks(&[(6, b"78"), (4, b"56")], None);
+    check_chunks(&[(4, b"56"), (4, b"56")], None);
+    check_chunks(&[(4, b"56789")], None);
+    check_chunks(&[(0, b"12")], None);
 }
 
 #[test]
-fn body_survives_being_cut_up() {
+fn body_split_into_chunks_is_assembled_unchanged() {
     let body: Bytes = (0..200_000_u32).map(|it| (it / 3) as u8).collect::<Vec<u8>>().into();
     let first_len = 65_536;
     let head = Answer {
@@ -105,10 +108,10 @@
     assert!(answer.body == body);
 }
 
-/// Nobody is asked anything here.
-struct Unasked;
+/// A handler for links on which no request is sent.
+struct UnusedHandler;
 
-impl Handler for Unasked {
+impl Handler for UnusedHandler {
     fn request(&self, _from: &Instance, _request: GateRequest) -> ReplyFuture {
         unreachable!("no request is sent")
     }
@@ -128,35 +131,38 @@
     }
 }
 
-/// A process goes silent without hanging up while nothing is asked of it, and another life listens at
-/// its address. That one must be reached, though the link to the silent one still stands.
+/// An idle process stops responding without closing its connection, and another incarnation listens at its
+/// address. The latter must be reached although the link to the former is still open.
 #[tokio::test]
-async fn another_life_at_the_address_of_a_silent_one_is_reached() {
+async fn new_incarnation_at_the_address_of_an_unresponsive_one_is_reached() {
     let key = || LinkKey::new(b"a secret of all agents");
     let bind = || TcpListener::bind("127.0.0.1:0");
     let own_listener = bind().await.unwrap();
     let own = instance("a", 1, own_listener.local_addr().unwrap());
-    let links = TrafficLinks::start(own, own_listener, key(), Arc::new(Unasked));
+    let links = TrafficLinks::start(own, own_listener, key(), Arc::new(UnusedHandler));
     let listener = bind().await.unwrap();
     let address = listener.local_addr().unwrap();
-    let silent = instance("b", 1, address);
-    let identity = LinkIdentity { own: silent.clone(), kind: LinkKind::Traffic, key: key() };
+    let unresponsive = instance("b", 1, address);
+    let identity = LinkIdentity { own: unresponsive.clone(), kind: LinkKind::Traffic, key: key() };
     let (accepted, link) = tokio::join!(
         async {
             let (stream, peer) = listener.accept().await.unwrap();
             identity.accept(peer, stream).await.unwrap()
         },
-        links.link(&silent)
+        links.link(&unresponsive)
     );
     assert!(link.is_some());
-    // Held open, and never read again.
+    // The socket stays open and is never read again.
     let _held = accepted.socket;
-    let later = instance("c", 2, address);
-    let _later_links = TrafficLinks::start(later.clone(), listener, key(), Arc::new(Unasked));
-    let reached = async {
-        while links.link(&later).await.is_none() {
+    let successor = instance("c", 2, address);
+    let _later_links =
+        TrafficLinks::start(successor.clone(), listener, key(), Arc::new(UnusedHandler));
+    let connected = async {
+        while links.link(&successor).await.is_none() {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(Duration::from_secs(20), reached).await.expect("the later life is not reached");
+    timeout(Duration::from_secs(20), connected)
+        .await
+        .expect("the new incarnation was not reached in time");
 }
