--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode, request::Parts};
 use ownership::UpstreamState;
 use tokio::net::TcpListener;
-use upstream::{Announced, HealthState, HeldKeys, KeysToHold};
+use upstream::{AnnouncedKeys, AnnouncementBody, AssignedKeys, HealthState};
 use volo::{Service, net::incoming::DefaultIncoming};
 use volo_http::{
     body::Body, context::ServerContext, request::Request, response::Response, server::Server,
@@ -32,7 +32,7 @@
         clock_ms: Option<u64>,
         /// The keys that the upstream holds and has released, if it is granted keys in the responses to its
         /// announcements.
-        keys: Option<HeldKeys>,
+        keys: Option<AnnouncedKeys>,
     },
     /// The upstream is stopping and will not announce itself again.
     Leaving {
@@ -50,9 +50,9 @@
     fn keys_to_hold(
         &self,
         announcement: Announcement,
-        held: HeldKeys,
+        held: AnnouncedKeys,
         ranges_max: usize,
-    ) -> Pin<Box<dyn Future<Output = Option<KeysToHold>> + Send + '_>>;
+    ) -> Pin<Box<dyn Future<Output = Option<AssignedKeys>> + Send + '_>>;
 }
 
 /// The format in which the local upstream announces itself.
@@ -63,7 +63,7 @@
     fn read(&self, head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)>;
     /// Builds the response to an accepted announcement, with the keys that the upstream is to hold if there
     /// are any to list.
-    fn acknowledge(&self, keys: Option<&KeysToHold>) -> Response;
+    fn acknowledge(&self, keys: Option<&AssignedKeys>) -> Response;
     /// Returns the largest number of key ranges that fit into a response.
     fn ranges_max(&self) -> usize;
 }
@@ -106,7 +106,7 @@
 
     /// Reports the message to control. Resolves to the keys that the upstream is to hold, if the response is
     /// to list them.
-    async fn forward_to_control(&self, message: UpstreamMessage) -> Option<KeysToHold> {
+    async fn forward_to_control(&self, message: UpstreamMessage) -> Option<AssignedKeys> {
         match message {
             UpstreamMessage::Announced { announcement, clock_ms, keys } => {
                 self.upstream_clock.update(clock_ms, self.clock.now());
@@ -173,7 +173,7 @@
                 refuse(StatusCode::METHOD_NOT_ALLOWED, "an announcement must be sent by POST")
             }
             _ => {
-                let announced: Announced = serde_json::from_slice(body)
+                let announced: AnnouncementBody = serde_json::from_slice(body)
                     .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
                 let clock_ms = announced.clock_ms;
                 Ok(UpstreamMessage::Announced {
@@ -185,7 +185,7 @@
         }
     }
 
-    fn acknowledge(&self, _keys: Option<&KeysToHold>) -> Response {
+    fn acknowledge(&self, _keys: Option<&AssignedKeys>) -> Response {
         Response::new(Body::from(String::new()))
     }
 
@@ -195,8 +195,8 @@
     }
 }
 
-impl From<Announced> for Announcement {
-    fn from(announced: Announced) -> Announcement {
+impl From<AnnouncementBody> for Announcement {
+    fn from(announced: AnnouncementBody) -> Announcement {
         Announcement {
             service: announced.service,
             address: announced.address,
--- a/crates/agent/src/ingress/destination.rs
+++ b/crates/agent/src/ingress/destination.rs
@@ -153,5 +153,5 @@
 }
 
 fn ordered_key_hash(keys: OrderedKeys, key: &[u8]) -> Option<KeyHash> {
-    keys.place(std::str::from_utf8(key).ok()?.parse().ok()?)
+    keys.hash_of(std::str::from_utf8(key).ok()?.parse().ok()?)
 }
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -11,7 +11,7 @@
 use upstream::Answer;
 use wire::{
     CodecError,
-    traffic::{self as frames, CorrelationId, GateLoad, Header, Reason},
+    traffic::{self as frames, CorrelationId, FailureReason, GateLoad, Header},
 };
 
 /// A request to be run at a gate.
@@ -39,7 +39,7 @@
     /// deadline.
     pub(crate) objective: Option<Duration>,
     /// Whether the caller appears to send the request again after a refusal.
-    pub(crate) is_caller_retry: bool,
+    pub(crate) is_retry_after_refusal: bool,
     /// The largest number of upstreams that the request may be sent to; enforced at ingress.
     pub(crate) upstream_attempts_max: u8,
     /// Version of the service's document that ingress used.
@@ -141,7 +141,7 @@
             held_us: whole_us(self.time_at_ingress),
             kind: self.kind,
             objective_us: self.objective.map(whole_us),
-            has_come_back: self.is_caller_retry,
+            is_retry_after_refusal: self.is_retry_after_refusal,
             config: self.config_version,
             method: self.method.as_str().to_owned(),
             path: self.path.as_str().to_owned(),
@@ -170,7 +170,7 @@
             upstream_attempts_max: 1,
             kind: raw.kind,
             objective: raw.objective_us.map(Duration::from_micros),
-            is_caller_retry: raw.has_come_back,
+            is_retry_after_refusal: raw.is_retry_after_refusal,
             config_version: raw.config,
             method: Method::from_bytes(raw.method.as_bytes())
                 .map_err(|error| invalid("method", error.to_string()))?,
@@ -196,8 +196,8 @@
 impl From<frames::Failed> for GateReply {
     fn from(raw: frames::Failed) -> GateReply {
         let outcome = match raw.reason {
-            Reason::NotRun(reason) => Outcome::NotRun(reason),
-            Reason::Unknown(reason) => Outcome::Unknown(reason),
+            FailureReason::NotRun(reason) => Outcome::NotRun(reason),
+            FailureReason::Unknown(reason) => Outcome::Unknown(reason),
         };
         GateReply::Failed { outcome, retry_after: raw.retry_after_ms.map(Duration::from_millis) }
     }
--- a/crates/agent/src/zones/mod.rs
+++ b/crates/agent/src/zones/mod.rs
@@ -24,10 +24,10 @@
 /// Zones are closed a few times a year, so most watches end without a change, and they are long. A closed zone
 /// must take effect within seconds even after an outage of the store, so the pauses after failures are short.
 const FOLLOWER_TIMES: FollowerTimes = FollowerTimes {
-    wait: Duration::from_secs(29),
-    call_every_min: Duration::from_millis(50),
-    pause: Duration::from_millis(100),
-    pause_max: Duration::from_millis(1_000),
+    watch_wait: Duration::from_secs(29),
+    call_interval_min: Duration::from_millis(50),
+    retry_delay_min: Duration::from_millis(100),
+    retry_delay_max: Duration::from_millis(1_000),
 };
 
 /// A zone that a change in the store closes or opens.
@@ -44,9 +44,9 @@
     read: impl Fn(&Change) -> Option<ZoneChange>,
     closed: watch::Sender<ClosedZones>,
 ) {
-    let mut follower = Follower::new(store, prefix, FOLLOWER_TIMES).from_an_aged_list();
+    let mut follower = Follower::new(store, prefix, FOLLOWER_TIMES).with_maybe_stale_first_list();
     loop {
-        let changes = follower.next_after_failures("The list of closed zones").await;
+        let changes = follower.next_with_retries("The list of closed zones").await;
         changes.iter().filter_map(&read).for_each(|it| apply(it, &closed));
     }
 }
