--- a/crates/agent/src/request_log/mod.rs
+++ b/crates/agent/src/request_log/mod.rs
@@ -1,8 +1,8 @@
-//! Log lines about requests: what was decided, and what it rested on.
+//! Log lines about requests: the decisions, and the data they are based on.
 //!
-//! All lines about a request carry its id, at whichever instance they are written, so the logs of
-//! several instances read as one. Ends that a caller may ask about are written at `info`, the others
-//! at `debug`; each kind has its bound.
+//! All lines about a request contain its id, on every instance, so that the logs of several instances can be
+//! merged. Failures and late answers are logged at `info`, other outcomes at `debug`. The lines of ingress and
+//! those of the gate have separate rate limits.
 
 use std::{fmt, time::Duration};
 
@@ -18,15 +18,15 @@
     request::{GateReply, GateRequest},
 };
 
-/// The target of these lines, for filters.
+/// Log target of these lines, for filters.
 const TARGET: &str = "requests";
-/// In the long run, for each kind of line. At 400 bytes a line that is 8 KB/s, less than half of
-/// what control may send and write on an instance.
+/// Long-term rate limit, separate for ingress and gate. At 400 bytes a line this is 8 KB/s, less than half of
+/// the volume that control may send and write on an instance.
 const LINES_PER_S: f64 = 20.0;
-/// The first of a burst are the ones that tell its cause.
-const LINES_AT_ONCE: f64 = 100.0;
+/// Lines that may be logged at once, since the first lines of a burst show its cause.
+const BURST_LINES: f64 = 100.0;
 
-/// Writes the lines of one agent.
+/// Logs the requests of one agent.
 #[derive(Debug)]
 pub(crate) struct RequestLog {
     clock: Clock,
@@ -34,34 +34,34 @@
     gate: LineRate,
 }
 
-/// A request on its way from the ingress to a gate. Dropped before its end, its caller has left.
+/// A request at ingress whose end is logged. If it is dropped before it has ended, its caller has left.
 #[derive(Debug)]
 pub(crate) struct LoggedRequest<'a> {
     log: &'a RequestLog,
     pub(crate) request: GateRequest,
     pub(crate) placement: Placement,
     started: Timestamp,
-    /// Until when an answer is of full use to the caller; none: up to the deadline.
+    /// Time until which an answer is of full use to the caller. `None` if that is the deadline.
     pub(crate) useful_until: Option<Timestamp>,
     has_ended: bool,
 }
 
-/// How a request has been placed so far.
+/// The gates that a request was sent to, and the data by which they were selected.
 #[derive(Debug, Default)]
 pub(crate) struct Placement {
-    /// Gates that were asked.
+    /// Number of attempts, each at one gate.
     pub(crate) attempts: u64,
-    /// The last of them.
+    /// The instance of the last attempt.
     pub(crate) sent_to: Option<Instance>,
-    /// What that one was weighed by; none: there was no choice, or gates do not tell their loads.
+    /// The comparison that selected that instance. `None` if there was no choice or gates do not report loads.
     pub(crate) comparison: Option<TargetComparison>,
-    /// Of the service's document that it was placed by.
+    /// Version of the service's document used for the last attempt.
     pub(crate) config_version: Option<ConfigVersion>,
-    /// Of the routes that it was placed by; zero where any member may take it.
+    /// Version of the routes used for the last attempt; zero if any member may run the request.
     pub(crate) route_version: u64,
 }
 
-/// What a gate knew when it replied.
+/// The state of a gate when it replied.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct GateState {
     pub(crate) config_version: Option<ConfigVersion>,
@@ -71,12 +71,12 @@
 
 impl RequestLog {
     pub(crate) fn new(clock: Clock) -> RequestLog {
-        let rate = || LineRate::new(LINES_PER_S, LINES_AT_ONCE);
+        let rate = || LineRate::new(LINES_PER_S, BURST_LINES);
         RequestLog { clock, ingress: rate(), gate: rate() }
     }
 
-    /// A request that goes nowhere: its head or its body is not as it has to be. One whose head can't be
-    /// read has no id; zero stands for it.
+    /// Logs a request that ingress refused because of its head or body. `id` is `None` if the head could not be
+    /// read; the line then has the id zero.
     pub(crate) fn log_refusal(&self, id: Option<RequestId>, refusal: &Refusal) {
         let Some(left_out) = self.ingress.take(self.clock.now()) else { return };
         log::info!(
@@ -88,7 +88,7 @@
         );
     }
 
-    /// A request sets out from the ingress.
+    /// Starts to track a request that ingress forwards.
     pub(crate) fn start(&self, request: GateRequest) -> LoggedRequest<'_> {
         let started = self.clock.now();
         let useful_until = request.objective.map(|it| started + it);
@@ -96,12 +96,12 @@
         LoggedRequest { log: self, request, placement, started, useful_until, has_ended: false }
     }
 
-    /// The final answer of a request at the ingress.
-    fn ended(&self, logged: &LoggedRequest<'_>, ending: &FinalReply) {
+    /// Logs the final reply to a request at ingress.
+    fn log_end(&self, logged: &LoggedRequest<'_>, final_reply: &FinalReply) {
         let LoggedRequest { request, placement, .. } = logged;
         let now = self.clock.now();
         let is_late = logged.useful_until.is_some_and(|it| it < now);
-        let level = match failed(&ending.reply) || is_late {
+        let level = match is_failure(&final_reply.reply) || is_late {
             true => Level::Info,
             false => Level::Debug,
         };
@@ -118,17 +118,17 @@
             key:% = Key(request),
             content:% = request.fingerprint,
             idempotent = request.idempotent,
-            outcome:% = ending.reply.outcome(),
-            status:% = Status(&ending.reply),
-            sent_to:% = Named(placement.sent_to.as_ref()),
+            outcome:% = final_reply.reply.outcome(),
+            status:% = Status(&final_reply.reply),
+            sent_to:% = InstanceOrNobody(placement.sent_to.as_ref()),
             tries = placement.attempts,
             weighed = placement.comparison.as_ref().map_or(0, |it| it.targets),
             expected_ms = whole_ms(placement.comparison.as_ref().map_or(Duration::ZERO, |it| it.expected_latency)),
-            load_age_ms:% = LoadAge(placement.comparison.as_ref()),
+            load_age_ms:% = LoadAgeMs(placement.comparison.as_ref()),
             next_best:% = NextBest(placement.comparison.as_ref()),
             spent_ms = whole_ms(now.since(logged.started)),
             is_late,
-            come_back_ms = whole_ms(ending.retry_after.unwrap_or_default()),
+            come_back_ms = whole_ms(final_reply.retry_after.unwrap_or_default()),
             config = placement.config_version.unwrap_or_default().0,
             routes = placement.route_version,
             left_out;
@@ -136,8 +136,8 @@
         );
     }
 
-    /// The caller went away before the end.
-    fn abandoned(&self, logged: &LoggedRequest<'_>) {
+    /// Logs a request whose caller left before the end.
+    fn log_abandoned(&self, logged: &LoggedRequest<'_>) {
         let LoggedRequest { request, placement, .. } = logged;
         let now = self.clock.now();
         let Some(left_out) = self.ingress.take(now) else { return };
@@ -148,7 +148,7 @@
             class:% = request.class,
             key:% = Key(request),
             content:% = request.fingerprint,
-            sent_to:% = Named(placement.sent_to.as_ref()),
+            sent_to:% = InstanceOrNobody(placement.sent_to.as_ref()),
             tries = placement.attempts,
             spent_ms = whole_ms(now.since(logged.started)),
             config = placement.config_version.unwrap_or_default().0,
@@ -158,11 +158,11 @@
         );
     }
 
-    /// What the gate beside an upstream replied, unless it only named another owner.
+    /// Logs the reply of the local gate to a request.
     pub(crate) fn log_gate_reply(
         &self,
         request: &GateRequest,
-        came_at: Timestamp,
+        arrived_at: Timestamp,
         reply: &GateReply,
         state: GateState,
     ) {
@@ -184,8 +184,8 @@
             key:% = Key(request),
             content:% = request.fingerprint,
             outcome:% = reply.outcome(),
-            spent_ms = whole_ms(now.since(came_at)),
-            left_ms = whole_ms(request.remaining.saturating_sub(now.since(came_at))),
+            spent_ms = whole_ms(now.since(arrived_at)),
+            left_ms = whole_ms(request.remaining.saturating_sub(now.since(arrived_at))),
             running = state.running,
             queued = state.queued,
             config = state.config_version.unwrap_or_default().0,
@@ -197,29 +197,29 @@
 }
 
 impl LoggedRequest<'_> {
-    /// The request has its final answer.
-    pub(crate) fn end(mut self, ending: &FinalReply) {
+    /// Ends the request with its final reply.
+    pub(crate) fn end(mut self, final_reply: &FinalReply) {
         self.has_ended = true;
-        self.log.ended(&self, ending);
+        self.log.log_end(&self, final_reply);
     }
 }
 
 impl Drop for LoggedRequest<'_> {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.log.abandoned(self);
+            self.log.log_abandoned(self);
         }
     }
 }
 
-fn failed(reply: &GateReply) -> bool {
+fn is_failure(reply: &GateReply) -> bool {
     match reply {
         GateReply::Answered(answer) => answer.status.is_server_error(),
         GateReply::Failed { .. } | GateReply::NotOwner { .. } => true,
     }
 }
 
-/// The id as callers on both sides write it, in hexadecimal digits.
+/// Formats an id as callers write it, in hexadecimal digits.
 struct Id(RequestId);
 
 impl fmt::Display for Id {
@@ -228,6 +228,7 @@
     }
 }
 
+/// Formats the key's hash in hexadecimal digits.
 struct Key<'a>(&'a GateRequest);
 
 impl fmt::Display for Key<'_> {
@@ -239,9 +240,10 @@
     }
 }
 
-struct Named<'a>(Option<&'a Instance>);
+/// Formats an optional instance.
+struct InstanceOrNobody<'a>(Option<&'a Instance>);
 
-impl fmt::Display for Named<'_> {
+impl fmt::Display for InstanceOrNobody<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(instance) => instance.fmt(f),
@@ -250,10 +252,10 @@
     }
 }
 
-/// How old the word of the chosen gate was, in milliseconds.
-struct LoadAge<'a>(Option<&'a TargetComparison>);
+/// Formats the age of the selected gate's load report, in milliseconds.
+struct LoadAgeMs<'a>(Option<&'a TargetComparison>);
 
-impl fmt::Display for LoadAge<'_> {
+impl fmt::Display for LoadAgeMs<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.and_then(|it| it.load_age) {
             Some(age) => write!(f, "{}", whole_ms(age)),
@@ -262,7 +264,7 @@
     }
 }
 
-/// The second best target, and what it was expected to take.
+/// Formats the second best target and its expected latency.
 struct NextBest<'a>(Option<&'a TargetComparison>);
 
 impl fmt::Display for NextBest<'_> {
@@ -274,6 +276,7 @@
     }
 }
 
+/// Formats the HTTP status of an answer.
 struct Status<'a>(&'a GateReply);
 
 impl fmt::Display for Status<'_> {
@@ -285,7 +288,7 @@
     }
 }
 
-/// In whole milliseconds.
+/// Converts to whole milliseconds.
 fn whole_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
