--- a/crates/agent/src/metrics/mod.rs
+++ b/crates/agent/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics for operators: histograms by tenant and class, counters by outcome.
+//! Metrics for operators: latency histograms by tenant and class, and counters by outcome.
 
 mod platform_calls;
 mod server;
@@ -15,8 +15,8 @@
 
 pub(crate) use server::serve;
 
-/// Bounds of the histograms, in seconds.
-const BUCKETS_S: [f64; 14] =
+/// Upper bounds of the histograms' buckets, in seconds.
+const BUCKET_BOUNDS_S: [f64; 14] =
     [0.0005, 0.001, 0.002, 0.004, 0.008, 0.015, 0.03, 0.06, 0.125, 0.25, 0.5, 1.0, 2.0, 5.0];
 
 /// The metrics of one agent.
@@ -35,23 +35,31 @@
         let registry = Registry::new();
         let labels = ["tenant", "class"];
         let histogram = |name: &str, help: &str| {
-            let opts = HistogramOpts::new(name, help).buckets(BUCKETS_S.to_vec());
+            let opts = HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS_S.to_vec());
             HistogramVec::new(opts, &labels)
         };
-        let request_s =
-            histogram("pomelohill_request_seconds", "Time from a caller's request to its answer.")?;
-        let upstream_s =
-            histogram("pomelohill_upstream_seconds", "Time a request spent at the upstream.")?;
+        let request_s = histogram(
+            "pomelohill_request_seconds",
+            "Time from the arrival of a caller's request to its response, in seconds.",
+        )?;
+        let upstream_s = histogram(
+            "pomelohill_upstream_seconds",
+            "Time that a request spent at the upstream, in seconds.",
+        )?;
         let requests = IntCounterVec::new(
-            Opts::new("pomelohill_requests_total", "Callers' requests by their end."),
+            Opts::new("pomelohill_requests_total", "Callers' requests by outcome."),
             &["tenant", "class", "outcome"],
         )?;
         let retries = IntCounterVec::new(
-            Opts::new("pomelohill_retries_total", "Requests sent on again."),
+            Opts::new(
+                "pomelohill_retries_total",
+                "Further attempts of requests, by kind (redirect or retry).",
+            ),
             &["tenant", "kind"],
         )?;
-        let running = IntGauge::new("pomelohill_gate_running", "Requests at the upstream.")?;
-        let queued = IntGauge::new("pomelohill_gate_queued", "Requests that wait for a slot.")?;
+        let running =
+            IntGauge::new("pomelohill_gate_running", "Requests running at the upstream.")?;
+        let queued = IntGauge::new("pomelohill_gate_queued", "Requests queued for the upstream.")?;
         registry.register(Box::new(request_s.clone()))?;
         registry.register(Box::new(upstream_s.clone()))?;
         registry.register(Box::new(requests.clone()))?;
@@ -62,7 +70,7 @@
         Ok(Metrics { registry, request_s, upstream_s, requests, retries, running, queued })
     }
 
-    /// The end of a caller's request.
+    /// Records the outcome and latency of a caller's request.
     pub(crate) fn record_request(
         &self,
         team: &TeamName,
@@ -85,7 +93,7 @@
         self.upstream_s.with_label_values(&labels).observe(spent.as_secs_f64());
     }
 
-    /// A request that is sent on again; `kind` is `redirect` or `retry`.
+    /// Records a further attempt of a request; `kind` is `redirect` or `retry`.
     pub(crate) fn record_retry(&self, team: &TeamName, kind: &str) {
         self.retries.with_label_values(&[team.as_str(), kind]).inc();
     }
--- a/crates/agent/src/metrics/platform_calls.rs
+++ b/crates/agent/src/metrics/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform, which control counts itself, as a metric.
+//! The counts of calls to the platform as a metric.
 
 use std::sync::Arc;
 
@@ -9,26 +9,26 @@
     proto::MetricFamily,
 };
 
-/// Reads the counts whenever metrics are asked for.
+/// A collector that reads the counts at each scrape.
 pub(super) struct PlatformCalls {
     counts: Arc<CallCounts>,
-    empty: IntCounterVec,
+    descriptions: IntCounterVec,
 }
 
 impl PlatformCalls {
     pub(super) fn new(counts: Arc<CallCounts>) -> Result<PlatformCalls, prometheus::Error> {
-        Ok(PlatformCalls { counts, empty: counters()? })
+        Ok(PlatformCalls { counts, descriptions: counters()? })
     }
 }
 
 fn counters() -> Result<IntCounterVec, prometheus::Error> {
-    let help = "Calls to the platform; a waiting watch is one.";
+    let help = "Calls to the platform. A long-polling watch counts as one call.";
     IntCounterVec::new(Opts::new("pomelohill_platform_calls_total", help), &["kind"])
 }
 
 impl Collector for PlatformCalls {
     fn desc(&self) -> Vec<&Desc> {
-        self.empty.desc()
+        self.descriptions.desc()
     }
 
     fn collect(&self) -> Vec<MetricFamily> {
--- a/crates/agent/src/metrics/server.rs
+++ b/crates/agent/src/metrics/server.rs
@@ -1,4 +1,4 @@
-//! `/metrics` over HTTP.
+//! The HTTP server of `/metrics`.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 
 use crate::{gate::Gate, metrics::Metrics};
 
-/// Serves the metrics for ever.
+/// Serves the metrics until the process ends.
 pub(crate) async fn serve(listener: TcpListener, metrics: Arc<Metrics>, gate: Arc<Gate>) {
     let handler = move || {
         let (metrics, gate) = (Arc::clone(&metrics), Arc::clone(&gate));
         async move { answer(&metrics, &gate) }
     };
     let server = Server::new(Router::new().route("/metrics", get(handler)))
-        // Signals are none of its business: it ends with the process.
+        // Never shut down by a signal: the server ends with the process.
         .register_shutdown_hook(|| Box::pin(std::future::pending()));
     if let Err(error) = server.run(DefaultIncoming::from(listener)).await {
-        log::error!(target: "metrics", "The metrics server ended: {error}.");
+        log::error!(target: "metrics", "The metrics server failed and no longer answers: {error}.");
     }
 }
 
@@ -32,7 +32,7 @@
     match metrics.text() {
         Ok(text) => text.into_response(),
         Err(error) => {
-            log::warn!(target: "metrics", "Encoding failed: {error}.");
+            log::warn!(target: "metrics", "Cannot encode the metrics; answering with status 500: {error}.");
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         }
     }
