--- a/crates/agent/src/snapshot/mod.rs
+++ b/crates/agent/src/snapshot/mod.rs
@@ -1,4 +1,4 @@
-//! What traffic knows of services and routes: immutable, published whole by the control thread.
+//! Immutable snapshots of services and routes, which the control thread publishes to the traffic threads.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -10,55 +10,55 @@
 
 use crate::report::Announcement;
 
-/// Everything that ingress needs to route a request.
+/// The data by which ingress routes requests.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     pub services: HashMap<ServiceName, Arc<ServiceRoutes>>,
-    /// Routes by host; none: no configuration of the whole fleet is known, or there is none.
+    /// Routes by host. `None` if there is no central configuration or it has not been read yet.
     pub routing: Option<Arc<RoutingTable>>,
-    /// The upstream beside this agent, once it has announced itself.
+    /// The local upstream. `None` until it has announced itself.
     pub local: Option<LocalUpstream>,
 }
 
-/// The upstream that the local gate guards. What the gate admits is told it apart from this, by
-/// [`crate::gate::GateHandle::apply`].
+/// The upstream behind the local gate. The slots and keys that the gate admits are not part of it; they are
+/// set by [`crate::gate::GateHandle::apply`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocalUpstream {
     pub announcement: Announcement,
-    /// Set while no new work is to come from callers that could go elsewhere.
+    /// Set while the upstream must get no new work from callers that can use another instance.
     pub leaving: Option<LeaveReason>,
 }
 
-/// Why an upstream is to get no new work.
+/// The reason for which an upstream must get no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// It, or the agent beside it, is about to stop.
+    /// The upstream or its agent is stopping.
     Stopping,
-    /// An operator has closed its availability zone.
+    /// An operator has closed the upstream's availability zone.
     ZoneClosed,
 }
 
-/// One service: its document in force and its routes.
+/// One service with its current document and its routes.
 #[derive(Debug)]
 pub struct ServiceRoutes {
     pub service: ServiceName,
     pub version: ConfigVersion,
-    /// The document of that version.
+    /// The document with this version.
     pub document: Arc<ServiceDocument>,
     pub routes: Routes,
 }
 
-/// How requests of a service find an instance.
+/// The instances that requests of a service may be sent to.
 #[derive(Debug)]
 pub enum Routes {
-    /// The owner of the key, and nobody else.
+    /// Requests go only to the owner of their key.
     ByKey(KeyRoutes),
-    /// Any member.
+    /// Requests may go to any member.
     Any(Vec<MemberRoute>),
 }
 
 impl Routes {
-    /// Rises whenever an owner changes; zero where there are no owners.
+    /// Returns the version of the routes, which increases when an owner changes; zero if there are no owners.
     pub(crate) fn version(&self) -> u64 {
         match self {
             Routes::ByKey(routes) => routes.route_version,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Everyone that requests may be sent to; some may come up more than once.
+    /// Returns the instances that requests may be sent to. An instance may occur more than once.
     pub(crate) fn instances(&self) -> impl Iterator<Item = &Instance> {
         let (keyed, any) = match self {
             Routes::ByKey(routes) => (Some(routes), None),
@@ -78,26 +78,26 @@
     }
 }
 
-/// Owners of slots and hot keys. May be stale: the owner's gate has the last word.
+/// Owners of slots and hot keys. They may be stale; the gate of an instance decides whether it is the owner.
 #[derive(Debug)]
 pub struct KeyRoutes {
-    /// Rises whenever an owner changes.
+    /// Increases when an owner changes.
     pub route_version: u64,
     pub slot_count: SlotCount,
-    /// One for each slot, in order.
+    /// The routes of all slots, in order.
     pub slots: Vec<OwnerRoute>,
     pub hot_keys: HashMap<KeyHash, OwnerRoute>,
 }
 
-/// Where the requests of one slot or hot key go.
+/// The instances for the requests of one slot or hot key.
 #[derive(Debug, Clone, Default)]
 pub struct OwnerRoute {
     pub owner: Option<Instance>,
-    /// Who is asked when the owner can't be reached, first choice first.
+    /// Instances to try if the owner cannot be reached, in order of preference.
     pub successors: Vec<Instance>,
 }
 
-/// A member of a service that is not divided by key.
+/// A member of a service that is not sharded by key.
 #[derive(Debug, Clone)]
 pub struct MemberRoute {
     pub instance: Instance,
@@ -105,7 +105,7 @@
 }
 
 impl KeyRoutes {
-    /// The routes as a group's node sees them.
+    /// Builds the routes from a group's view.
     pub fn from_view(slot_count: SlotCount, view: &NodeView) -> KeyRoutes {
         let mut slots = vec![OwnerRoute::default(); usize::from(slot_count.count())];
         let mut hot_keys = HashMap::new();
@@ -116,14 +116,14 @@
                 (Some(key_hash), _) => drop(hot_keys.insert(key_hash, route)),
                 (None, Some(slot)) => *slot = route,
                 (None, None) => {
-                    log::warn!(target: "snapshot", "Slot {} is out of range.", owner.slot)
+                    log::warn!(target: "snapshot", "Ignoring the route of slot {}, which is out of range.", owner.slot)
                 }
             }
         }
         KeyRoutes { route_version: view.route_version, slot_count, slots, hot_keys }
     }
 
-    /// The route of a key: its own entry, else that of its slot.
+    /// Returns the route of a key: that of a hot key if there is one, else that of its slot.
     pub fn route(&self, key_hash: KeyHash) -> &OwnerRoute {
         match self.hot_keys.get(&key_hash) {
             Some(route) => route,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The snapshot in use. Control stores, traffic loads; neither ever waits.
+/// The current snapshot. Control stores it and traffic loads it; neither blocks the other.
 #[derive(Debug)]
 pub struct SnapshotCell {
     snapshot: ArcSwap<Snapshot>,
@@ -159,7 +159,7 @@
         self.changed.send_replace(());
     }
 
-    /// Tells of every later [`SnapshotCell::store`].
+    /// Returns a receiver that is notified of each later [`SnapshotCell::store`].
     pub(crate) fn changes(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
