--- a/crates/ownership/src/sim/platform.rs
+++ b/crates/ownership/src/sim/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's two objects of one group, with conditional updates.
+//! Fake of the platform's object store, with the two objects of one group and conditional updates.
 //!
-//! It may come back from an older copy: what was written since is lost, and revisions are given out again in the next
-//! era. A client that has not heard of that yet sends conditions of an earlier era; what it makes of the answer is
-//! what `object_store::EraTracker` makes of it.
+//! The store may be rolled back (restored from an older snapshot): later updates are lost, and their revisions are
+//! reassigned in the next era. A client that has not detected the rollback yet sends expected versions of an earlier
+//! era. Their replies are the ones that a real client gets from `object_store::EraTracker`.
 
 use std::collections::VecDeque;
 
@@ -10,110 +10,122 @@
 
 use crate::{Coordinator, Plan, PlatformReply, PlatformRequest};
 
-/// Copies that are kept.
-const COPIES_MAX: usize = 256;
+/// Number of snapshots that are kept.
+const SNAPSHOTS_MAX: usize = 256;
 
-/// The stored objects; revisions come from one counter.
+/// Object store of the platform; both objects take their revisions from one counter.
 #[derive(Debug, Default)]
 pub(super) struct Store {
+    /// Number of rollbacks.
     era: u64,
-    now: State,
-    /// As it was before each of the last changes, and until when.
-    copies: VecDeque<(Timestamp, State)>,
-    /// Calls that arrived.
+    current: Objects,
+    /// Objects before each of the last updates, with the time of the update.
+    snapshots: VecDeque<(Timestamp, Objects)>,
+    /// Number of calls received.
     pub(super) calls: u64,
 }
 
+/// Objects of the group, each with its revision.
 #[derive(Debug, Clone, Default)]
-struct State {
+struct Objects {
+    /// Revision of the last update.
     revision: u64,
     coordinator: Option<(u64, Coordinator)>,
     plan: Option<(u64, Box<Plan>)>,
 }
 
 impl Store {
-    pub(super) fn call(&mut self, at: Timestamp, request: &PlatformRequest) -> PlatformReply {
+    /// Carries out a call at the given time and returns its reply. Asserts that an update with an expected version of
+    /// the current era does not lower the term, and raises the version of the plan.
+    pub(super) fn handle_call(
+        &mut self,
+        at: Timestamp,
+        request: &PlatformRequest,
+    ) -> PlatformReply {
         self.calls += 1;
         match request {
             PlatformRequest::ReadCoordinator => {
-                let (revision, found) = self.now.coordinator.clone().unzip();
+                let (revision, found) = self.current.coordinator.clone().unzip();
                 PlatformReply::Coordinator(self.version(revision.unwrap_or(0)), found)
             }
             PlatformRequest::ReadPlan => {
-                let (revision, found) = self.now.plan.clone().unzip();
+                let (revision, found) = self.current.plan.clone().unzip();
                 PlatformReply::Plan(self.version(revision.unwrap_or(0)), found)
             }
             PlatformRequest::UpdateCoordinator { expected, object } => {
-                let current = self.now.coordinator.as_ref().map_or(0, |it| it.0);
+                let current = self.current.coordinator.as_ref().map_or(0, |it| it.0);
                 if current != expected.revision() {
                     return PlatformReply::Conflict;
                 }
-                let former = self.now.coordinator.as_ref().map(|it| it.1.term).unwrap_or_default();
+                let previous =
+                    self.current.coordinator.as_ref().map(|it| it.1.term).unwrap_or_default();
                 let is_current = self.is_current(*expected);
                 assert!(
-                    object.term >= former || !is_current,
-                    "term {} after {former}",
+                    object.term >= previous || !is_current,
+                    "the coordinator object has term {previous}, and an update lowers it to {}",
                     object.term
                 );
-                let state = self.change(at);
-                state.coordinator = Some((state.revision, object.clone()));
-                self.updated(*expected)
+                let objects = self.begin_change(at);
+                objects.coordinator = Some((objects.revision, object.clone()));
+                self.update_reply(*expected)
             }
             PlatformRequest::UpdatePlan { expected, object } => {
-                let current = self.now.plan.as_ref().map_or(0, |it| it.0);
+                let current = self.current.plan.as_ref().map_or(0, |it| it.0);
                 if current != expected.revision() {
                     return PlatformReply::Conflict;
                 }
-                let former = self.now.plan.as_ref().map_or(0, |it| it.1.version);
+                let previous = self.current.plan.as_ref().map_or(0, |it| it.1.version);
                 let is_current = self.is_current(*expected);
                 assert!(
-                    object.version > former || !is_current,
-                    "plan {} after {former}",
+                    object.version > previous || !is_current,
+                    "the plan has version {previous}, and an update does not raise it: {}",
                     object.version
                 );
-                let state = self.change(at);
-                state.plan = Some((state.revision, object.clone()));
-                self.updated(*expected)
+                let objects = self.begin_change(at);
+                objects.plan = Some((objects.revision, object.clone()));
+                self.update_reply(*expected)
             }
         }
     }
 
-    /// Comes back as it was at a time, or as far back as copies go.
+    /// Restores the objects as they were at a time, or the oldest snapshot if that is later.
     pub(super) fn roll_back_to(&mut self, at: Timestamp) {
-        let copy = self.copies.iter().position(|(until, _)| *until > at);
-        if let Some(copy) = copy {
-            self.now = self.copies[copy].1.clone();
-            self.copies.truncate(copy);
+        let snapshot = self.snapshots.iter().position(|(until, _)| *until > at);
+        if let Some(snapshot) = snapshot {
+            self.current = self.snapshots[snapshot].1.clone();
+            self.snapshots.truncate(snapshot);
         }
         self.era += 1;
     }
 
     pub(super) fn coordinator(&self) -> Option<&Coordinator> {
-        self.now.coordinator.as_ref().map(|it| &it.1)
+        self.current.coordinator.as_ref().map(|it| &it.1)
     }
 
     fn version(&self, revision: u64) -> ObjectVersion {
         ObjectVersion::of(self.era, revision)
     }
 
+    /// Returns whether the expected version is of the current era.
     fn is_current(&self, expected: ObjectVersion) -> bool {
         expected.era() == self.era
     }
 
-    /// A change begins: what there is now is kept.
-    fn change(&mut self, at: Timestamp) -> &mut State {
-        self.copies.push_back((at, self.now.clone()));
-        if self.copies.len() > COPIES_MAX {
-            self.copies.pop_front();
+    /// Keeps a snapshot, and returns the objects for an update with the next revision.
+    fn begin_change(&mut self, at: Timestamp) -> &mut Objects {
+        self.snapshots.push_back((at, self.current.clone()));
+        if self.snapshots.len() > SNAPSHOTS_MAX {
+            self.snapshots.pop_front();
         }
-        self.now.revision += 1;
-        &mut self.now
+        self.current.revision += 1;
+        &mut self.current
     }
 
-    fn updated(&self, expected: ObjectVersion) -> PlatformReply {
+    /// Returns the reply to an update that took effect.
+    fn update_reply(&self, expected: ObjectVersion) -> PlatformReply {
         match self.is_current(expected) {
-            true => PlatformReply::Updated(self.version(self.now.revision)),
-            // What it has replaced is not known.
+            true => PlatformReply::Updated(self.version(self.current.revision)),
+            // With an expected version of an earlier era it is unknown which object the update replaced.
             false => PlatformReply::Failed,
         }
     }
