--- a/crates/agent/src/links/control.rs
+++ b/crates/agent/src/links/control.rs
@@ -1,4 +1,5 @@
-//! Links between control threads: opaque messages, sent without waiting, lost rather than late.
+//! Links between control threads. Messages are opaque, sending never waits, and messages that queue up are
+//! dropped rather than delivered late.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -19,23 +20,23 @@
 
 use crate::links::{
     LinkKey,
-    handshake::{Established, LinkIdentity},
-    socket::{self, Inbox, Outbound, Outbox},
+    handshake::{EstablishedLink, LinkIdentity},
+    socket::{self, Inbox, OutboundMessage, Outbox},
 };
 
-/// How many messages wait for one peer; the oldest give way.
+/// Largest number of messages queued for one peer; beyond it the oldest are dropped.
 const QUEUE_MAX: usize = 256;
-/// How many events wait for the control thread.
+/// Largest number of events queued for the control thread.
 const EVENTS_MAX: usize = 4096;
-/// How long an unused link stays open.
+/// Time after which an unused link is closed.
 const IDLE_MAX: Duration = Duration::from_secs(60);
 const BACKOFF_MIN: Duration = Duration::from_millis(25);
 const BACKOFF_MAX: Duration = Duration::from_millis(500);
 
-/// What comes in over control links.
+/// An event received over the control links.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlEvent {
-    /// A message of an authenticated peer.
+    /// A message from an authenticated peer.
     Message { from: Instance, payload: Bytes },
 }
 
@@ -53,24 +54,24 @@
 
 #[derive(Default)]
 struct Peer {
-    queue: VecDeque<Queued>,
-    /// Links that take from the queue.
-    writers: usize,
-    /// A task is dialling this peer or drives the link it dialled.
-    dialled: bool,
-    dropped: u64,
-    added: Arc<Notify>,
+    queue: VecDeque<QueuedMessage>,
+    /// Number of links that send from the queue.
+    writer_count: usize,
+    /// Whether a task dials this peer or drives the link that it dialled.
+    has_dialer: bool,
+    dropped_count: u64,
+    message_added: Arc<Notify>,
 }
 
-struct Queued {
-    /// For this life of the peer only.
+struct QueuedMessage {
+    /// The incarnation of the peer that the message is for. `None` if it is for any.
     to: Option<Incarnation>,
     payload: Bytes,
 }
 
 impl ControlLinks {
-    /// Listens, and dials peers as messages for them come up. To be called on the runtime of the
-    /// control thread; everything runs there.
+    /// Starts to listen; peers are dialled when there are messages for them. Must be called on the runtime of
+    /// the control thread, where all tasks of the links run.
     pub fn start(
         own: Instance,
         listener: TcpListener,
@@ -83,12 +84,13 @@
         (ControlLinks { shared }, receiver)
     }
 
-    /// Queues a message for one life of a peer and returns at once. It may be lost.
+    /// Queues a message for one incarnation of a peer, without waiting. The message may be lost.
     pub fn send(&self, to: &Instance, payload: Vec<u8>) {
         self.queue(to.control, Some(to.incarnation), payload);
     }
 
-    /// The same for whoever listens at a control address.
+    /// Queues a message for any instance that listens at a control address, without waiting. The message may
+    /// be lost.
     pub fn send_to_address(&self, to: SocketAddr, payload: Vec<u8>) {
         self.queue(to, None, payload);
     }
@@ -98,12 +100,12 @@
         let peer = peers.entry(address).or_default();
         if peer.queue.len() >= QUEUE_MAX {
             peer.queue.pop_front();
-            peer.dropped += 1;
+            peer.dropped_count += 1;
         }
-        peer.queue.push_back(Queued { to, payload: payload.into() });
-        peer.added.notify_one();
-        if peer.writers == 0 && !peer.dialled {
-            peer.dialled = true;
+        peer.queue.push_back(QueuedMessage { to, payload: payload.into() });
+        peer.message_added.notify_one();
+        if peer.writer_count == 0 && !peer.has_dialer {
+            peer.has_dialer = true;
             tokio::spawn(dial(Arc::clone(&self.shared), address));
         }
     }
@@ -114,42 +116,45 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The next message for this life of a peer; those for other lives are dropped. That there are any
-    /// may mean that this life has gone without hanging up, and that another listens at its address:
-    /// a link on which nothing is written would not notice, and drop all that is meant for that one.
-    fn pop(&self, peer: &Instance, doubt: &Notify) -> Option<Bytes> {
+    /// Returns the next message for this incarnation of a peer. Messages for other incarnations are dropped and
+    /// trigger a ping: this incarnation may have ended without closing the connection, with another listening at
+    /// its address. A link on which nothing is written would not detect that, and would drop all messages for
+    /// the new incarnation.
+    fn next_message(&self, peer: &Instance, ping_request: &Notify) -> Option<Bytes> {
         let mut peers = self.peers();
         let entry = peers.get_mut(&peer.control)?;
         while let Some(queued) = entry.queue.pop_front() {
             if queued.to.is_none_or(|to| to == peer.incarnation) {
                 return Some(queued.payload);
             }
-            entry.dropped += 1;
-            doubt.notify_one();
+            entry.dropped_count += 1;
+            ping_request.notify_one();
         }
         None
     }
 
-    async fn run(self: &Arc<Shared>, link: Established, address: SocketAddr, writes: bool) {
-        let Established { peer, socket } = link;
-        log::debug!(target: "links", "Control link with {peer} at {address} is up.");
-        let added = writes.then(|| {
+    async fn run(self: &Arc<Shared>, link: EstablishedLink, address: SocketAddr, is_writer: bool) {
+        let EstablishedLink { peer, socket } = link;
+        log::debug!(target: "links", "Established a control link with {peer} at {address}.");
+        let message_added = is_writer.then(|| {
             let mut peers = self.peers();
             let entry = peers.entry(peer.control).or_default();
-            entry.writers += 1;
-            Arc::clone(&entry.added)
+            entry.writer_count += 1;
+            Arc::clone(&entry.message_added)
         });
-        let doubt = Arc::new(Notify::new());
+        let ping_request = Arc::new(Notify::new());
         let outbox = ControlOutbox {
             shared: Arc::clone(self),
             peer: peer.clone(),
-            added,
-            doubt: Arc::clone(&doubt),
+            message_added,
+            ping_request: Arc::clone(&ping_request),
         };
         let inbox = ControlInbox { shared: Arc::clone(self), from: peer.clone() };
-        match socket::run(socket, outbox, inbox, &doubt).await {
-            Ok(()) => log::debug!(target: "links", "Control link with {peer} has ended."),
-            Err(error) => log::warn!(target: "links", "Control link with {peer} ended: {error}."),
+        match socket::run(socket, outbox, inbox, &ping_request).await {
+            Ok(()) => log::debug!(target: "links", "Closed the control link with {peer}."),
+            Err(error) => {
+                log::warn!(target: "links", "Lost the control link with {peer}: {error}.")
+            }
         }
     }
 }
@@ -159,7 +164,7 @@
         let (stream, address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!(target: "links", "Accepting a control link failed: {error}.");
+                log::warn!(target: "links", "Cannot accept a control connection; retrying: {error}.");
                 sleep(BACKOFF_MAX).await;
                 continue;
             }
@@ -168,17 +173,17 @@
         tokio::spawn(async move {
             match shared.identity.accept(address, stream).await {
                 Ok(link) => {
-                    let writers =
-                        shared.peers().get(&link.peer.control).map_or(0, |peer| peer.writers);
-                    shared.run(link, address, writers == 0).await;
+                    let writer_count =
+                        shared.peers().get(&link.peer.control).map_or(0, |peer| peer.writer_count);
+                    shared.run(link, address, writer_count == 0).await;
                 }
-                Err(error) => log::warn!(target: "links", "Refused a control link: {error}."),
+                Err(error) => log::warn!(target: "links", "Rejected a control link: {error}."),
             }
         });
     }
 }
 
-/// Dials a peer until its queue is empty.
+/// Dials a peer, and drives the link, until its queue is empty or another link sends from it.
 async fn dial(shared: Arc<Shared>, address: SocketAddr) {
     let mut backoff = BACKOFF_MIN;
     loop {
@@ -188,18 +193,20 @@
                 shared.run(link, address, true).await;
             }
             Ok(link) => {
-                log::warn!(target: "links", "{} at {address} says it is at {}.", link.peer, link.peer.control);
+                log::warn!(target: "links", "Closed a control link: {} answered at {address} but announces the address {}.", link.peer, link.peer.control);
+            }
+            Err(error) => {
+                log::debug!(target: "links", "Cannot establish a control link; retrying: {error}.")
             }
-            Err(error) => log::debug!(target: "links", "No control link: {error}."),
         }
-        let pause = rand::rng().random_range(backoff / 2..=backoff);
+        let delay = rand::rng().random_range(backoff / 2..=backoff);
         backoff = (backoff * 2).min(BACKOFF_MAX);
-        sleep(pause).await;
+        sleep(delay).await;
         let mut peers = shared.peers();
         let Some(peer) = peers.get_mut(&address) else { return };
-        if peer.queue.is_empty() || peer.writers > 0 {
-            peer.dialled = false;
-            if peer.writers == 0 {
+        if peer.queue.is_empty() || peer.writer_count > 0 {
+            peer.has_dialer = false;
+            if peer.writer_count == 0 {
                 peers.remove(&address);
             }
             return;
@@ -210,46 +217,49 @@
 struct ControlOutbox {
     shared: Arc<Shared>,
     peer: Instance,
-    /// None: this link only reads, for another one writes.
-    added: Option<Arc<Notify>>,
-    /// Makes the peer show that it is still there.
-    doubt: Arc<Notify>,
+    /// Notified when a message is queued. `None` if this link only reads, because another one sends.
+    message_added: Option<Arc<Notify>>,
+    /// Makes the link send a ping.
+    ping_request: Arc<Notify>,
 }
 
 impl Outbox for ControlOutbox {
-    async fn next(&mut self) -> Option<Outbound> {
-        let Some(added) = &self.added else { return std::future::pending().await };
+    async fn next(&mut self) -> Option<OutboundMessage> {
+        let Some(message_added) = &self.message_added else { return std::future::pending().await };
         loop {
-            if let Some(payload) = self.shared.pop(&self.peer, &self.doubt) {
-                return Some(Outbound::head(payload));
+            if let Some(payload) = self.shared.next_message(&self.peer, &self.ping_request) {
+                return Some(OutboundMessage::head(payload));
             }
-            if timeout(IDLE_MAX, added.notified()).await.is_err() {
+            if timeout(IDLE_MAX, message_added.notified()).await.is_err() {
                 return None;
             }
         }
     }
 
-    fn try_next(&mut self) -> Option<Outbound> {
-        let payload = self.added.as_ref().and_then(|_| self.shared.pop(&self.peer, &self.doubt));
-        payload.map(Outbound::head)
+    fn try_next(&mut self) -> Option<OutboundMessage> {
+        let payload = self
+            .message_added
+            .as_ref()
+            .and_then(|_| self.shared.next_message(&self.peer, &self.ping_request));
+        payload.map(OutboundMessage::head)
     }
 }
 
 impl Drop for ControlOutbox {
     fn drop(&mut self) {
-        if self.added.is_none() {
+        if self.message_added.is_none() {
             return;
         }
         let mut peers = self.shared.peers();
         let Some(peer) = peers.get_mut(&self.peer.control) else { return };
-        peer.writers -= 1;
-        if peer.writers > 0 || peer.dialled {
+        peer.writer_count -= 1;
+        if peer.writer_count > 0 || peer.has_dialer {
             return;
         }
         if peer.queue.is_empty() {
             peers.remove(&self.peer.control);
         } else {
-            peer.dialled = true;
+            peer.has_dialer = true;
             tokio::spawn(dial(Arc::clone(&self.shared), self.peer.control));
         }
     }
@@ -261,8 +271,12 @@
 }
 
 impl Inbox for ControlInbox {
-    async fn take(&mut self, payload: Bytes) -> Result<(), anyhow::Error> {
+    async fn handle(&mut self, payload: Bytes) -> Result<(), anyhow::Error> {
         let event = ControlEvent::Message { from: self.from.clone(), payload };
-        self.shared.events.send(event).await.map_err(|_| anyhow::anyhow!("control has ended"))
+        self.shared
+            .events
+            .send(event)
+            .await
+            .map_err(|_| anyhow::anyhow!("the control thread has ended"))
     }
 }
--- a/crates/agent/src/links/traffic/assembly.rs
+++ b/crates/agent/src/links/traffic/assembly.rs
@@ -1,16 +1,16 @@
-//! Bodies that come in many frames.
+//! Assembles bodies that arrive in several frames.
 
 use bytes::{Bytes, BytesMut};
 use model::{ServiceName, Token};
 use wire::traffic::{Answer, Chunk, Frame, Records, Request, TransferUnit};
 
-/// Records on their way from one gate to another.
+/// The records that one gate hands over to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Handover {
     pub(crate) service: ServiceName,
     pub(crate) unit: TransferUnit,
     pub(crate) token: Token,
-    /// The CBOR form of the records.
+    /// The records, encoded as CBOR.
     pub(crate) records: Bytes,
 }
 
@@ -22,20 +22,20 @@
     Records(Records),
 }
 
-/// A message whose body has not come in full.
+/// A message whose body has not been received in full.
 #[derive(Debug)]
 pub(super) struct Assembly {
     head: Head,
     body: BytesMut,
 }
 
-/// What has become of a message.
+/// The state of a message after a frame was received.
 #[derive(Debug)]
 pub(super) enum Progress {
-    /// The whole body is in the head.
-    Whole(Head),
-    More(Assembly),
-    /// A part was lost, doubled, out of order or too long.
+    /// The head contains the whole body.
+    Complete(Head),
+    Partial(Assembly),
+    /// A chunk is missing, repeated, out of order or too long.
     Broken(Head),
 }
 
@@ -56,26 +56,27 @@
         }
     }
 
-    /// Starts with what the head frame holds.
+    /// Starts the assembly with the part of the body in the head frame.
     pub(super) fn start(mut self) -> Progress {
         let body_len = self.body_len();
         let body = self.body();
         match body.len() as u64 {
-            len if len == body_len => Progress::Whole(self),
+            len if len == body_len => Progress::Complete(self),
             _ => {
                 let body = BytesMut::from(std::mem::take(body));
-                Progress::More(Assembly { head: self, body })
+                Progress::Partial(Assembly { head: self, body })
             }
         }
     }
 }
 
 impl Assembly {
-    /// Bytes held.
+    /// Returns the number of bytes received.
     pub(super) fn len(&self) -> usize {
         self.body.len()
     }
 
+    /// Adds a chunk, which has to continue the body where it ends.
     pub(super) fn add(mut self, chunk: &Chunk) -> Progress {
         let end = self.body.len() as u64 + chunk.data.len() as u64;
         match self.head.body_len() {
@@ -85,16 +86,16 @@
             len => {
                 self.body.extend_from_slice(&chunk.data);
                 if end < len {
-                    return Progress::More(self);
+                    return Progress::Partial(self);
                 }
                 *self.head.body() = self.body.freeze();
-                Progress::Whole(self.head)
+                Progress::Complete(self.head)
             }
         }
     }
 }
 
-/// The parts of a body after the head's first part.
+/// Splits the body after the first part, which the head contains, into chunk frames.
 pub(super) fn chunks(
     id: wire::traffic::CorrelationId,
     body: &Bytes,
