--- a/crates/settings/src/tests/agent_settings.rs
+++ b/crates/settings/src/tests/agent_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! Validation and comparison of agent settings.
 
 use crate::AgentSettings;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn settings_are_checked() {
+fn invalid_fields_are_reported_with_their_positions() {
     check(("", ""), &[]);
     check(
         ("0123456789abcdef", "short"),
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn the_secret_is_not_printed() {
+fn the_link_key_is_not_printed() {
     let settings = AgentSettings::parse(SETTINGS).unwrap();
     assert!(!format!("{settings:?}").contains("0123456789abcdef"));
 }
 
-/// Each field that the text gives shows up by its own name when it alone has another value.
+/// A change of any single field is reported under its name in the text.
 #[test]
-fn differences_are_named_as_in_the_text() {
+fn changed_fields_have_their_names_in_the_text() {
     let settings = AgentSettings::parse(SETTINGS).unwrap();
     assert!(settings.changed_fields(&settings).is_empty());
     for (from, to, name) in [
--- a/crates/settings/src/tests/central.rs
+++ b/crates/settings/src/tests/central.rs
@@ -1,4 +1,4 @@
-//! Configurations of a whole fleet.
+//! Documents and routes of a central configuration.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_route_with_the_longest_prefix_is_found() {
     let table = RoutingTable::new([
         (Arc::from("a.example"), route("short", "/x/")),
         (Arc::from("a.example"), route("long", "/x/y/")),
@@ -52,7 +52,7 @@
 }"#;
 
 #[test]
-fn documents_are_made_from_the_defaults_and_pass_the_check() {
+fn documents_built_from_the_defaults_are_valid() {
     let settings = AgentSettings::parse(SETTINGS).unwrap();
     assert_eq!(settings.ready_address, Some("127.0.0.1:7005".parse().unwrap()));
     let service = CentralServiceConfig {
@@ -78,7 +78,7 @@
     assert_eq!(document.upstream.key_grants, KeyGrants::Announcements);
     assert_eq!(document.slot_count.count(), 1024);
     assert_eq!(document.upstream.cold_requests_per_s, Some(12.0));
-    // 2.9 s of the longest request and 0.9 s for renewals, up to the next half second.
+    // 2.9 s for the longest request and a margin of 0.9 s, rounded up to a multiple of 0.5 s.
     assert_eq!(document.ownership.lease, Duration::from_millis(4000));
     let header = |name: &str| (name == "x-place").then_some("17");
     let found = document.route("GET", "/any/path", header).unwrap();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_fault_in_the_defaults_is_told_with_its_place() {
+fn problems_in_the_defaults_have_positions() {
     let text = SETTINGS.replace("\"lease_ms\": 1500", "\"lease_ms\": \"long\"");
     let problems = AgentSettings::parse(&text).unwrap_err();
     let first = problems.iter().next().unwrap().to_string();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn ordered_keys_are_checked() {
+fn invalid_ordered_keys_are_reported() {
     let check = |keyed: &str, keys: u32, leases: &str, expected: &str| {
         let text = format!(
             r#"{{ "service": "s", "team": "t", "keyed": {keyed}, "ordered_keys": {keys},
--- a/crates/settings/src/tests/document.rs
+++ b/crates/settings/src/tests/document.rs
@@ -1,10 +1,10 @@
-//! Checked documents: defaults, and rules across fields.
+//! Defaults of documents, and rules across fields.
 
 use std::time::Duration;
 
 use crate::{OwnershipLimits, ServiceDocument};
 
-/// The shortest document that is accepted.
+/// Valid document with only the required fields.
 pub(super) const MINIMAL: &str = r#"{
   "service": "standings",
   "team": "karerang",
@@ -13,10 +13,10 @@
   "routes": [{ "path": "/laps/{car}", "class": "lap", "idempotent": false }],
 }"#;
 
-/// Applies one edit to [`MINIMAL`] and compares the problems, without their places.
+/// Applies an edit to [`MINIMAL`] and compares the problems, without their positions.
 pub(super) fn check(edit: (&str, &str), expected: &[&str]) {
     let text = MINIMAL.replacen(edit.0, edit.1, 1);
-    assert_ne!(text, MINIMAL, "the edit {edit:?} changes nothing");
+    assert_ne!(text, MINIMAL, "the edit {edit:?} did not change the document");
     let problems = match ServiceDocument::parse(&text) {
         Ok(_) => Vec::new(),
         Err(problems) => {
@@ -26,13 +26,13 @@
     assert_eq!(problems, expected, "{text}");
 }
 
-/// Adds a field with an object to [`MINIMAL`].
+/// Adds a section to [`MINIMAL`] and compares the problems.
 fn check_section(section: &str, expected: &[&str]) {
     check((r#""keyed": true,"#, &format!(r#""keyed": true, {section},"#)), expected);
 }
 
 #[test]
-fn defaults_are_those_of_ownership() {
+fn defaults_match_those_of_the_ownership_crate() {
     let document = ServiceDocument::parse(MINIMAL).unwrap();
     let expected = ownership::Limits::default();
     let actual = &document.ownership;
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn classes_are_named_once_and_known() {
+fn duplicate_and_undefined_classes_are_reported() {
     check(
         (r#"{ "name": "lap" }"#, r#"{ "name": "lap" }, { "name": "lap" }, { "name": "Lap" }"#),
         &[
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn keys_are_found_in_one_place() {
+fn a_key_has_exactly_one_valid_location() {
     let key =
         |key: &str| (r#""class": "lap""#.to_owned(), format!(r#""class": "lap", "key": {key}"#));
     let check_key = |text: &str, expected: &[&str]| {
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn what_ownership_rests_on_stays() {
-    let former = ServiceDocument::parse(MINIMAL).unwrap();
+fn fixed_fields_cannot_change() {
+    let previous = ServiceDocument::parse(MINIMAL).unwrap();
     let text = MINIMAL.replace(r#""keyed": true"#, r#""keyed": false, "slot_count": 12"#);
     let text = text.replace("standings", "lapboard");
-    let problems = ServiceDocument::parse_change(&text, &former).unwrap_err();
+    let problems = ServiceDocument::parse_change(&text, &previous).unwrap_err();
     let fields: Vec<&str> = problems.iter().map(|it| it.field.as_str()).collect();
     assert_eq!(fields, ["service", "keyed", "slot_count"]);
-    assert!(ServiceDocument::parse_change(MINIMAL, &former).is_ok());
+    assert!(ServiceDocument::parse_change(MINIMAL, &previous).is_ok());
 }
--- a/crates/settings/src/tests/mod.rs
+++ b/crates/settings/src/tests/mod.rs
@@ -1,7 +1,8 @@
-//! Tests of settings and documents.
+//! Tests of agent settings and service documents.
 
 mod agent_settings;
 mod central;
+mod convergence;
 mod document;
 mod examples;
 mod fuzz;
@@ -9,5 +10,4 @@
 mod problems;
 mod route;
 mod schema;
-mod spread;
 mod versions;
--- a/crates/settings/src/tests/objects.rs
+++ b/crates/settings/src/tests/objects.rs
@@ -1,4 +1,4 @@
-//! Accepted versions only rise.
+//! Accepted versions only increase.
 
 use model::{ObjectVersion, ServiceName};
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn accepted_versions_only_rise() {
+fn only_newer_versions_are_accepted() {
     check(None, 4, Some(4));
     check(Some(4), 5, Some(5));
     check(Some(4), 4, None);
--- a/crates/settings/src/tests/problems.rs
+++ b/crates/settings/src/tests/problems.rs
@@ -1,10 +1,10 @@
-//! Problems of form: all at once, each with its place.
+//! Syntax errors and violations of the schema: all problems are reported, each with its position.
 
 use super::document::{MINIMAL, check};
 use crate::ServiceDocument;
 
 #[test]
-fn unknown_fields_come_with_the_nearest_name() {
+fn unknown_fields_are_reported_with_the_most_similar_name() {
     check(
         (r#""keyed""#, r#""keyd""#),
         &[
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn values_have_types_and_ranges() {
+fn values_of_wrong_type_or_range_are_reported() {
     check(
         (r#""keyed": true,"#, r#""keyed": "yes", "slot_count": 0, "upstream": { "slots": 1.5 },"#),
         &[
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn problems_name_line_and_column() {
+fn problems_contain_line_and_column() {
     let text = MINIMAL.replace(r#""idempotent": false"#, r#""idempotent": false, "deadline": 5"#);
     let problems = ServiceDocument::parse(&text).unwrap_err();
     assert_eq!(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn syntax_has_a_place_too() {
+fn syntax_errors_contain_line_and_column() {
     let check = |text: &str, expected: &str| {
         assert_eq!(ServiceDocument::parse(text).unwrap_err().to_string(), expected);
     };
@@ -68,6 +68,6 @@
 }
 
 #[test]
-fn doubled_fields_are_found() {
+fn duplicate_fields_are_reported() {
     check((r#""keyed": true,"#, r#""keyed": true, "keyed": false,"#), &["keyed: duplicate field."]);
 }
--- a/crates/settings/src/tests/route.rs
+++ b/crates/settings/src/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Matching of requests to routes.
 
 use super::document::MINIMAL;
 use crate::{RouteError, ServiceDocument};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn method_and_path_decide() {
+fn routes_match_by_method_and_path() {
     check("POST /cars/7/laps", None, Ok((0, "7")));
     check("GET /cars/7/laps", None, no_route("GET", "/cars/7/laps"));
     check("POST /cars/7/laps/1", None, no_route("POST", "/cars/7/laps/1"));
@@ -37,21 +37,21 @@
 }
 
 #[test]
-fn keys_have_one_spelling() {
+fn keys_are_decoded_and_trimmed() {
     check("POST /cars/a%2Fb/laps", None, Ok((0, "a/b")));
     check("POST /cars/%37/laps", None, Ok((0, "7")));
     check("GET /heats", Some("  heat-3 "), Ok((1, "heat-3")));
 }
 
 #[test]
-fn requests_without_a_key_have_no_route() {
+fn requests_without_a_key_are_refused() {
     check("POST /cars//laps", None, Err(RouteError::EmptySegment(1)));
     check("GET /heats", None, Err(RouteError::NoHeader("x-key".to_owned())));
     check("GET /heats", Some(" "), Err(RouteError::NoHeader("x-key".to_owned())));
 }
 
 #[test]
-fn a_route_that_nothing_reaches_is_a_problem() {
+fn unreachable_routes_and_invalid_paths_are_reported() {
     let routes = r#"[
         { "path": "/a/{x}", "class": "lap", "idempotent": true },
         { "method": "GET", "path": "/a/b", "class": "lap", "idempotent": true },
--- a/crates/settings/src/tests/schema.rs
+++ b/crates/settings/src/tests/schema.rs
@@ -1,4 +1,5 @@
-//! The committed JSON schemas are those of the code, and hold only what the check understands.
+//! The committed JSON schemas match the code and contain only keywords that the validation
+//! supports.
 
 use std::{env, fs, path::PathBuf};
 
@@ -6,15 +7,15 @@
 
 use crate::{AgentSettings, ServiceDocument};
 
-/// Set to write the schemas anew in place of comparing them.
+/// Environment variable that makes the test rewrite the schema files before comparing them.
 const UPDATE_VARIABLE: &str = "UPDATE_SCHEMAS";
 
-/// Keywords that describe a value without narrowing it, or that the check of names repeats.
-const WITHOUT_EFFECT: [&str; 7] =
+/// Keywords that do not restrict a value, or whose restriction is checked when names are parsed.
+const IGNORED: [&str; 7] =
     ["$schema", "title", "description", "default", "format", "pattern", "$defs"];
 
-/// Keywords that the check applies.
-const APPLIED: [&str; 14] = [
+/// Keywords that the validation applies.
+const SUPPORTED: [&str; 14] = [
     "$ref",
     "type",
     "anyOf",
@@ -38,16 +39,19 @@
         fs::write(&path, &expected).unwrap();
     }
     let actual = fs::read_to_string(&path).unwrap_or_default();
-    assert!(actual == expected, "{file} is not that of the code: set {UPDATE_VARIABLE}=1 once");
+    assert!(
+        actual == expected,
+        "{file} does not match the code: run this test once with {UPDATE_VARIABLE}=1 to rewrite it"
+    );
 }
 
 #[test]
-fn the_committed_schemas_are_those_of_the_code() {
+fn committed_schemas_match_the_code() {
     check("service-document.schema.json", &ServiceDocument::json_schema());
     check("agent-settings.schema.json", &AgentSettings::json_schema());
 }
 
-/// Names every keyword of a schema that the check would pass over.
+/// Adds every keyword of a schema that the validation would ignore to `unknown`.
 fn unknown_keywords(schema: &Value, unknown: &mut Vec<String>) {
     let Some(keywords) = schema.as_object() else { return };
     for (keyword, value) in keywords {
@@ -61,14 +65,14 @@
             }
             "additionalProperties" => assert_eq!(value, &Value::Bool(false)),
             "minimum" | "maximum" => {}
-            other if APPLIED.contains(&other) || WITHOUT_EFFECT.contains(&other) => {}
+            other if SUPPORTED.contains(&other) || IGNORED.contains(&other) => {}
             other => unknown.push(other.to_owned()),
         }
     }
 }
 
 #[test]
-fn the_check_understands_all_of_the_schemas() {
+fn the_validation_supports_all_keywords_of_the_schemas() {
     let mut unknown = Vec::new();
     unknown_keywords(&ServiceDocument::json_schema(), &mut unknown);
     unknown_keywords(&AgentSettings::json_schema(), &mut unknown);
--- a/crates/settings/src/tests/versions.rs
+++ b/crates/settings/src/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Versions only rise, in whatever order they come.
+//! Versions in force only increase, in whatever order they are received.
 
 use model::{ConfigVersion, ObjectVersion, ServiceName};
 use rand::{RngExt, SeedableRng};
@@ -15,7 +15,7 @@
     ServiceName::new("standings").unwrap()
 }
 
-/// Every version has a text of its own; one in four can't be read.
+/// Returns a version with a text that identifies it. The text of every fourth version is invalid.
 fn accepted(version: u64) -> AcceptedDocument {
     let text = match version % 4 {
         3 => format!("{{ {version}"),
@@ -31,14 +31,18 @@
 
 fn in_force(table: &DocumentTable) -> u64 {
     let Some(it) = table.in_force(&service()) else { return 0 };
-    assert_eq!(it.document.team.as_str(), format!("team-{}", it.version), "text and version agree");
+    assert_eq!(
+        it.document.team.as_str(),
+        format!("team-{}", it.version),
+        "the text in force belongs to another version"
+    );
     it.version.0
 }
 
-fn check_order(seed: u64) {
+fn check_random_order(seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut table = DocumentTable::default();
-    let (mut highest, mut unreadable) = (0, 0);
+    let (mut highest, mut invalid) = (0, 0);
     for _ in 0..STEPS {
         let version = rng.random_range(1..=VERSION_MAX);
         match raise(&mut table, version) {
@@ -48,22 +52,26 @@
             }
             None => {
                 assert!(version % 4 == 3 && version > highest, "seed {seed}");
-                unreadable = unreadable.max(version);
+                invalid = invalid.max(version);
             }
         }
-        assert_eq!(in_force(&table), highest, "seed {seed}: a version went back");
+        assert_eq!(
+            in_force(&table),
+            highest,
+            "seed {seed}: expected the highest valid version in force"
+        );
         let should_fetch = table.should_fetch(&service(), ConfigVersion(version + 1));
-        assert_eq!(should_fetch, version + 1 > highest.max(unreadable), "seed {seed}");
+        assert_eq!(should_fetch, version + 1 > highest.max(invalid), "seed {seed}");
     }
 }
 
 #[test]
-fn an_agent_never_goes_back() {
-    (0..RUNS).for_each(check_order);
+fn the_version_in_force_never_decreases() {
+    (0..RUNS).for_each(check_random_order);
 }
 
 #[test]
-fn what_cannot_be_read_is_not_fetched_for_ever() {
+fn an_invalid_version_is_not_fetched_again() {
     let mut table = DocumentTable::default();
     assert!(table.should_fetch(&service(), ConfigVersion(4)));
     assert_eq!(raise(&mut table, 4), Some(true));
@@ -75,11 +83,11 @@
     let other = ServiceName::new("lapboard").unwrap();
     assert!(
         table.raise(&other, ConfigVersion(9), MINIMAL).is_err(),
-        "a document of another service"
+        "a document of another service was accepted"
     );
 }
 
-fn check_judge(
+fn check_decision(
     current: Option<u64>,
     offered: u64,
     text: &str,
@@ -103,17 +111,17 @@
 }
 
 #[test]
-fn a_coordinator_raises_or_refuses() {
-    check_judge(None, 4, MINIMAL, Ok(Some(4)));
-    check_judge(Some(4), 5, MINIMAL, Ok(Some(5)));
-    check_judge(Some(4), 4, MINIMAL, Ok(None));
-    check_judge(Some(5), 4, "{", Ok(None));
-    check_judge(Some(4), 5, "{", Err("line 1, column 1: Unterminated object."));
+fn valid_newer_documents_are_accepted_and_invalid_ones_refused() {
+    check_decision(None, 4, MINIMAL, Ok(Some(4)));
+    check_decision(Some(4), 5, MINIMAL, Ok(Some(5)));
+    check_decision(Some(4), 4, MINIMAL, Ok(None));
+    check_decision(Some(5), 4, "{", Ok(None));
+    check_decision(Some(4), 5, "{", Err("line 1, column 1: Unterminated object."));
     let keyed =
         "line 4, column 3: keyed: cannot change while the service runs; the current value is true.";
-    check_judge(Some(4), 5, &MINIMAL.replace("true", "false"), Err(keyed));
+    check_decision(Some(4), 5, &MINIMAL.replace("true", "false"), Err(keyed));
     let other = MINIMAL.replace("standings", "lapboard");
-    check_judge(
+    check_decision(
         None,
         5,
         &other,
@@ -121,7 +129,7 @@
             "line 2, column 3: service: must be standings, the service that the document is stored for.",
         ),
     );
-    // Without the accepted text nobody knows whether a service would change under its owners.
+    // The text of version 3 is invalid, so that changes of its fixed fields could not be detected.
     let too_old = "the coordinator's program version is too old to read accepted version 3.";
-    check_judge(Some(3), 5, MINIMAL, Err(too_old));
+    check_decision(Some(3), 5, MINIMAL, Err(too_old));
 }
