--- a/crates/settings/src/tests/convergence.rs
+++ b/crates/settings/src/tests/convergence.rs
@@ -38,7 +38,7 @@
     service: ServiceName,
     store: Store,
     is_platform_up: bool,
-    /// Version on which each editor base_versions its next edit.
+    /// Version on which each editor bases its next edit.
     base_versions: [ObjectVersion; EDITORS],
     snapshots: [StoreSnapshot; COORDINATORS],
     agents: [DocumentTable; AGENTS],
