--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -134,7 +134,7 @@
             "requires enforces_leases, since the upstream receives no grants without it.".to_owned()
         });
         self.require(key_count.is_none() || raw.keyed, "ordered_keys", || {
-            "requires keyed: true.".to_owned()
+            "can only be set if keyed is true.".to_owned()
         });
         let has_enough_keys = key_count.is_none_or(|it| it >= u32::from(raw.slot_count));
         self.require(has_enough_keys, "ordered_keys", || {
@@ -290,7 +290,7 @@
         };
         match (&key.header, &key.segment) {
             _ if !raw.keyed => {
-                self.report(field, "requires keyed: true.");
+                self.report(field, "can only be set if keyed is true.");
                 None
             }
             (Some(name), None) => self.check_header(name, &format!("{field}.header")),
