--- a/crates/agent/src/control/status.rs
+++ b/crates/agent/src/control/status.rs
@@ -10,8 +10,8 @@
 use ownership::{MemberView, NodeView, OwnerView, UpstreamState};
 use rand::RngExt;
 use settings::{
-    CoordinatorStatus, GRANTS_MAX, GrantStatus, GroupStatus, HotKeyStatus, InForceStatus, Measures,
-    OwnerStatus, UpstreamStateName, UpstreamStatus,
+    CoordinatorStatus, GrantStatus, GroupStatus, HotKeyStatus, InForceStatus, Measures,
+    OwnerStatus, STATUS_GRANTS_MAX, UpstreamStateName, UpstreamStatus,
 };
 
 use crate::control::{
@@ -242,10 +242,10 @@
 }
 
 /// Returns the grants of all slots in order, or an empty list if there are more than
-/// [`GRANTS_MAX`].
+/// [`STATUS_GRANTS_MAX`].
 fn grant_statuses(view: &NodeView) -> Vec<GrantStatus> {
     let slots = || view.owners.iter().filter(|it| it.key_hash.is_none());
-    if slots().count() > GRANTS_MAX {
+    if slots().count() > STATUS_GRANTS_MAX {
         return Vec::new();
     }
     let index = |owner: &Instance| view.members.iter().position(|it| it.instance == *owner);
--- a/crates/settings/src/objects.rs
+++ b/crates/settings/src/objects.rs
@@ -157,7 +157,7 @@
     pub owners: Vec<OwnerStatus>,
     pub upstreams: Vec<UpstreamStatus>,
     /// The grant of each slot, in slot order. Empty for services without keys and for groups of
-    /// more than [`GRANTS_MAX`] slots.
+    /// more than [`STATUS_GRANTS_MAX`] slots.
     #[serde(default)]
     pub grants: Vec<GrantStatus>,
     pub hot_keys: Vec<HotKeyStatus>,
@@ -236,7 +236,7 @@
 }
 
 /// The largest number of slots for which a status lists the grants.
-pub const GRANTS_MAX: usize = 512;
+pub const STATUS_GRANTS_MAX: usize = 512;
 
 /// Current grant of a slot. Written as `[owner, term, sequence]`, which keeps a status with
 /// hundreds of slots short.
--- a/crates/wire/src/control/convert.rs
+++ b/crates/wire/src/control/convert.rs
@@ -27,7 +27,7 @@
 /// Largest number of entries for hot keys.
 const KEYS_MAX: usize = 1024;
 /// Largest number of reports or commands that have not been acknowledged.
-const STREAM_MAX: usize = SLOTS_MAX + KEYS_MAX;
+const UNACKNOWLEDGED_MAX: usize = SLOTS_MAX + KEYS_MAX;
 /// Largest number of members removed since the route version of the receiver.
 const REMOVED_MAX: usize = 2 * GROUP_MEMBERS_MAX;
 /// Largest number of slots in a load report.
@@ -210,7 +210,7 @@
             config: ConfigVersion(it.config),
             applied: it.applied,
             first_report: it.first_report,
-            reports: convert_list("reports", STREAM_MAX, it.reports)?,
+            reports: convert_list("reports", UNACKNOWLEDGED_MAX, it.reports)?,
             holding: it.holding.map(Holding::try_from).transpose()?,
             load: it.load.map(LoadReport::try_from).transpose()?,
             route_version: it.route_version,
@@ -356,7 +356,7 @@
             lease_ms: it.lease_ms,
             last_report: it.last_report,
             first_command: it.first_command,
-            commands: convert_list("commands", STREAM_MAX, it.commands)?,
+            commands: convert_list("commands", UNACKNOWLEDGED_MAX, it.commands)?,
             routes: routes.map(Arc::new),
             config: ConfigVersion(it.config),
             can_stop: it.can_stop,
--- a/crates/wire/src/exchange/envelope.rs
+++ b/crates/wire/src/exchange/envelope.rs
@@ -32,12 +32,12 @@
 
 impl Envelope {
     pub fn encode(self) -> Vec<u8> {
-        encode(&Wire::from(self))
+        encode(&WireEnvelope::from(self))
     }
 
     /// Decodes and checks a message of a peer.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, CodecError> {
-        Envelope::try_from(decode::<Wire>(bytes)?)
+        Envelope::try_from(decode::<WireEnvelope>(bytes)?)
     }
 }
 
@@ -45,7 +45,7 @@
 /// envelope.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-enum Wire {
+enum WireEnvelope {
     #[serde(rename = "g")]
     Group {
         #[serde(rename = "s")]
@@ -73,52 +73,54 @@
     RoutesUnchanged { service: ServiceName, version: u64, config: ConfigVersion },
 }
 
-impl From<Envelope> for Wire {
-    fn from(envelope: Envelope) -> Wire {
+impl From<Envelope> for WireEnvelope {
+    fn from(envelope: Envelope) -> WireEnvelope {
         match envelope {
-            Envelope::Group { service, group, payload } => Wire::Group { service, group, payload },
-            Envelope::FetchDocument { service } => Wire::FetchDocument { service },
+            Envelope::Group { service, group, payload } => {
+                WireEnvelope::Group { service, group, payload }
+            }
+            Envelope::FetchDocument { service } => WireEnvelope::FetchDocument { service },
             Envelope::Document { service, version, text } => {
-                Wire::Document { service, version, text }
+                WireEnvelope::Document { service, version, text }
             }
-            Envelope::Versions(versions) => Wire::Versions { versions },
+            Envelope::Versions(versions) => WireEnvelope::Versions { versions },
             Envelope::FetchRoutes { service, known_version } => {
-                Wire::FetchRoutes { service, known_version }
+                WireEnvelope::FetchRoutes { service, known_version }
             }
-            Envelope::Routes(table) => Wire::Routes { table },
+            Envelope::Routes(table) => WireEnvelope::Routes { table },
             Envelope::RoutesUnchanged { service, version, config } => {
-                Wire::RoutesUnchanged { service, version, config }
+                WireEnvelope::RoutesUnchanged { service, version, config }
             }
         }
     }
 }
 
-impl TryFrom<Wire> for Envelope {
+impl TryFrom<WireEnvelope> for Envelope {
     type Error = CodecError;
 
-    fn try_from(wire: Wire) -> Result<Envelope, CodecError> {
+    fn try_from(wire: WireEnvelope) -> Result<Envelope, CodecError> {
         match wire {
-            Wire::Group { service, group, payload } => {
+            WireEnvelope::Group { service, group, payload } => {
                 Ok(Envelope::Group { service, group, payload })
             }
-            Wire::FetchDocument { service } => Ok(Envelope::FetchDocument { service }),
-            Wire::Document { text, .. } if text.len() > DOCUMENT_BYTES_MAX => {
+            WireEnvelope::FetchDocument { service } => Ok(Envelope::FetchDocument { service }),
+            WireEnvelope::Document { text, .. } if text.len() > DOCUMENT_BYTES_MAX => {
                 Err(invalid("text", format!("{} bytes are too many", text.len())))
             }
-            Wire::Document { service, version, text } => {
+            WireEnvelope::Document { service, version, text } => {
                 Ok(Envelope::Document { service, version, text })
             }
-            Wire::Versions { versions } if versions.len() > VERSIONS_MAX => {
+            WireEnvelope::Versions { versions } if versions.len() > VERSIONS_MAX => {
                 Err(invalid("versions", format!("{} entries are too many", versions.len())))
             }
-            Wire::Versions { versions } => Ok(Envelope::Versions(versions)),
-            Wire::FetchRoutes { service, known_version } => {
+            WireEnvelope::Versions { versions } => Ok(Envelope::Versions(versions)),
+            WireEnvelope::FetchRoutes { service, known_version } => {
                 Ok(Envelope::FetchRoutes { service, known_version })
             }
-            Wire::RoutesUnchanged { service, version, config } => {
+            WireEnvelope::RoutesUnchanged { service, version, config } => {
                 Ok(Envelope::RoutesUnchanged { service, version, config })
             }
-            Wire::Routes { table } => {
+            WireEnvelope::Routes { table } => {
                 table.check().map_err(|reason| invalid("table", reason))?;
                 Ok(Envelope::Routes(table))
             }
