--- a/crates/settings/src/document/route.rs
+++ b/crates/settings/src/document/route.rs
@@ -68,9 +68,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum RouteError {
-    #[error("no route matches {method} {path}")]
+    #[error("no route fits {method} {path}")]
     NoRoute { method: String, path: String },
-    #[error("the request has no key in the header {0:?}")]
+    #[error("the request has no key in its header {0:?}")]
     NoHeader(String),
     #[error("the key in segment {0} of the path is empty")]
     EmptySegment(usize),
