--- a/crates/settings/src/agent_settings.rs
+++ b/crates/settings/src/agent_settings.rs
@@ -41,7 +41,7 @@
     pub ready_address: Option<SocketAddr>,
     /// Address to which the local upstream sends announcements; `None` if it uses `caller_address`.
     pub announce_address: Option<SocketAddr>,
-    /// Address of the local upstream; `None` if it becomes known only by an announcement.
+    /// Address of the local upstream, if it is known before the first announcement.
     pub upstream_address: Option<SocketAddr>,
     /// Number of threads for requests.
     pub traffic_threads: usize,
@@ -111,7 +111,7 @@
     /// used.
     #[serde(default)]
     announce_address: Option<String>,
-    /// `IP:PORT` of the local upstream. If omitted, it is taken from its announcements.
+    /// `IP:PORT` of the local upstream, if it is known before the first announcement.
     #[serde(default)]
     upstream_address: Option<String>,
     /// Interval in milliseconds at which the local upstream sends announcements.
--- a/crates/settings/src/objects.rs
+++ b/crates/settings/src/objects.rs
@@ -184,7 +184,7 @@
 pub struct RefusedDocument {
     /// Object version of `services/S`.
     pub version: ConfigVersion,
-    /// The problems of the document, each with line, column and field.
+    /// Description of each problem, with line, column and field if it concerns the text.
     pub reasons: Vec<String>,
 }
 
@@ -206,7 +206,7 @@
     pub instance: InstanceName,
     pub zone: Zone,
     pub slots: u32,
-    /// Microseconds of service time per second.
+    /// Upstream time of its requests, in microseconds per second.
     pub load_us_per_s: u64,
     /// Version of the document in force on the instance.
     pub config: ConfigVersion,
