--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -1,4 +1,4 @@
-//! An instance: an upstream with the agent beside it.
+//! An instance: the processes of an upstream and of its agent.
 
 use std::{
     net::SocketAddr,
@@ -17,12 +17,12 @@
 use super::{Binaries, PortAllocator, Process, RunDir, Service};
 use crate::demo::evidence::{IngressOutage, PlannedStop, UpstreamJournal, Window};
 
-/// Shared by all agents of a run; what it is does not matter on loopback.
+/// Link key of all agents of a run; it needs no secrecy on loopback.
 const LINK_KEY: &str = "a key for loopback only";
-/// How long a graceful stop may take.
+/// Longest time that a process may take to exit after a signal.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An instance, planned or running.
+/// Instance with its addresses, and with its processes once they are started.
 #[derive(Debug)]
 pub(crate) struct Instance {
     pub(crate) name: String,
@@ -39,24 +39,24 @@
     upstream: Option<Process>,
     exited_ns: Option<u64>,
     frozen: Vec<Window>,
-    /// Counts the lives of the upstream; each writes a journal of its own.
+    /// Number of the upstream's current incarnation, from 1; each incarnation writes its own journal.
     incarnation: u32,
     past_incarnations: Vec<PastIncarnation>,
 }
 
-/// What an instance is started with.
+/// Parameters for the start of an instance's processes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StartContext<'a> {
     pub(crate) binaries: &'a Binaries,
     pub(crate) dir: &'a RunDir,
-    /// Where it reaches the platform.
+    /// Address at which the agent calls the platform, possibly that of a proxy.
     pub(crate) platform: SocketAddr,
     /// Control addresses of the instances of its service.
     pub(crate) peers: &'a [SocketAddr],
     pub(crate) seed: u64,
 }
 
-/// A life of an upstream that has ended, with its journal.
+/// Incarnation of an upstream that has exited.
 #[derive(Debug)]
 struct PastIncarnation {
     incarnation: u32,
@@ -65,7 +65,7 @@
 }
 
 impl Instance {
-    /// Gives an instance its name, zone and addresses.
+    /// Assigns a name, a zone and free addresses to an instance, without starting it.
     pub(crate) fn plan(
         service: &Service,
         number: usize,
@@ -104,39 +104,45 @@
         })
     }
 
-    pub(crate) fn start(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
-        self.start_agent(with)?;
-        self.start_upstream(with)
+    pub(crate) fn start(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
+        self.start_agent(start_context)?;
+        self.start_upstream(start_context)
     }
 
-    fn start_upstream(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
+    fn start_upstream(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
         let mut arguments = self.upstream_flags.clone();
         let flags = [
             ("--listen", self.upstream_address.to_string()),
             ("--agent", self.caller.to_string()),
-            ("--journal", self.journal_file(with.dir, self.incarnation).display().to_string()),
-            ("--seed", with.seed.to_string()),
+            (
+                "--journal",
+                self.journal_file(start_context.dir, self.incarnation).display().to_string(),
+            ),
+            ("--seed", start_context.seed.to_string()),
         ];
         arguments.extend(flags.into_iter().flat_map(|(name, it)| [name.to_owned(), it]));
         let name = format!("{}-upstream", self.name);
-        let program = &with.binaries.upstream;
-        self.upstream = Some(Process::spawn(&name, program, &arguments, with.dir)?);
+        let program = &start_context.binaries.upstream;
+        self.upstream = Some(Process::spawn(&name, program, &arguments, start_context.dir)?);
         Ok(())
     }
 
-    /// Starts the agent alone, beside an upstream that lives on or is started next.
-    pub(crate) fn start_agent(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
-        let settings = self.write_settings(with.dir, with.platform, with.peers)?;
+    /// Starts the agent alone; the upstream is running already or is started next.
+    pub(crate) fn start_agent(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
+        let settings =
+            self.write_settings(start_context.dir, start_context.platform, start_context.peers)?;
         let arguments = ["--settings".to_owned(), settings.display().to_string()];
         let name = format!("{}-agent", self.name);
-        let program = &with.binaries.agent;
-        self.agent = Some(Process::spawn(&name, program, &arguments, with.dir)?);
+        let program = &start_context.binaries.agent;
+        self.agent = Some(Process::spawn(&name, program, &arguments, start_context.dir)?);
         Ok(())
     }
 
-    /// Starts both parts again at their addresses, once both have ended.
-    pub(crate) fn restart(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
-        let exited_ns = self.exited_ns.take().with_context(|| format!("{} is up", self.name))?;
+    /// Restarts agent and upstream at their former addresses, after both have exited.
+    pub(crate) fn restart(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
+        let exited_ns = self.exited_ns.take().with_context(|| {
+            format!("{} cannot be restarted: it has not been stopped", self.name)
+        })?;
         let frozen = std::mem::take(&mut self.frozen);
         self.past_incarnations.push(PastIncarnation {
             incarnation: self.incarnation,
@@ -144,22 +150,25 @@
             frozen,
         });
         self.incarnation += 1;
-        self.start(with)
+        self.start(start_context)
     }
 
-    /// From its next start on, a request for this key ends its upstream.
+    /// Makes the upstream crash on requests for this key, from its next start.
     pub(crate) fn crash_on_key(&mut self, key: &str) {
         self.upstream_flags.extend(["--ends-on".to_owned(), key.to_owned()]);
     }
 
-    /// Whether a request has ended the upstream.
+    /// Returns whether a request has crashed the upstream.
     pub(crate) fn has_crashed_in_request(&self) -> anyhow::Result<bool> {
         let status = self.upstream()?.exit_status()?;
         Ok(status.is_some_and(|it| it.code() == Some(ENDED_UNDER_A_RUN)))
     }
 
-    /// Starts the upstream again, which has ended by itself beside a live agent.
-    pub(crate) fn restart_upstream(&mut self, with: &StartContext<'_>) -> anyhow::Result<()> {
+    /// Restarts the upstream after it has crashed while its agent keeps running.
+    pub(crate) fn restart_upstream(
+        &mut self,
+        start_context: &StartContext<'_>,
+    ) -> anyhow::Result<()> {
         let frozen = std::mem::take(&mut self.frozen);
         self.past_incarnations.push(PastIncarnation {
             incarnation: self.incarnation,
@@ -167,7 +176,7 @@
             frozen,
         });
         self.incarnation += 1;
-        self.start_upstream(with)
+        self.start_upstream(start_context)
     }
 
     fn write_settings(
@@ -191,7 +200,8 @@
             "peers": peers,
         });
         let path = dir.file(&format!("{}.jsonc", self.name));
-        let text = serde_json::to_string_pretty(&settings).context("encoding settings")?;
+        let text =
+            serde_json::to_string_pretty(&settings).context("encoding the agent's settings")?;
         std::fs::write(&path, text).with_context(|| format!("writing {}", path.display()))?;
         Ok(path)
     }
@@ -206,14 +216,19 @@
     }
 
     pub(crate) fn agent(&self) -> anyhow::Result<&Process> {
-        self.agent.as_ref().with_context(|| format!("{} has no agent", self.name))
+        self.agent
+            .as_ref()
+            .with_context(|| format!("{}: the agent has not been started", self.name))
     }
 
     pub(crate) fn upstream(&self) -> anyhow::Result<&Process> {
-        self.upstream.as_ref().with_context(|| format!("{} has no upstream", self.name))
+        self.upstream
+            .as_ref()
+            .with_context(|| format!("{}: the upstream has not been started", self.name))
     }
 
-    /// Whether neither part has been ended.
+    /// Returns whether the instance has neither been killed nor stopped. An upstream that crashed by
+    /// itself does not count.
     pub(crate) fn is_running(&self) -> bool {
         self.exited_ns.is_none()
     }
@@ -223,7 +238,7 @@
         self.upstream()?.signal(signal)
     }
 
-    /// Kills both parts at once.
+    /// Kills agent and upstream together.
     pub(crate) async fn kill(&mut self) -> anyhow::Result<IngressOutage> {
         let from_ns = wall_ns();
         self.signal(Signal::SIGKILL)?;
@@ -233,7 +248,7 @@
         Ok(self.outage(from_ns, u64::MAX))
     }
 
-    /// Kills the agent alone; the upstream lives on.
+    /// Kills the agent alone; the upstream keeps running.
     pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<IngressOutage> {
         let from_ns = wall_ns();
         self.agent()?.signal(Signal::SIGKILL)?;
@@ -241,27 +256,27 @@
         Ok(self.outage(from_ns, u64::MAX))
     }
 
-    /// Freezes both parts. The signals have reached both when this returns; a process of several
-    /// threads stops a moment later.
+    /// Suspends agent and upstream and returns the time. Both signals are sent when this returns; a
+    /// process with several threads stops a moment later.
     pub(crate) fn freeze(&self) -> anyhow::Result<u64> {
         self.signal(Signal::SIGSTOP)?;
         Ok(wall_ns())
     }
 
-    /// Lets both parts go on.
+    /// Resumes agent and upstream after [`Instance::freeze`].
     pub(crate) fn resume(&mut self, frozen_ns: u64) -> anyhow::Result<IngressOutage> {
         self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_ns() });
         self.signal(Signal::SIGCONT)?;
         Ok(self.outage(frozen_ns, wall_ns()))
     }
 
-    /// Freezes the agent alone.
+    /// Suspends the agent alone and returns the time.
     pub(crate) fn pause_agent(&self) -> anyhow::Result<u64> {
         self.agent()?.signal(Signal::SIGSTOP)?;
         Ok(wall_ns())
     }
 
-    /// Lets the agent go on.
+    /// Resumes the agent after [`Instance::pause_agent`].
     pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<IngressOutage> {
         self.agent()?.signal(Signal::SIGCONT)?;
         Ok(self.outage(paused_ns, wall_ns()))
@@ -271,24 +286,24 @@
         IngressOutage { caller_address: self.caller, window: Window { from_ns, until_ns } }
     }
 
-    /// Tells both parts to leave and waits for their ends.
+    /// Sends SIGTERM to agent and upstream and waits until both have exited.
     pub(crate) async fn leave(&mut self) -> anyhow::Result<PlannedStop> {
         let from_ns = wall_ns();
         let started = Instant::now();
         self.signal(Signal::SIGTERM)?;
         for process in [self.agent()?, self.upstream()?] {
             let status = process.wait(STOP_TIMEOUT).await?;
-            let in_order = status.success() || status.code() == Some(ENDED_UNDER_A_RUN);
-            anyhow::ensure!(in_order, "{} ended with {status} when told to", self.name);
+            let is_graceful = status.success() || status.code() == Some(ENDED_UNDER_A_RUN);
+            anyhow::ensure!(is_graceful, "{} exited with {status} after SIGTERM", self.name);
         }
-        log::info!(target: "demo", "{} left within {:?}.", self.name, started.elapsed());
+        log::info!(target: "demo", "{} stopped gracefully within {:?}.", self.name, started.elapsed());
         self.exited_ns = Some(wall_ns());
         let window = Window { from_ns, until_ns: wall_ns() };
         let instance = self.name.clone();
         Ok(PlannedStop { instance, caller_address: self.caller, window })
     }
 
-    /// The journals of all lives of the upstream.
+    /// Reads the journals of all incarnations of the upstream.
     pub(crate) fn journals(
         &self,
         dir: &RunDir,
@@ -311,7 +326,7 @@
         keyed: bool,
     ) -> anyhow::Result<UpstreamJournal> {
         let file = self.journal_file(dir, incarnation.incarnation);
-        // An upstream opens its journal before it serves: one that was killed earlier has run nothing.
+        // An upstream creates its journal before it serves: without one, it was killed before any run.
         let entries = if file.exists() { read_journal(&file)? } else { Vec::new() };
         Ok(UpstreamJournal {
             instance: self.name.clone(),
--- a/xtask/src/cluster/mod.rs
+++ b/xtask/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes over loopback: a platform, and instances of an upstream with its agent.
+//! Cluster of real processes on loopback: a platform, and instances of upstream and agent.
 
 mod binaries;
 mod instance;
@@ -28,11 +28,11 @@
 
 use crate::demo::evidence::UpstreamJournal;
 
-/// How long a cluster may take until each agent answers for each service of its team.
+/// Longest time from the start until each agent serves each service of its team.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A running cluster. Dropping it kills and reaps whatever still runs.
+/// Running cluster. Dropping it kills and reaps all processes that are still running.
 pub(crate) struct Cluster {
     pub(crate) services: Vec<Service>,
     pub(crate) instances: Vec<Instance>,
@@ -43,7 +43,7 @@
 }
 
 impl Cluster {
-    /// Starts everything and puts the documents into the platform.
+    /// Starts the platform, writes the services' documents to it and starts all instances.
     pub(crate) async fn start(
         specs: &[ServiceSpec],
         binaries: &Binaries,
@@ -56,7 +56,7 @@
         Ok(cluster)
     }
 
-    /// Starts the platform, puts the documents into it and plans the instances.
+    /// Starts the platform, writes the services' documents to it and plans the instances.
     pub(crate) async fn prepare(
         specs: &[ServiceSpec],
         binaries: &Binaries,
@@ -96,7 +96,8 @@
         Ok(())
     }
 
-    /// Starts all instances; `platform` says at which address each reaches the platform.
+    /// Starts all instances; `platform` maps an instance's index to the address at which its agent
+    /// calls the platform.
     pub(crate) async fn start_instances(
         &mut self,
         binaries: &Binaries,
@@ -114,14 +115,14 @@
         Ok(())
     }
 
-    /// Control addresses of the instances of the same service.
+    /// Returns the control addresses of all instances of the same service.
     pub(crate) fn peers(&self, index: usize) -> Vec<SocketAddr> {
         let service = &self.instances[index].service;
         let peers = self.instances.iter().filter(|it| it.service == *service);
         peers.map(|it| it.control).collect()
     }
 
-    /// Waits until each agent answers for each service of its team.
+    /// Waits until each agent has answered a probe for each service of its team.
     pub(crate) async fn wait_until_serving(&self) -> anyhow::Result<()> {
         let client = AgentClient::new()?;
         let rules = CallRules { patience: START_TIMEOUT, ..CallRules::default() };
@@ -133,11 +134,11 @@
                 let request = service.probe(probes.len() as u64);
                 probes.push(async move {
                     let record = caller.call(&request, 0).await;
-                    let answered = record.outcome == standins::journal::FinalOutcome::Answered;
+                    let is_answered = record.outcome == standins::journal::FinalOutcome::Answered;
                     let last = record.attempts.last().map(|it| &it.result);
                     anyhow::ensure!(
-                        answered,
-                        "{} does not answer for {}: {last:?}",
+                        is_answered,
+                        "{} does not serve {}; last attempt: {last:?}",
                         instance.name,
                         request.service
                     );
@@ -149,40 +150,40 @@
         Ok(())
     }
 
-    /// Puts a service's document, whatever its version.
+    /// Writes a service's document unconditionally, without a version check.
     pub(crate) async fn put_document(&self, service: &str, text: &str) -> anyhow::Result<()> {
         let path = format!("objects/services/{service}");
         self.platform_call(Method::PUT, &path, text.to_owned()).await?;
         Ok(())
     }
 
-    /// Sets switches of the platform, as JSON.
+    /// Sets fault switches of the platform, given as JSON.
     pub(crate) async fn set_platform_faults(&self, faults: &str) -> anyhow::Result<()> {
         self.platform_call(Method::POST, "admin/fault", faults.to_owned()).await?;
         Ok(())
     }
 
-    /// Has the platform keep a copy of itself.
+    /// Makes the platform take a snapshot of its objects.
     pub(crate) async fn snapshot_platform(&self) -> anyhow::Result<()> {
         self.platform_call(Method::POST, "admin/keep-copy", String::new()).await?;
         Ok(())
     }
 
-    /// Has the platform come back from its copy.
+    /// Makes the platform restore its snapshot.
     pub(crate) async fn roll_back_platform(&self) -> anyhow::Result<()> {
         self.platform_call(Method::POST, "admin/roll-back", String::new()).await?;
         Ok(())
     }
 
-    /// Reads an object as text.
+    /// Reads an object of the platform as text.
     pub(crate) async fn read_object(&self, path: &str) -> anyhow::Result<String> {
         self.platform_call(Method::GET, &format!("objects/{path}"), String::new()).await
     }
 
-    /// What the platform has counted, by kind of call.
+    /// Returns the numbers of calls that the platform has counted, by kind.
     pub(crate) async fn platform_counts(&self) -> anyhow::Result<BTreeMap<String, f64>> {
         let text = self.platform_call(Method::GET, "admin/counts", String::new()).await?;
-        serde_json::from_str(&text).context("the platform's counts")
+        serde_json::from_str(&text).context("decoding the platform's call counts")
     }
 
     async fn platform_call(
@@ -206,17 +207,19 @@
         self.services.iter().find(|it| it.name() == name)
     }
 
-    /// Caller addresses of all agents of a team.
+    /// Returns the caller addresses of all agents of a team.
     pub(crate) fn caller_addresses(&self, team: &str) -> Vec<SocketAddr> {
         self.instances.iter().filter(|it| it.team == team).map(|it| it.caller).collect()
     }
 
-    /// The journals of all upstreams. To be read once they have ended.
+    /// Reads the journals of all upstreams; complete only after the upstreams have exited.
     pub(crate) fn journals(&self) -> anyhow::Result<Vec<UpstreamJournal>> {
         self.instances
             .iter()
             .map(|instance| {
-                let service = self.service(&instance.service).context("a service without name")?;
+                let service = self
+                    .service(&instance.service)
+                    .context("an instance belongs to an unknown service")?;
                 instance.journals(&self.dir, service.document.keyed)
             })
             .collect::<anyhow::Result<Vec<_>>>()
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -26,7 +26,7 @@
 enum Command {
     #[options(help = "run both deployments with faults and check the invariants")]
     Demo(demo::DemoOptions),
-    #[options(help = "run one measurement")]
+    #[options(help = "measure")]
     Bench(bench::BenchOptions),
     #[options(help = "inject overlapping faults for minutes and check the invariants")]
     Soak(soak::SoakOptions),
