--- a/xtask/src/soak/faults.rs
+++ b/xtask/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed: several lanes strike at a time, each one fault after another.
+//! Sequences of faults drawn from a seed, one for each injector.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,39 +7,39 @@
 
 use super::proxy::LinkState;
 
-/// One fault, by what it strikes.
+/// Fault, by the component that it affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fault {
     /// The processes of one instance.
     Instance(InstanceFault),
-    /// The connections between one agent and the store.
+    /// The connections between one agent and the object store.
     StoreLink(LinkState),
-    /// The store, for all.
+    /// The object store, for all agents.
     Store(StoreFault),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum InstanceFault {
-    /// The agent and its upstream get no processor time.
+    /// Agent and upstream are suspended.
     Freeze,
-    /// The agent alone gets none.
+    /// The agent alone is suspended.
     PauseAgent,
-    /// Both are killed, and started again at their addresses.
+    /// Agent and upstream are killed, and restarted at the same addresses.
     Kill,
-    /// The agent alone is killed, and started again beside its upstream.
+    /// The agent alone is killed and restarted; the upstream keeps running.
     KillAgent,
-    /// Both leave in order, and are started again.
+    /// Agent and upstream stop gracefully, and are restarted.
     Leave,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StoreFault {
-    /// It serves nobody.
+    /// All requests to the store fail.
     Down,
     Slow,
-    /// It carries some updates out, and their answers are lost.
+    /// Some updates take effect, but their responses are lost.
     LosesAnswers,
-    /// It is away for a moment and comes back as it was when the fault began.
+    /// After a short outage the store is restored from a snapshot taken at the start of the fault.
     RollsBack,
 }
 
@@ -60,12 +60,13 @@
     }
 }
 
-/// A fault at its time, counted from the start of the callers.
+/// Scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PlannedFault {
+    /// Time from the start of the fault period.
     pub(super) after: Duration,
     pub(super) duration: Duration,
-    /// Which of the lane's instances it strikes; a fault of the store strikes all.
+    /// Index of the affected instance among those of the injector; a fault of the store affects all.
     pub(super) instance: usize,
     pub(super) fault: Fault,
 }
@@ -73,7 +74,8 @@
 const PAUSE_RANGE_MS: std::ops::Range<u64> = 200..2_500;
 const DURATION_RANGE_MS: std::ops::Range<u64> = 200..3_500;
 
-/// The faults of one lane, which strikes only instances of its own: so no two lanes end the same process.
+/// Draws the faults of one injector, one after another, all ending before `until`. Injectors have
+/// disjoint instances, so that no process is killed or restarted by two of them.
 pub(super) fn plan(seed: u64, instances: &[usize], until: Duration) -> Vec<PlannedFault> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut planned = Vec::new();
@@ -115,7 +117,7 @@
     }
 }
 
-/// How often each kind struck.
+/// Counts the faults by name.
 pub(super) fn counts<'a>(
     faults: impl IntoIterator<Item = &'a PlannedFault>,
 ) -> BTreeMap<&'static str, usize> {
--- a/xtask/src/soak/harmful.rs
+++ b/xtask/src/soak/harmful.rs
@@ -1,4 +1,5 @@
-//! A request under which each upstream ends that begins to run it, sent again and again at any instance.
+//! A harmful request: it crashes each upstream that starts to run it, and callers send it again and
+//! again to any instance.
 
 use std::{collections::BTreeMap, ops::Range, time::Duration};
 
@@ -19,30 +20,32 @@
     },
 };
 
-/// The key by which upstreams know it.
+/// Shard key by which upstreams recognise the harmful request.
 pub(super) const HARMFUL_KEY: &str = "harmful";
 
-/// Ends of upstreams after which nobody may send it on, but for a few sendings.
+/// Crashes of a service's upstreams after which agents have to stop forwarding the request.
 const CRASHES_MAX: usize = 3;
+/// Runs that are allowed nevertheless.
 const EXTRA_RUNS_MAX: usize = 3;
-/// How long word of that may take, and for how long a fault excuses.
+/// Longest time until all agents have received the report of a crash; also the time before a run in
+/// which a fault excuses the run.
 const CRASH_REPORT_DELAY_NS: u64 = 3_000_000_000;
 
 const OWN_STREAM: u64 = 1 << 63;
-/// How long one caller goes on; the next one comes with the same request.
+/// Time after which a caller gives the request up; the next caller sends it again.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(1);
 const REQUESTS_PER_S: Range<f64> = 0.5..4.0;
 const CALLERS: Range<usize> = 1..4;
 
-/// What kept an instance, or all of them, from hearing of an end or telling of it.
+/// Fault that kept one instance, or all, from reporting a crash or receiving a report of one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Disturbance {
-    /// None: all.
+    /// Name of the affected instance; `None` if the fault affects all.
     pub(super) instance: Option<String>,
     pub(super) window: Window,
 }
 
-/// Callers of each service that send it for a time, as drawn from the seed.
+/// Adds callers that send the harmful request to each service, at rates drawn from the seed.
 pub(super) fn add_callers(
     callers: &mut Callers,
     cluster: &Cluster,
@@ -50,7 +53,7 @@
     start: Instant,
     seed: u64,
 ) {
-    // Not the stream from which the other callers draw: ids are not to be the same.
+    // A different random stream from that of the other callers, so that no request ids coincide.
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ OWN_STREAM);
     for service in &cluster.services {
         let load = load::steady(cluster, service, duration);
@@ -69,32 +72,33 @@
     }
 }
 
-/// Runs of it that nothing excuses, beyond those that are allowed.
+/// Returns a violation for each service whose upstreams ran the harmful request more often than
+/// allowed. A run counts if it started well after the last allowed crash and no fault excuses it.
 pub(super) fn violations(evidence: &Evidence, disturbances: &[Disturbance]) -> Vec<Finding> {
     let mut runs: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
     for upstream in &evidence.upstreams {
-        let began = upstream.entries.iter().filter_map(|it| match it {
+        let starts = upstream.entries.iter().filter_map(|it| match it {
             RunEntry::Started { at_ns, key, .. } if key == HARMFUL_KEY => Some(*at_ns),
             _ => None,
         });
-        let began = began.map(|it| (it, upstream.instance.as_str()));
-        runs.entry(&upstream.service).or_default().extend(began);
+        let starts = starts.map(|it| (it, upstream.instance.as_str()));
+        runs.entry(&upstream.service).or_default().extend(starts);
     }
     let mut findings = Vec::new();
     for (service, mut runs) in runs {
         runs.sort_unstable();
-        let Some((third_ns, _)) = runs.get(CRASHES_MAX - 1).copied() else { continue };
+        let Some((last_allowed_ns, _)) = runs.get(CRASHES_MAX - 1).copied() else { continue };
         let late = runs.iter().filter(|(at_ns, instance)| {
-            let excuses = |it: &Disturbance| {
+            let is_excuse = |it: &Disturbance| {
                 it.instance.as_deref().is_none_or(|it| it == *instance)
                     && it.window.overlaps(at_ns.saturating_sub(CRASH_REPORT_DELAY_NS), *at_ns)
             };
-            *at_ns > third_ns + CRASH_REPORT_DELAY_NS && !disturbances.iter().any(excuses)
+            *at_ns > last_allowed_ns + CRASH_REPORT_DELAY_NS && !disturbances.iter().any(is_excuse)
         });
         let more = late.count();
         if more > EXTRA_RUNS_MAX {
             let detail = format!(
-                "{service}: {more} more runs long after {CRASHES_MAX} upstreams had ended, {} in all",
+                "{service}: {more} further runs of the harmful request long after {CRASHES_MAX} upstreams had crashed, {} runs in total",
                 runs.len()
             );
             findings.push(Finding { invariant: "harmful_sent_on", detail });
@@ -103,7 +107,7 @@
     findings
 }
 
-/// How long an ended upstream stays away, as drawn from the seed.
+/// Draws the delay after which a crashed upstream is restarted.
 pub(super) fn restart_delay_from_seed(seed: u64) -> Duration {
     Duration::from_millis(Pcg64Mcg::seed_from_u64(seed ^ !OWN_STREAM).random_range(500..4_000))
 }
--- a/xtask/src/soak/injector.rs
+++ b/xtask/src/soak/injector.rs
@@ -1,4 +1,5 @@
-//! One lane: its instances, and the faults that strike them one after another.
+//! Fault injectors. Each injects a sequence of faults into its own instances; several run
+//! concurrently.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,12 +16,12 @@
     demo::evidence::{IngressOutage, PlannedStop, Window},
 };
 
-/// How long the store is away before it comes back from a copy.
+/// Time for which the object store is down before it restores a snapshot.
 const ROLLBACK_OUTAGE: Duration = Duration::from_millis(300);
-/// How often a lane looks for upstreams that have ended by themselves.
+/// Interval at which an injector looks for crashed upstreams.
 const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What was done to processes, for the verdict.
+/// Injected outages and stops of processes, as evidence for the verdict.
 #[derive(Debug, Default)]
 pub(super) struct InjectionRecord {
     pub(super) ingress_outages: Vec<IngressOutage>,
@@ -28,15 +29,16 @@
     pub(super) disturbances: Vec<Disturbance>,
 }
 
-/// An instance with its way to the store.
+/// Instance with the proxy between its agent and the object store.
 struct ProxiedInstance {
     instance: Instance,
     proxy: Proxy,
     peers: Vec<SocketAddr>,
-    /// When its upstream was found to have ended under a request.
+    /// Time at which the upstream was found to have crashed in a request; `None` while it has not.
     crash_detected_at: Option<Instant>,
 }
 
+/// Group of instances with the faults that are planned for them.
 pub(super) struct FaultInjector {
     instances: Vec<ProxiedInstance>,
     pub(super) planned: Vec<PlannedFault>,
@@ -44,7 +46,8 @@
     seed: u64,
 }
 
-/// Deals the instances out to lanes, round by round, so that each service is struck by several at a time.
+/// Distributes the instances round-robin over `count` injectors, so that several of them inject
+/// faults into the same service concurrently.
 pub(super) fn split_instances(
     cluster: &mut Cluster,
     proxies: Vec<Proxy>,
@@ -58,24 +61,24 @@
         .map(|_| FaultInjector { instances: Vec::new(), planned: Vec::new(), until, seed })
         .collect();
     let instances = std::mem::take(&mut cluster.instances);
-    for (at, ((instance, proxy), peers)) in
+    for (index, ((instance, proxy), peers)) in
         instances.into_iter().zip(proxies).zip(peers).enumerate()
     {
-        injectors[at % count].instances.push(ProxiedInstance {
+        injectors[index % count].instances.push(ProxiedInstance {
             instance,
             proxy,
             peers,
             crash_detected_at: None,
         });
     }
-    for (at, injector) in injectors.iter_mut().enumerate() {
-        let own: Vec<usize> = (0..injector.instances.len()).collect();
-        injector.planned = faults::plan(seed.wrapping_add(at as u64), &own, until);
+    for (index, injector) in injectors.iter_mut().enumerate() {
+        let instances: Vec<usize> = (0..injector.instances.len()).collect();
+        injector.planned = faults::plan(seed.wrapping_add(index as u64), &instances, until);
     }
     injectors
 }
 
-/// Gives the instances back to their cluster.
+/// Moves the instances back to their cluster and returns their proxies.
 pub(super) fn return_instances(cluster: &mut Cluster, injectors: Vec<FaultInjector>) -> Vec<Proxy> {
     let instances = injectors.into_iter().flat_map(|it| it.instances);
     let (instances, proxies) = instances.map(|it| (it.instance, it.proxy)).unzip();
@@ -84,7 +87,7 @@
 }
 
 impl ProxiedInstance {
-    /// Starts the upstream again if a request has ended it and it has been away for long enough.
+    /// Restarts the upstream if a request has crashed it and the restart delay has passed.
     fn restart_crashed_upstream(
         &mut self,
         restart_delay: Duration,
@@ -106,7 +109,7 @@
 }
 
 impl FaultInjector {
-    /// Brings the faults about, each at its time, and undoes them.
+    /// Injects each planned fault at its time and ends it after its duration.
     pub(super) async fn inject(
         &mut self,
         cluster: &Cluster,
@@ -116,7 +119,7 @@
         let mut record = InjectionRecord::default();
         for it in std::mem::take(&mut self.planned) {
             self.restart_crashed_until(start + it.after, cluster, binaries).await?;
-            log::info!(target: "soak", "{it:?}.");
+            log::info!(target: "soak", "Injecting {it:?}.");
             let from_ns = wall_ns();
             let ProxiedInstance { instance, proxy, peers, .. } = &mut self.instances[it.instance];
             match it.fault {
@@ -132,9 +135,9 @@
                     inject_instance_fault(instance, fault, it.duration, &with, &mut record).await?;
                 }
             }
-            let is_for_all = matches!(it.fault, Fault::Store(_));
+            let affects_all = matches!(it.fault, Fault::Store(_));
             let window = Window { from_ns, until_ns: wall_ns() };
-            let instance = (!is_for_all).then(|| instance.name.clone());
+            let instance = (!affects_all).then(|| instance.name.clone());
             record.disturbances.push(Disturbance { instance, window });
         }
         let restart_delay = harmful::restart_delay_from_seed(self.seed);
@@ -147,7 +150,7 @@
         Ok(record)
     }
 
-    /// Waits, and starts the upstreams again meanwhile that a request has ended.
+    /// Waits until the given time and meanwhile restarts upstreams that a request has crashed.
     async fn restart_crashed_until(
         &mut self,
         until: Instant,
@@ -181,7 +184,8 @@
     cluster.set_platform_faults(off).await
 }
 
-/// The store loses what is written from now on, and is away for a moment in the end.
+/// Takes a snapshot of the object store and restores it after `duration`, following a short outage:
+/// all writes in between are lost.
 async fn roll_back(cluster: &Cluster, duration: Duration) -> anyhow::Result<()> {
     cluster.snapshot_platform().await?;
     sleep(duration).await;
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -1,9 +1,10 @@
-//! Real processes under faults that overlap, for as long as is asked for, judged by what callers and
-//! upstreams have seen.
+//! Soak test: real processes under overlapping faults for a given time, checked by the journals of
+//! callers and upstreams.
 //!
-//! What is asserted are promises that hold at any time: an answer is one's own and whole, what may not be
-//! repeated runs once, "not run" is true, one owner for each key, a planned stop cuts nothing off; and once the
-//! faults are over each key is served again.
+//! It checks invariants that hold at any time: a response is complete and belongs to its request, a
+//! request that is not idempotent runs at most once, a request reported as "not run" has not run, each
+//! key has one owner, a graceful stop aborts no request. After the faults each key has to be served
+//! again.
 
 mod faults;
 mod harmful;
@@ -28,13 +29,14 @@
 
 use self::{harmful::HARMFUL_KEY, proxy::Proxy, verdict::Violation};
 
-/// Faults that strike at a time.
-const CONCURRENT_FAULTS: usize = 3;
-/// The first faults come once all callers are at work.
+/// Number of fault injectors that run concurrently.
+const CONCURRENT_INJECTORS: usize = 3;
+/// Time from the start of the callers to the fault period, so that all callers are running by then.
 const FIRST_FAULT_AFTER: Duration = Duration::from_secs(2);
-/// What is left to recover after the last fault: a lease, a takeover and the starts of processes.
+/// Time to recover after the fault period: long enough for a lease to expire, a takeover, and the
+/// start of processes.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(10);
-/// For so long after that each key is asked for, and has to be served.
+/// Time after the recovery in which each key is requested and has to be served.
 const CHECK_PERIOD: Duration = Duration::from_secs(5);
 const VIOLATIONS_SHOWN: usize = 20;
 
@@ -44,21 +46,21 @@
 pub(crate) struct SoakOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "what the faults are drawn from; at random if left out")]
+    #[options(no_short, help = "seed of the faults; random if left out")]
     seed: Option<u64>,
-    #[options(no_short, help = "for how many minutes faults strike", default = "1")]
+    #[options(no_short, help = "minutes for which faults are injected", default = "1")]
     minutes: f64,
     #[options(no_short, help = "print one JSON object as the last line")]
     json: bool,
 }
 
-/// What a soak came to.
+/// Report of a soak test.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct Report {
     seed: u64,
     minutes: f64,
-    /// Processes started over the whole run.
+    /// Number of processes started over the whole run.
     processes: usize,
     requests: usize,
     answered: usize,
@@ -66,9 +68,13 @@
     violations: usize,
 }
 
-/// Runs the soak; the exit code tells whether the promises held.
+/// Runs the soak test; the exit code is a success if no invariant was violated.
 pub(crate) async fn run(options: SoakOptions) -> anyhow::Result<ExitCode> {
-    anyhow::ensure!(options.minutes > 0.0, "--minutes: {} is no time to run for", options.minutes);
+    anyhow::ensure!(
+        options.minutes > 0.0,
+        "--minutes: expected a positive number, got {}",
+        options.minutes
+    );
     let binaries = Binaries::build(Profile::Dev)?;
     let _run_lock = run_lock::acquire().await?;
     let seed = options.seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
@@ -85,7 +91,7 @@
             }
         };
     for it in violations.iter().take(VIOLATIONS_SHOWN) {
-        print_line(&format!("broken: {it}"))?;
+        print_line(&format!("violated: {it}"))?;
     }
     if !violations.is_empty() {
         cluster.dir.keep();
@@ -94,14 +100,15 @@
             cluster.dir.path().display()
         ))?;
     }
-    print_line(if violations.is_empty() { "all promises held" } else { "promises broken" })?;
+    print_line(if violations.is_empty() { "all invariants held" } else { "invariants violated" })?;
     if options.json {
         print_line(&serde_json::to_string(&report)?)?;
     }
     Ok(if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// One service with a token check of its upstreams and one without, and one that is not divided by key.
+/// Selects a service whose upstreams check fence tokens, one whose upstreams do not, and one that is
+/// not sharded by key.
 fn services() -> Vec<ServiceSpec> {
     let wanted = ["standings", "avaliacao", "racecontrol"];
     let is_wanted = |it: &&ServiceSpec| wanted.iter().any(|name| it.document.contains(name));
@@ -129,7 +136,7 @@
     harmful::add_callers(&mut callers, cluster, FIRST_FAULT_AFTER + fault_period, start, seed);
     let mut evidence = Evidence { probed_keys: probed_keys().collect(), ..Evidence::default() };
     let mut injectors =
-        injector::split_instances(cluster, proxies, CONCURRENT_FAULTS, seed, fault_period);
+        injector::split_instances(cluster, proxies, CONCURRENT_INJECTORS, seed, fault_period);
     let faults = faults::counts(injectors.iter().flat_map(|it| &it.planned));
     let injections =
         injectors.iter_mut().map(|it| it.inject(cluster, binaries, start + FIRST_FAULT_AFTER));
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy on loopback that does to connections what networks do: delay, silence, cuts of one direction, resets.
+//! A loopback proxy that imitates network faults: delay, dropped bytes in one or both directions,
+//! closed connections.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,19 +17,19 @@
 
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What happens to all connections of a proxy.
+/// State of all connections of a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkState {
     Forwarding,
-    /// Each chunk is held back for this long.
+    /// Each chunk is delayed by this duration.
     Slow(Duration),
-    /// Nothing arrives at the server.
+    /// Bytes to the server are dropped.
     CutToServer,
-    /// Nothing arrives at the client.
+    /// Bytes to the client are dropped.
     CutToClient,
-    /// Nothing arrives anywhere, and nobody is told.
+    /// Bytes in both directions are dropped while connections stay open.
     Silent,
-    /// Connections are closed, new ones at once.
+    /// Open connections are closed, and new ones are closed at once.
     Closed,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// One proxy in front of one server. Its connections end when it is dropped.
+/// Proxy in front of one server. Dropping it closes its connections.
 pub(super) struct Proxy {
     pub(super) address: SocketAddr,
     state: watch::Sender<LinkState>,
@@ -56,7 +57,8 @@
 
 impl Proxy {
     pub(super) async fn start(listen: SocketAddr, server: SocketAddr) -> anyhow::Result<Proxy> {
-        let listener = TcpListener::bind(listen).await.context("binding a proxy")?;
+        let listener =
+            TcpListener::bind(listen).await.context("binding the listener of a proxy")?;
         let (state, state_receiver) = watch::channel(LinkState::Forwarding);
         let mut connections = JoinSet::new();
         connections.spawn(accept(listener, server, state_receiver));
@@ -74,7 +76,7 @@
         let client = match listener.accept().await {
             Ok((client, _)) => client,
             Err(error) => {
-                log::warn!(target: "soak", "A proxy could not take a connection: {error}.");
+                log::warn!(target: "soak", "Proxy failed to accept a connection; accepting the next one: {error}.");
                 continue;
             }
         };
@@ -86,23 +88,23 @@
 }
 
 async fn connect(client: TcpStream, server: SocketAddr, mut state: watch::Receiver<LinkState>) {
-    // Who can't be reached is seen by the client as a connection that ends.
+    // If the server is unreachable, the client sees its connection close.
     let Ok(server) = TcpStream::connect(server).await else { return };
     let (client_reader, client_writer) = client.into_split();
     let (server_reader, server_writer) = server.into_split();
     let to_server = forward(client_reader, server_writer, state.clone(), Direction::ToServer);
     let to_client = forward(server_reader, client_writer, state.clone(), Direction::ToClient);
     tokio::select! {
-        // An error on either side ends the connection like its end does: that is all the other side sees.
+        // An error on one side closes the connection to the other side, as a regular end does.
         _ = to_server => {}
         _ = to_client => {}
-        // The proxy itself has ended, or closes what it has.
+        // The proxy was dropped, or its state is now `Closed`.
         _ = state.wait_for(|it| *it == LinkState::Closed) => {}
     }
 }
 
-/// Passes bytes on until either side ends. What a cut has dropped leaves a gap, so the connection ends with
-/// the cut.
+/// Forwards bytes until one side closes. Dropped bytes leave a gap in the stream, so the connection
+/// is closed at the first bytes after the drops have stopped.
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/xtask/src/soak/tests.rs
+++ b/xtask/src/soak/tests.rs
@@ -1,4 +1,4 @@
-//! The plan of faults, and what the verdict sees.
+//! Tests of the drawn faults and of the verdict.
 
 use std::time::Duration;
 
@@ -16,21 +16,24 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 #[test]
-fn a_plan_is_the_same_for_the_same_seed_and_ends_in_time() {
+fn a_seed_determines_the_faults_and_all_end_within_the_fault_period() {
     for seed in 0..50 {
         let planned = faults::plan(seed, &[0, 1, 2], MINUTE);
         assert_eq!(planned, faults::plan(seed, &[0, 1, 2], MINUTE));
-        assert!(planned.len() > 5, "seed {seed}: {planned:?}");
-        let mut free_at = Duration::ZERO;
+        assert!(planned.len() > 5, "seed {seed}: expected more than 5 faults, got {planned:?}");
+        let mut previous_end = Duration::ZERO;
         for it in &planned {
-            assert!(it.after >= free_at && it.after + it.duration <= MINUTE, "seed {seed}: {it:?}");
-            free_at = it.after + it.duration;
+            assert!(
+                it.after >= previous_end && it.after + it.duration <= MINUTE,
+                "seed {seed}: overlaps or ends late: {it:?}"
+            );
+            previous_end = it.after + it.duration;
         }
     }
 }
 
 #[test]
-fn every_kind_of_fault_is_drawn() {
+fn all_kinds_of_faults_are_drawn() {
     let planned: Vec<_> = (0..50).flat_map(|it| faults::plan(it, &[0], MINUTE)).collect();
     assert_eq!(faults::counts(&planned).len(), 10, "{:?}", faults::counts(&planned));
 }
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn a_crossed_answer_and_a_key_that_is_not_served_again_are_seen() {
+fn the_verdict_reports_crossed_responses_and_keys_not_served_after_the_faults() {
     let evidence = Evidence {
         calls: vec![
             call("key-1", 5, FinalOutcome::Answered),
@@ -61,9 +64,9 @@
         probed_keys: ["key-1".to_owned(), "key-2".to_owned()].into(),
         ..Evidence::default()
     };
-    let seen = violations(&evidence, Window { from_ns: 10, until_ns: 20 });
-    let count = |invariant: &str| seen.iter().filter(|it| it.invariant == invariant).count();
-    assert_eq!((count("crossed_answers"), count("unserved")), (3, 1), "{seen:?}");
+    let found = violations(&evidence, Window { from_ns: 10, until_ns: 20 });
+    let count = |invariant: &str| found.iter().filter(|it| it.invariant == invariant).count();
+    assert_eq!((count("crossed_answers"), count("unserved")), (3, 1), "found {found:?}");
 }
 
 fn harmful_runs(at_s: &[u64]) -> Evidence {
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn a_harmful_request_that_is_sent_on_is_seen_unless_word_of_it_was_kept_back() {
+fn excess_runs_of_a_harmful_request_are_reported_unless_a_fault_excuses_them() {
     let few = harmful_runs(&[1, 2, 3, 5, 10, 20, 30]);
     assert_eq!(harmful::violations(&few, &[]), []);
     let many = harmful_runs(&[1, 2, 3, 10, 20, 30, 40]);
--- a/xtask/src/soak/verdict.rs
+++ b/xtask/src/soak/verdict.rs
@@ -1,4 +1,4 @@
-//! Which promises were broken, by the journals of callers and upstreams alone.
+//! Violated invariants, found in the journals of callers and upstreams alone.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
 
 pub(super) type Violation = Finding;
 
-/// Promises of the demo that hold however many faults overlap. How long a key goes unserved, and that a
-/// request is answered at all, is promised for single faults only.
+/// Invariants of the demo that hold under any number of overlapping faults. Bounds on the time that a
+/// key is unavailable, and that no request is lost, hold for single faults only.
 const INVARIANTS: [&str; 6] = [
     "ran_twice",
     "not_run_but_ran",
@@ -22,7 +22,7 @@
     "cut_off",
 ];
 
-/// All violations; in `check_window` each probed key has to be served again.
+/// Returns all violations; each probed key has to be served again within `check_window`.
 pub(super) fn violations(evidence: &Evidence, check_window: Window) -> Vec<Violation> {
     let verdict = Verdict::new(evidence, None);
     let mut violations: Vec<Violation> =
@@ -31,13 +31,15 @@
     violations
 }
 
+/// Returns a violation for each probed key that was requested but never answered in the window.
 fn unserved(evidence: &Evidence, check_window: Window) -> impl Iterator<Item = Violation> {
     let of_key = |service: &str, key: &str| format!("{service}/{key}");
     let in_time = evidence.calls.iter().filter(move |it| check_window.contains(it.first_sent_ns()));
-    let asked: BTreeSet<String> = in_time.clone().map(|it| of_key(&it.service, &it.key)).collect();
+    let requested: BTreeSet<String> =
+        in_time.clone().map(|it| of_key(&it.service, &it.key)).collect();
     let answered = in_time.filter(|it| it.outcome == FinalOutcome::Answered);
     let answered: BTreeSet<String> = answered.map(|it| of_key(&it.service, &it.key)).collect();
-    let probed: Vec<String> = asked
+    let probed: Vec<String> = requested
         .difference(&answered)
         .filter(|it| evidence.probed_keys.iter().any(|key| it.ends_with(&format!("/{key}"))))
         .cloned()
