--- a/crates/object-store/src/tests/eras.rs
+++ b/crates/object-store/src/tests/eras.rs
@@ -1,4 +1,4 @@
-//! What a client makes of the eras of a store.
+//! Tests of the era tracker: detection of rollbacks and use of revisions of earlier eras.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,19 @@
 use crate::{EraTracker, StoreError};
 
 #[test]
-fn the_first_return_from_a_copy_is_noticed_and_the_first_answer_is_none() {
+fn a_rollback_is_detected_but_not_at_the_first_answer() {
     for first in [0, 3] {
         let eras = EraTracker::default();
-        assert!(!eras.observe(first), "era {first}");
+        assert!(!eras.observe(first), "the first answer is no rollback, era {first}");
         assert!(!eras.observe(first));
-        assert!(eras.observe(first + 1), "era {first}");
-        assert!(!eras.observe(first), "an answer that was on its way");
+        assert!(eras.observe(first + 1), "a later era is a rollback, era {first}");
+        assert!(!eras.observe(first), "a delayed answer of an earlier era is no rollback");
         assert_eq!(eras.latest(), first + 1);
     }
 }
 
 #[test]
-fn a_revision_is_named_in_its_own_era_only() {
+fn a_revision_of_an_earlier_era_is_refused() {
     let eras = EraTracker::default();
     let before = ObjectVersion::of(0, 7);
     eras.observe(0);
@@ -31,7 +31,7 @@
     assert_eq!(
         eras.revision_for_update("a", ObjectVersion(0)),
         Ok(0),
-        "it must not exist, whatever the era"
+        "the condition that an object is absent holds in any era"
     );
     let peer = SocketAddr::from(([127, 0, 0, 1], 1));
     let after = ObjectVersion::of(1, 8);
--- a/crates/object-store/src/tests/follower.rs
+++ b/crates/object-store/src/tests/follower.rs
@@ -1,4 +1,4 @@
-//! A follower against a scripted platform, on a paused clock.
+//! Tests of a follower against a scripted platform, on a paused clock.
 
 use std::{
     collections::VecDeque,
@@ -16,34 +16,35 @@
     ObjectStore, StoreError, StoreResult,
 };
 
-/// What the platform says to one list or watch.
+/// ScriptedPlatform answer of the platform to one list or watch.
 #[derive(Clone)]
-enum Say {
-    /// A revision, and the objects that have changed, each named by its version.
+enum Answer {
+    /// A revision and the versions of the changed objects, from which their paths are derived.
     Changes(u64, &'static [u64]),
     Down,
     HistoryGone,
 }
 
-/// Answers from a script, then with nothing new for ever; a watch without news waits.
-struct Scripted {
-    script: Mutex<VecDeque<Say>>,
-    /// The revision of each watch that was asked for; none for a list.
+/// Platform that answers from a script, and without changes after its end.
+struct ScriptedPlatform {
+    script: Mutex<VecDeque<Answer>>,
+    /// Revision of each watch, or `None` for a list.
     calls: Mutex<Vec<Option<u64>>>,
+    /// Whether a watch without changes waits before it is answered.
     waits: bool,
 }
 
-impl Scripted {
+impl ScriptedPlatform {
     fn answer(&self, after: Option<u64>, wait: Duration) -> StoreResult<'_, Changes> {
         self.calls.lock().unwrap().push(after);
-        let say = self.script.lock().unwrap().pop_front();
+        let scripted = self.script.lock().unwrap().pop_front();
         Box::pin(async move {
-            let (revision, versions) = match say {
-                Some(Say::Down) => return Err(down()),
-                Some(Say::HistoryGone) => {
+            let (revision, versions) = match scripted {
+                Some(Answer::Down) => return Err(down()),
+                Some(Answer::HistoryGone) => {
                     return Err(StoreError::HistoryGone { step: "watch".to_owned() });
                 }
-                Some(Say::Changes(revision, versions)) => (revision, versions),
+                Some(Answer::Changes(revision, versions)) => (revision, versions),
                 None => {
                     sleep(if self.waits { wait } else { Duration::ZERO }).await;
                     (after.unwrap_or(0), &[][..])
@@ -65,7 +66,7 @@
     StoreError::Unavailable { step: "watch".to_owned(), peer, reason: "down".to_owned() }
 }
 
-impl ObjectStore for Scripted {
+impl ObjectStore for ScriptedPlatform {
     fn read(&self, _path: &str) -> StoreResult<'_, Option<Object>> {
         Box::pin(async { Ok(None) })
     }
@@ -93,14 +94,14 @@
     }
 }
 
-fn scripted(script: &[Say], waits: bool) -> Arc<Scripted> {
+fn scripted(script: &[Answer], waits: bool) -> Arc<ScriptedPlatform> {
     let script = Mutex::new(script.iter().cloned().collect());
-    Arc::new(Scripted { script, calls: Mutex::default(), waits })
+    Arc::new(ScriptedPlatform { script, calls: Mutex::default(), waits })
 }
 
-/// Follows through a script; each expected entry is what one call of `next` yields, and `calls`
-/// the revisions that were asked for.
-async fn check(script: &[Say], expected: &[Option<&[u64]>], calls: &[Option<u64>]) {
+/// Runs a follower through a script and checks the versions that each call of `next` returns (`None` for an error) and
+/// the revisions of its calls.
+async fn check(script: &[Answer], expected: &[Option<&[u64]>], calls: &[Option<u64>]) {
     let platform = scripted(script, true);
     let mut follower = Follower::new(platform.clone(), "accepted/", FollowerTimes::default());
     for expected in expected {
@@ -112,9 +113,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_list_comes_first_and_watches_go_on_from_it() {
+async fn watches_continue_from_the_revision_of_the_first_list() {
     check(
-        &[Say::Changes(7, &[3, 5]), Say::Changes(9, &[9]), Say::Changes(12, &[11, 12])],
+        &[Answer::Changes(7, &[3, 5]), Answer::Changes(9, &[9]), Answer::Changes(12, &[11, 12])],
         &[Some(&[3, 5]), Some(&[9]), Some(&[11, 12])],
         &[None, Some(7), Some(9)],
     )
@@ -122,9 +123,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_loses_nothing() {
+async fn no_change_is_lost_during_an_outage() {
     check(
-        &[Say::Down, Say::Changes(7, &[]), Say::Down, Say::Down, Say::Changes(8, &[8])],
+        &[
+            Answer::Down,
+            Answer::Changes(7, &[]),
+            Answer::Down,
+            Answer::Down,
+            Answer::Changes(8, &[8]),
+        ],
         &[None, Some(&[]), None, None, Some(&[8])],
         &[None, None, Some(7), Some(7), Some(7)],
     )
@@ -132,30 +139,30 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stale_answer_moves_nothing_back() {
+async fn a_stale_answer_reverts_nothing() {
     check(
-        &[Say::Changes(7, &[7]), Say::Changes(5, &[4, 5]), Say::Changes(8, &[6, 8])],
+        &[Answer::Changes(7, &[7]), Answer::Changes(5, &[4, 5]), Answer::Changes(8, &[6, 8])],
         &[Some(&[7]), Some(&[8])],
         &[None, Some(7), Some(7)],
     )
     .await;
 }
 
-/// What was missed is in the list; what was yielded before is not yielded again.
+/// The list contains the missed changes; changes that were returned before are not returned again.
 #[tokio::test(start_paused = true)]
-async fn a_dropped_history_is_made_up_for_by_a_list() {
+async fn a_list_after_a_dropped_history_yields_only_missed_changes() {
     check(
-        &[Say::Changes(7, &[3, 7]), Say::HistoryGone, Say::Changes(12, &[3, 7, 11])],
+        &[Answer::Changes(7, &[3, 7]), Answer::HistoryGone, Answer::Changes(12, &[3, 7, 11])],
         &[Some(&[3, 7]), None, Some(&[11])],
         &[None, Some(7), None],
     )
     .await;
 }
 
-/// A list shows what is there; what is not was deleted while nobody watched.
+/// An object that a later list does not contain was deleted while no watch was open.
 #[tokio::test(start_paused = true)]
-async fn what_is_missing_in_a_later_list_has_been_deleted() {
-    let script = [Say::Changes(7, &[3, 7]), Say::HistoryGone, Say::Changes(12, &[7])];
+async fn objects_missing_in_a_later_list_are_yielded_as_deleted() {
+    let script = [Answer::Changes(7, &[3, 7]), Answer::HistoryGone, Answer::Changes(12, &[7])];
     let mut follower =
         Follower::new(scripted(&script, true), "accepted/", FollowerTimes::default());
     assert_eq!(follower.next().await.unwrap().len(), 2);
@@ -165,11 +172,15 @@
     assert_eq!(follower.next().await.unwrap(), [deleted("accepted/3")]);
 }
 
-/// A list that was made before the last answer proves nothing of what came since.
+/// A list that is older than the last answer does not contain the objects created since.
 #[tokio::test(start_paused = true)]
 async fn a_stale_list_deletes_nothing() {
-    let script =
-        [Say::Changes(7, &[3, 7]), Say::HistoryGone, Say::Changes(5, &[3]), Say::Changes(9, &[9])];
+    let script = [
+        Answer::Changes(7, &[3, 7]),
+        Answer::HistoryGone,
+        Answer::Changes(5, &[3]),
+        Answer::Changes(9, &[9]),
+    ];
     let mut follower =
         Follower::new(scripted(&script, true), "accepted/", FollowerTimes::default());
     assert_eq!(follower.next().await.unwrap().len(), 2);
@@ -178,8 +189,8 @@
     assert_eq!(versions, [9]);
 }
 
-/// The calls of a follower in a minute of a platform that never has news.
-async fn calls_a_minute(script: &[Say], waits: bool) -> u64 {
+/// Returns the number of calls of a follower per minute to a platform that has no changes after its script.
+async fn calls_per_minute(script: &[Answer], waits: bool) -> u64 {
     let counts: Arc<CallCounts> = Arc::default();
     let platform = CountedStore::new(scripted(script, waits), Arc::clone(&counts));
     let mut follower = Follower::new(Arc::new(platform), "accepted/", FollowerTimes::default());
@@ -190,11 +201,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_cost_to_the_platform_is_bounded() {
-    assert_eq!(calls_a_minute(&[], true).await, 4, "a list, then a watch each 20 s");
-    let down = vec![Say::Down; 1_000];
-    // At 0, 0.2, 0.6, 1.4, 3 and 6.2 s, then each 5 s up to 56.2 s.
-    assert_eq!(calls_a_minute(&down, true).await, 6 + 10);
-    // Watches that end at once are not renewed at once: at 0, 0.1 and so on up to 60 s.
-    assert_eq!(calls_a_minute(&[], false).await, 601);
+async fn calls_to_the_platform_are_limited_per_minute() {
+    assert_eq!(calls_per_minute(&[], true).await, 4, "expected one list and a watch every 20 s");
+    let down = vec![Answer::Down; 1_000];
+    // Calls at 0, 0.2, 0.6, 1.4, 3 and 6.2 s, then every 5 s up to 56.2 s.
+    assert_eq!(calls_per_minute(&down, true).await, 6 + 10);
+    // Watches that are answered immediately are repeated every 0.1 s, from 0 to 60 s.
+    assert_eq!(calls_per_minute(&[], false).await, 601);
 }
--- a/crates/object-store/src/tests/mod.rs
+++ b/crates/object-store/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP client, and of what goes on top of any platform.
+//! Tests of the HTTP client, the era tracker and the follower.
 
 mod eras;
 mod follower;
