--- a/crates/object-store/src/tests/http.rs
+++ b/crates/object-store/src/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client over real sockets, to a server that answers from a script.
+//! Tests of the HTTP client over real sockets, against a server that answers from a script.
 
 use std::{
     collections::VecDeque,
@@ -16,13 +16,13 @@
 
 use crate::{Change, Changes, HttpObjectStore, Object, ObjectStore, StoreError, Timeouts};
 
-/// What a server does with one request.
+/// Reaction of the server to one request.
 #[derive(Clone)]
 enum Reply {
     Answer(String),
-    /// Closes the connection after these bytes.
-    Break(String),
-    Silence,
+    /// Sends these bytes and closes the connection.
+    Close(String),
+    NoAnswer,
 }
 
 fn answer(status: &str, headers: &str, body: &str) -> Reply {
@@ -30,11 +30,12 @@
     Reply::Answer(format!("HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}"))
 }
 
-/// A server with what is left of its script and the requests so far, each with the number of its
-/// connection.
+/// Server that answers requests from a script and records them.
 struct Server {
     address: SocketAddr,
+    /// Replies that have not been used yet.
     script: Mutex<VecDeque<Reply>>,
+    /// Requests so far, each with the number of its connection.
     requests: Mutex<Vec<(usize, String)>>,
 }
 
@@ -51,7 +52,7 @@
             for connection in 1.. {
                 let (stream, _) = listener.accept().await.unwrap();
                 let server = Arc::clone(&server);
-                tokio::spawn(async move { server.converse(stream, connection).await });
+                tokio::spawn(async move { server.serve_connection(stream, connection).await });
             }
         }
     });
@@ -59,15 +60,15 @@
 }
 
 impl Server {
-    async fn converse(&self, mut stream: TcpStream, connection: usize) {
+    async fn serve_connection(&self, mut stream: TcpStream, connection: usize) {
         while let Some(request) = read_request(&mut stream).await {
             self.requests.lock().unwrap().push((connection, request));
             let reply = self.script.lock().unwrap().pop_front().expect("a scripted reply");
             match reply {
                 Reply::Answer(text) => stream.write_all(text.as_bytes()).await.unwrap(),
-                Reply::Break(text) => return stream.write_all(text.as_bytes()).await.unwrap(),
-                // Until the caller gives up and closes.
-                Reply::Silence => _ = stream.read(&mut [0]).await,
+                Reply::Close(text) => return stream.write_all(text.as_bytes()).await.unwrap(),
+                // Sends nothing until the client times out and closes the connection.
+                Reply::NoAnswer => _ = stream.read(&mut [0]).await,
             }
         }
     }
@@ -76,16 +77,16 @@
         self.requests.lock().unwrap()[index].1.clone()
     }
 
-    /// A client whose timeout passes only where the script is silent.
+    /// Returns a client whose timeout is short only if the first request gets no answer.
     fn platform(&self) -> HttpObjectStore {
-        let silent = matches!(self.script.lock().unwrap()[0], Reply::Silence);
-        let call = Duration::from_millis(if silent { 50 } else { 30_000 });
+        let is_unanswered = matches!(self.script.lock().unwrap()[0], Reply::NoAnswer);
+        let call = Duration::from_millis(if is_unanswered { 50 } else { 30_000 });
         HttpObjectStore::new(self.address, Timeouts { call, watch_margin: call }).unwrap()
     }
 
-    /// The kind of an error, which must name its step and its peer.
+    /// Returns the kind of an error and checks that the error contains its step and its peer.
     fn kind(&self, error: &StoreError, step: &str) -> &'static str {
-        assert!(error.to_string().starts_with(step), "{error}");
+        assert!(error.to_string().starts_with(step), "expected an error of {step}: {error}");
         match error {
             StoreError::Conflict { .. } => "conflict",
             StoreError::Refused { peer, .. } if *peer == self.address => "refused",
@@ -95,7 +96,7 @@
     }
 }
 
-/// Reads a request, body included; none when the caller has closed.
+/// Reads a request with its body. Returns `None` once the client has closed the connection.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut buffer = [0; 4096];
@@ -127,24 +128,24 @@
 }
 
 #[tokio::test]
-async fn an_update_says_what_is_known_of_its_effect() {
+async fn the_answer_to_an_update_maps_to_success_or_the_kind_of_error() {
     check_update(answer("200 OK", "x-object-version: 9\r\n", ""), Ok(9)).await;
     check_update(answer("409 Conflict", "x-object-version: 7\r\n", ""), Err("conflict")).await;
     check_update(answer("400 Bad Request", "", "no such kind"), Err("refused")).await;
     check_update(answer("404 Not Found", "", ""), Err("refused")).await;
     check_update(answer("503 Service Unavailable", "", ""), Err("unavailable")).await;
     check_update(answer("200 OK", "", ""), Err("unavailable")).await;
-    check_update(Reply::Break(String::new()), Err("unavailable")).await;
-    check_update(Reply::Silence, Err("unavailable")).await;
+    check_update(Reply::Close(String::new()), Err("unavailable")).await;
+    check_update(Reply::NoAnswer, Err("unavailable")).await;
 }
 
 #[tokio::test]
-async fn an_object_is_read_whole_or_not_at_all() {
-    let cut = "HTTP/1.1 200 OK\r\nx-object-version: 3\r\ncontent-length: 9\r\n\r\n{\"a\"";
+async fn a_truncated_object_is_an_error() {
+    let truncated = "HTTP/1.1 200 OK\r\nx-object-version: 3\r\ncontent-length: 9\r\n\r\n{\"a\"";
     let server = serve([
         answer("200 OK", "x-object-version: 3\r\n", "{\"a\": 1}"),
         answer("404 Not Found", "", ""),
-        Reply::Break(cut.to_owned()),
+        Reply::Close(truncated.to_owned()),
     ])
     .await;
     let platform = server.platform();
@@ -156,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn connections_are_kept() {
+async fn connections_are_reused() {
     const CALLS: usize = 20;
     let server = serve(vec![answer("404 Not Found", "", ""); CALLS]).await;
     let platform = server.platform();
@@ -164,11 +165,14 @@
         assert_eq!(platform.read("services/s").await, Ok(None));
     }
     let connections = server.requests.lock().unwrap().iter().map(|it| it.0).max().unwrap();
-    assert!(connections < CALLS / 2, "{connections} connections for {CALLS} calls in turn");
+    assert!(
+        connections < CALLS / 2,
+        "{connections} connections were opened for {CALLS} consecutive calls"
+    );
 }
 
 #[tokio::test]
-async fn lists_and_watches_carry_their_revision() {
+async fn lists_and_watches_return_their_revision() {
     let body = r#"[{"path":"accepted/a","version":5,"body":"{}"},{"path":"accepted/b","version":6,"body":null}]"#;
     let server = serve([
         answer("200 OK", "x-revision: 6\r\n", body),
@@ -197,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn nobody_at_the_address_is_unavailable() {
+async fn a_refused_connection_is_unavailable() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
