--- a/crates/http-pool/src/tests/mod.rs
+++ b/crates/http-pool/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The pool against a peer that answers as each test writes it.
+//! Tests of the pool against a peer with scripted replies.
 
 use std::{
     io::{Read, Write},
@@ -28,151 +28,156 @@
     probe_interval: Some(Duration::from_secs(1)),
 };
 
-/// A peer that gives each request on a connection the next of these texts, and closes after the last.
-async fn peer(answers: &'static [&'static [&'static str]]) -> Pool {
+/// Starts a peer and returns a pool of connections to it. The peer replies to the requests on each connection with the
+/// texts of one element of `replies`, and closes the connection after the last one.
+async fn pool_of_peer(replies: &'static [&'static [&'static str]]) -> Pool {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
-        for connection in answers {
+        for connection in replies {
             let (mut stream, _) = listener.accept().await.unwrap();
-            for answer in *connection {
+            for reply in *connection {
                 let mut buffer = [0; 4096];
                 if stream.read(&mut buffer).await.unwrap() == 0 {
                     break;
                 }
-                stream.write_all(answer.as_bytes()).await.unwrap();
+                stream.write_all(reply.as_bytes()).await.unwrap();
             }
         }
     });
     Pool::new(address, CONFIG)
 }
 
-async fn ask(pool: &Pool) -> Result<String, ExchangeError> {
-    let request = Request::get("/x").header("host", "a.example").body(Full::new(Bytes::new()));
-    let reply = pool.exchange(request.unwrap(), 1000, |_| true).await?;
+async fn request(pool: &Pool) -> Result<String, ExchangeError> {
+    let get = Request::get("/x").header("host", "a.example").body(Full::new(Bytes::new()));
+    let reply = pool.exchange(get.unwrap(), 1000, |_| true).await?;
     Ok(String::from_utf8(reply.body.to_vec()).unwrap())
 }
 
-async fn ask_of_kind(pool: &Pool, kind: CallKind) -> Result<String, ExchangeError> {
-    let request = Request::get("/x").header("host", "a.example").body(Full::new(Bytes::new()));
-    let reply = pool.exchange_of_kind(kind, request.unwrap(), 1000, |_| true).await?;
+async fn request_of_kind(pool: &Pool, kind: CallKind) -> Result<String, ExchangeError> {
+    let get = Request::get("/x").header("host", "a.example").body(Full::new(Bytes::new()));
+    let reply = pool.exchange_of_kind(kind, get.unwrap(), 1000, |_| true).await?;
     Ok(String::from_utf8(reply.body.to_vec()).unwrap())
 }
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 #[tokio::test]
-async fn a_connection_is_used_again() {
-    let pool = peer(&[&[OK, OK, OK]]).await;
+async fn a_connection_is_reused() {
+    let pool = pool_of_peer(&[&[OK, OK, OK]]).await;
     for _ in 0..3 {
-        assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
+        assert_eq!(request(&pool).await.as_deref(), Ok("ok"));
     }
     assert_eq!(pool.connections_opened(), 1);
 }
 
 #[tokio::test]
-async fn a_connection_that_its_peer_closes_is_not() {
+async fn a_connection_that_the_peer_closes_is_not_reused() {
     const CLOSE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok";
     const SHORT: &str = "HTTP/1.1 200 OK\r\nkeep-alive: timeout=1\r\ncontent-length: 2\r\n\r\nok";
-    let pool = peer(&[&[CLOSE], &[SHORT], &[OK]]).await;
+    let pool = pool_of_peer(&[&[CLOSE], &[SHORT], &[OK]]).await;
     for _ in 0..3 {
-        assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
+        assert_eq!(request(&pool).await.as_deref(), Ok("ok"));
     }
     assert_eq!(pool.connections_opened(), 3);
 }
 
 #[tokio::test]
-async fn a_call_of_a_kind_does_not_directly_follow_another() {
+async fn consecutive_calls_of_a_kind_use_different_connections() {
     const KIND: CallKind = CallKind("one");
-    let pool = peer(&[&[OK, OK, OK, OK, OK], &[OK]]).await;
-    ask_of_kind(&pool, KIND).await.unwrap();
-    ask_of_kind(&pool, CallKind("other")).await.unwrap();
-    ask_of_kind(&pool, KIND).await.unwrap();
-    ask(&pool).await.unwrap();
-    assert_eq!(pool.connections_opened(), 1, "something else came between");
-    ask_of_kind(&pool, KIND).await.unwrap();
-    ask_of_kind(&pool, KIND).await.unwrap();
+    let pool = pool_of_peer(&[&[OK, OK, OK, OK, OK], &[OK]]).await;
+    request_of_kind(&pool, KIND).await.unwrap();
+    request_of_kind(&pool, CallKind("other")).await.unwrap();
+    request_of_kind(&pool, KIND).await.unwrap();
+    request(&pool).await.unwrap();
+    assert_eq!(
+        pool.connections_opened(),
+        1,
+        "expected one connection, as calls of other kinds came between"
+    );
+    request_of_kind(&pool, KIND).await.unwrap();
+    request_of_kind(&pool, KIND).await.unwrap();
     assert_eq!(pool.connections_opened(), 2);
 }
 
 #[tokio::test]
-async fn bytes_behind_an_answer_belong_to_no_request() {
+async fn a_connection_with_bytes_after_a_reply_is_not_reused() {
     const TWICE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\
                          content-length: 3\r\n\r\nbad";
-    let pool = peer(&[&[TWICE], &[OK]]).await;
-    assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
-    assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
+    let pool = pool_of_peer(&[&[TWICE], &[OK]]).await;
+    assert_eq!(request(&pool).await.as_deref(), Ok("ok"));
+    assert_eq!(request(&pool).await.as_deref(), Ok("ok"));
     assert_eq!(pool.connections_opened(), 2);
 }
 
 #[tokio::test]
-async fn what_breaks_off_is_no_answer() {
+async fn an_incomplete_reply_is_an_error() {
     const SHORT: &str = "HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nok";
-    let pool = peer(&[&[SHORT]]).await;
-    assert!(matches!(ask(&pool).await, Err(ExchangeError::Broken(_))));
+    let pool = pool_of_peer(&[&[SHORT]]).await;
+    assert!(matches!(request(&pool).await, Err(ExchangeError::Broken(_))));
     const CHUNK: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n";
-    let pool = peer(&[&[CHUNK]]).await;
-    assert!(matches!(ask(&pool).await, Err(ExchangeError::Broken(_))));
-    let pool = peer(&[&["nonsense\r\n\r\n"]]).await;
-    assert!(matches!(ask(&pool).await, Err(ExchangeError::Lost(_))));
+    let pool = pool_of_peer(&[&[CHUNK]]).await;
+    assert!(matches!(request(&pool).await, Err(ExchangeError::Broken(_))));
+    let pool = pool_of_peer(&[&["nonsense\r\n\r\n"]]).await;
+    assert!(matches!(request(&pool).await, Err(ExchangeError::Lost(_))));
 }
 
 #[tokio::test]
-async fn an_answer_without_a_length_ends_with_its_connection() {
-    let pool = peer(&[&["HTTP/1.1 200 OK\r\n\r\nok"]]).await;
-    assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
+async fn a_reply_without_a_length_ends_with_the_connection() {
+    let pool = pool_of_peer(&[&["HTTP/1.1 200 OK\r\n\r\nok"]]).await;
+    assert_eq!(request(&pool).await.as_deref(), Ok("ok"));
 }
 
 #[tokio::test]
-async fn what_was_not_sent_is_told_apart() {
+async fn a_request_that_was_not_sent_differs_from_a_lost_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
     let pool = Pool::new(address, CONFIG);
-    assert!(matches!(ask(&pool).await, Err(ExchangeError::NotSent(_))));
-    // The peer takes the connection and closes it: the request may have arrived.
-    let pool = peer(&[&[""]]).await;
-    assert!(matches!(ask(&pool).await, Err(ExchangeError::Lost(_))));
+    assert!(matches!(request(&pool).await, Err(ExchangeError::NotSent(_))));
+    // The peer accepts the connection, reads and closes it, so the request may have arrived.
+    let pool = pool_of_peer(&[&[""]]).await;
+    assert!(matches!(request(&pool).await, Err(ExchangeError::Lost(_))));
 }
 
-/// Closes a connection so that its peer is told of a reset.
+/// Closes a connection with a TCP reset.
 fn reset(stream: std::net::TcpStream) {
     SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
 #[tokio::test]
-async fn a_request_that_finds_kept_connections_reset_goes_on_with_a_new_one() {
+async fn a_request_on_reset_idle_connections_uses_a_new_connection() {
     let listener = BlockingListener::bind("127.0.0.1:0").unwrap();
     let pool = Pool::new(listener.local_addr().unwrap(), CONFIG);
-    let (resets, reset_now) = mpsc::channel::<()>();
-    let (are_reset, done) = mpsc::channel();
+    let (request_reset, reset_requested) = mpsc::channel::<()>();
+    let (report_reset, reset_reported) = mpsc::channel();
     let peer = thread::spawn(move || {
-        let answer = |listener: &BlockingListener| {
+        let serve = |listener: &BlockingListener| {
             let (mut stream, _) = listener.accept().unwrap();
             assert_ne!(stream.read(&mut [0; 4096]).unwrap(), 0);
             stream.write_all(OK.as_bytes()).unwrap();
             stream
         };
-        let kept = [answer(&listener), answer(&listener)];
-        reset_now.recv().unwrap();
+        let kept = [serve(&listener), serve(&listener)];
+        reset_requested.recv().unwrap();
         kept.into_iter().for_each(reset);
-        are_reset.send(()).unwrap();
-        drop(answer(&listener));
+        report_reset.send(()).unwrap();
+        drop(serve(&listener));
     });
-    let (one, other) = tokio::join!(ask(&pool), ask(&pool));
+    let (one, other) = tokio::join!(request(&pool), request(&pool));
     one.and(other).unwrap();
-    resets.send(()).unwrap();
-    // Blocks the runtime, so that the connections are still thought to be open.
-    done.recv().unwrap();
-    // The resets are seen only by this, and what they wake runs later.
+    request_reset.send(()).unwrap();
+    // Blocks the runtime, so that the pool still considers the connections open.
+    reset_reported.recv().unwrap();
+    // Lets the runtime notice the resets; the tasks that they wake run only later.
     yield_now().await;
-    assert_eq!(ask(&pool).await.as_deref(), Ok("ok"));
+    assert_eq!(request(&pool).await.as_deref(), Ok("ok"));
     assert_eq!(pool.connections_opened(), 3);
     peer.join().unwrap();
 }
 
 #[tokio::test]
-async fn a_request_that_may_have_been_written_is_not_sent_again() {
+async fn a_request_that_may_have_been_written_is_not_resent() {
     let listener = BlockingListener::bind("127.0.0.1:0").unwrap();
     let pool = Pool::new(listener.local_addr().unwrap(), CONFIG);
     let peer = thread::spawn(move || {
@@ -184,41 +189,41 @@
         listener.set_nonblocking(true).unwrap();
         listener
     });
-    ask(&pool).await.unwrap();
-    let answer = timeout(CONFIG.connect_timeout, ask(&pool)).await;
-    assert!(matches!(answer, Ok(Err(ExchangeError::Lost(_)))), "{answer:?}");
+    request(&pool).await.unwrap();
+    let result = timeout(CONFIG.connect_timeout, request(&pool)).await;
+    assert!(matches!(result, Ok(Err(ExchangeError::Lost(_)))), "{result:?}");
     let listener = peer.join().unwrap();
-    assert!(listener.accept().is_err(), "no other connection");
+    assert!(listener.accept().is_err(), "expected no other connection");
     assert_eq!(pool.connections_opened(), 1);
 }
 
 #[tokio::test]
-async fn a_request_whose_write_fails_is_not_sent_again() {
+async fn a_request_whose_write_fails_is_not_resent() {
     let listener = BlockingListener::bind("127.0.0.1:0").unwrap();
     let pool = Pool::new(listener.local_addr().unwrap(), CONFIG);
-    let (resets, reset_now) = mpsc::channel::<()>();
-    let (is_reset, done) = mpsc::channel();
+    let (request_reset, reset_requested) = mpsc::channel::<()>();
+    let (report_reset, reset_reported) = mpsc::channel();
     let peer = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         assert_ne!(stream.read(&mut [0; 4096]).unwrap(), 0);
         stream.write_all(OK.as_bytes()).unwrap();
-        reset_now.recv().unwrap();
+        reset_requested.recv().unwrap();
         reset(stream);
-        is_reset.send(()).unwrap();
+        report_reset.send(()).unwrap();
         listener.set_nonblocking(true).unwrap();
         listener
     });
-    ask(&pool).await.unwrap();
-    resets.send(()).unwrap();
-    done.recv().unwrap();
-    let answer = timeout(CONFIG.connect_timeout, ask(&pool)).await;
-    assert!(matches!(answer, Ok(Err(ExchangeError::Lost(_)))), "{answer:?}");
-    assert!(peer.join().unwrap().accept().is_err(), "no other connection");
+    request(&pool).await.unwrap();
+    request_reset.send(()).unwrap();
+    reset_reported.recv().unwrap();
+    let result = timeout(CONFIG.connect_timeout, request(&pool)).await;
+    assert!(matches!(result, Ok(Err(ExchangeError::Lost(_)))), "{result:?}");
+    assert!(peer.join().unwrap().accept().is_err(), "expected no other connection");
     assert_eq!(pool.connections_opened(), 1);
 }
 
 #[tokio::test]
-async fn a_peer_that_resets_new_connections_can_be_reached() {
+async fn a_peer_that_resets_new_connections_counts_as_reachable() {
     let listener = BlockingListener::bind("127.0.0.1:0").unwrap();
     let pool = Pool::new(listener.local_addr().unwrap(), CONFIG);
     thread::spawn(move || {
@@ -227,14 +232,14 @@
         }
     });
     for _ in 0..200 {
-        let answer = ask(&pool).await;
-        assert!(!matches!(answer, Err(ExchangeError::NotSent(_))), "{answer:?}");
+        let result = request(&pool).await;
+        assert!(!matches!(result, Err(ExchangeError::NotSent(_))), "{result:?}");
     }
 }
 
 #[tokio::test]
-async fn an_answer_may_be_too_large() {
+async fn a_too_large_reply_is_an_error() {
     const LARGE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 1001\r\n\r\n";
-    let pool = peer(&[&[LARGE]]).await;
-    assert!(matches!(ask(&pool).await, Err(ExchangeError::Broken(_))));
+    let pool = pool_of_peer(&[&[LARGE]]).await;
+    assert!(matches!(request(&pool).await, Err(ExchangeError::Broken(_))));
 }
