--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the HTTP client of an upstream: headers of a request and classification of its answers and failures.
+
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -10,18 +12,19 @@
 
 use crate::{Answer, CallError, HttpUpstream, Request, Upstream};
 
-/// Calls an upstream that reads one request and answers these raw bytes, then hangs up.
+/// Calls an upstream that reads one request, sends the raw bytes `answer` and closes the connection. Passes the result
+/// of the call and the received request to `expected`.
 async fn check(answer: &'static str, expected: impl FnOnce(Result<Answer, CallError>, String)) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let mut seen = Vec::new();
-        while !seen.ends_with(b"body") {
-            assert_ne!(stream.read_buf(&mut seen).await.unwrap(), 0);
+        let mut received = Vec::new();
+        while !received.ends_with(b"body") {
+            assert_ne!(stream.read_buf(&mut received).await.unwrap(), 0);
         }
         stream.write_all(answer.as_bytes()).await.unwrap();
-        String::from_utf8(seen).unwrap()
+        String::from_utf8(received).unwrap()
     });
     let upstream = HttpUpstream::new(address, 4, 16).unwrap();
     let result = upstream.call(request()).await;
@@ -42,20 +45,20 @@
 }
 
 #[tokio::test]
-async fn whole_answer_and_headers() {
-    check("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", |result, seen| {
+async fn a_request_carries_its_headers_and_returns_the_answer() {
+    check("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", |result, received| {
         assert_eq!(&result.unwrap().body[..], b"ok");
-        let seen = seen.to_ascii_lowercase();
-        assert!(seen.starts_with("post /svc/x?y=1 http/1.1\r\n"), "{seen}");
+        let received = received.to_ascii_lowercase();
+        assert!(received.starts_with("post /svc/x?y=1 http/1.1\r\n"), "{received}");
         for line in ["x-request-id: abc", "x-fence-token: 3.7", "x-deadline-ms: 1500"] {
-            assert!(seen.contains(&format!("{line}\r\n")), "{seen}");
+            assert!(received.contains(&format!("{line}\r\n")), "{received}");
         }
     })
     .await;
 }
 
 #[tokio::test]
-async fn refused_before_running() {
+async fn a_503_with_the_not_run_header_is_refused() {
     let answer = "HTTP/1.1 503 x\r\nx-not-run: 1\r\nretry-after: 2\r\ncontent-length: 0\r\n\r\n";
     check(answer, |result, _| match result.unwrap_err() {
         CallError::Refused { retry_after, .. } => {
@@ -67,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn plain_503_is_an_answer() {
+async fn a_503_without_the_not_run_header_is_an_answer() {
     check("HTTP/1.1 503 x\r\ncontent-length: 0\r\n\r\n", |result, _| {
         assert_eq!(result.unwrap().status, StatusCode::SERVICE_UNAVAILABLE);
     })
@@ -75,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn short_answer_is_broken() {
+async fn a_truncated_answer_is_broken() {
     check("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok", |result, _| {
         assert!(matches!(result, Err(CallError::Broken { .. })), "{result:?}");
     })
@@ -83,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn oversized_answer_is_broken() {
+async fn a_too_large_answer_is_broken() {
     let answer = "HTTP/1.1 200 OK\r\ncontent-length: 17\r\n\r\n12345678901234567";
     check(answer, |result, _| {
         assert!(matches!(result, Err(CallError::Broken { .. })), "{result:?}");
@@ -92,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn hang_up_after_sending_is_lost() {
+async fn a_connection_closed_without_an_answer_is_lost() {
     check("", |result, _| {
         assert!(matches!(result, Err(CallError::Lost { .. })), "{result:?}");
     })
@@ -100,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn nobody_listens_is_not_sent() {
+async fn a_refused_connection_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
