--- a/crates/model/src/tests.rs
+++ b/crates/model/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of names, tokens and the key hash.
+//! Tests of names, tokens, the key hash and ordered keys.
 
 use crate::{NameError, ServiceName, Slot, SlotCount, Term, Token, key_hash};
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn names_are_checked() {
+fn invalid_names_are_refused() {
     check("lapboard-1", Ok("lapboard-1"));
     check("", Err(NameError::Empty));
     check("Lap", Err(NameError::Character('L')));
@@ -24,29 +24,33 @@
 }
 
 #[test]
-fn the_key_hash_is_fixed() {
-    // A change here would move every key of every running service.
+fn the_key_hash_does_not_change() {
+    // Another hash would move every key of every running service to another slot.
     assert_eq!(key_hash(b"car-7").0, 5_296_303_634_094_096_872);
 }
 
 #[test]
-fn tokens_order_by_term_first() {
+fn tokens_are_ordered_by_term_before_sequence() {
     let token = |term, sequence| Token { term: Term(term), sequence };
     assert!(token(2, 0) > token(1, 9));
     assert!(token(2, 1) > token(2, 0));
 }
 
 #[test]
-fn ordered_keys_lie_in_the_slots_that_name_them() {
+fn ordered_keys_hash_into_the_slots_whose_range_contains_them() {
     for (keys, slots) in [(65_536, 1024), (65_536, 96), (1000, 7), (5, 5), (1, 1)] {
         let keys = crate::OrderedKeys::new(keys).unwrap();
         let slots = SlotCount::new(slots).unwrap();
         let mut next = 0;
         for slot in slots.iter() {
             let range = keys.range_of_slots(slots, slot, slot);
-            assert_eq!(range.first, next, "{slots:?} leave no gap");
+            assert_eq!(range.first, next, "expected no gap between the key ranges of {slots:?}");
             for key in range.first..=range.last {
-                assert_eq!(slots.slot_of(keys.hash_of(key).unwrap()), slot, "key {key}");
+                assert_eq!(
+                    slots.slot_of(keys.hash_of(key).unwrap()),
+                    slot,
+                    "key {key} must hash into its slot"
+                );
             }
             next = range.last + 1;
         }
