--- a/crates/http-pool/src/pool.rs
+++ b/crates/http-pool/src/pool.rs
@@ -91,11 +91,11 @@
     /// The peer accepted a new connection but closed it before any byte of the request was written.
     #[error("connection closed before the request was sent: {0}")]
     Closed(String),
-    /// The connection was lost; the request may have reached the peer.
-    #[error("connection lost before a reply: {0}")]
+    /// No valid reply was received, although the request may have reached the peer.
+    #[error("no valid reply: {0}")]
     Lost(String),
-    /// The reply started but ended early or is too large.
-    #[error("incomplete reply: {0}")]
+    /// The reply started but was cut off or is too large.
+    #[error("reply not read completely: {0}")]
     Broken(String),
 }
 
--- a/crates/upstream/src/control.rs
+++ b/crates/upstream/src/control.rs
@@ -20,6 +20,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Health {
     pub state: HealthState,
+    /// Number of requests that the upstream runs at the same time.
     pub slots: u16,
 }
 
@@ -38,7 +39,9 @@
     pub service: ServiceName,
     pub address: SocketAddr,
     pub state: HealthState,
+    /// Number of requests that the upstream runs at the same time.
     pub slots: u16,
+    /// Whether the upstream refuses requests with a lower fence token than it has received before.
     pub checks_fence: bool,
     /// Time on the upstream's monotonic clock, in milliseconds since an arbitrary origin. It is `None` if the upstream
     /// announces no clock.
@@ -52,6 +55,7 @@
 pub(crate) struct Grant {
     slot: Slot,
     token: String,
+    /// Remaining time of the grant.
     until_ms: u64,
 }
 
--- a/crates/upstream/src/request.rs
+++ b/crates/upstream/src/request.rs
@@ -57,8 +57,8 @@
     /// The request was provably not run, as the upstream reported so.
     #[error("upstream {peer} refused the request before running it")]
     Refused { peer: SocketAddr, retry_after: Option<Duration> },
-    /// The connection was lost; the request may have run.
-    #[error("{step}: lost the connection to upstream {peer}: {reason}")]
+    /// No valid answer was received; the request may have run.
+    #[error("{step}: no valid answer from upstream {peer}: {reason}")]
     Lost { step: &'static str, peer: SocketAddr, reason: String },
     /// The request has run, but its answer is truncated or too large.
     #[error("{step}: upstream {peer} sent a truncated or too large answer: {reason}")]
