--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -34,7 +34,7 @@
 }
 
 impl OrderedKeys {
-    /// Creates a number of keys, or `None` for 0.
+    /// Creates the number of keys of a service. Returns `None` for 0 keys.
     pub fn new(count: u32) -> Option<OrderedKeys> {
         (count > 0).then_some(OrderedKeys(count))
     }
@@ -84,7 +84,7 @@
 impl SlotCount {
     pub const MAX: u16 = 4096;
 
-    /// Creates a number of 1 to [`SlotCount::MAX`] slots.
+    /// Creates a slot count after checking that it is 1 to [`SlotCount::MAX`].
     pub fn new(count: u16) -> Result<SlotCount, SlotCountError> {
         match count {
             1..=Self::MAX => Ok(SlotCount(count)),
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -7,7 +7,7 @@
 /// Length of the longest valid name.
 const NAME_MAX_BYTES: usize = 63;
 
-/// Reason for which a text is not a valid name.
+/// Reason why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum NameError {
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -24,13 +24,13 @@
     Unknown(UnknownReason),
 }
 
-/// Reason for which a request was not run.
+/// Reason why a request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum NotRunReason {
     /// The request is invalid: it matches no route, has no key or a malformed id, or is too large.
     BadRequest,
-    /// The request could not be started before its deadline.
+    /// There is no capacity to run the request before its deadline.
     Overloaded,
     /// The deadline passed before the request reached an upstream.
     DeadlineExceeded,
@@ -46,11 +46,11 @@
     Refused,
     /// The caller cancelled the request before it ran.
     Cancelled,
-    /// Several upstreams have crashed while running the same request, so it is no longer sent to any upstream.
+    /// Several upstreams crashed while running a request of the same content, so it is no longer sent to any upstream.
     Quarantined,
 }
 
-/// Reason for which the outcome of a request is unknown.
+/// Reason why the outcome of a request is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum UnknownReason {
--- a/crates/upstream/src/request.rs
+++ b/crates/upstream/src/request.rs
@@ -17,7 +17,7 @@
 /// Time bounds of a request on the monotonic clock that the upstream announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockBounds {
-    /// Time before which the request must start, as the grant ends then.
+    /// Time before which the request must start, since the grant ends at it.
     pub start_before_ms: u64,
     /// Time by which the request must have ended.
     pub end_before_ms: u64,
@@ -54,7 +54,7 @@
     /// The request was provably not run, as no byte of it left this process.
     #[error("{step}: could not reach upstream {peer}: {reason}")]
     NotSent { step: &'static str, peer: SocketAddr, reason: String },
-    /// The request was provably not run, as the upstream reported so.
+    /// The request was provably not run, as the upstream reported.
     #[error("upstream {peer} refused the request before running it")]
     Refused { peer: SocketAddr, retry_after: Option<Duration> },
     /// No valid answer was received; the request may have run.
@@ -155,7 +155,7 @@
     pub handover: Option<HandoverToken>,
 }
 
-/// Reason for which a grant was not confirmed.
+/// Reason why a grant was not confirmed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum GrantError {
