--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -1,4 +1,4 @@
-//! Where callers come in: HTTP on the caller address, in the form that [`CallerProtocol`] reads.
+//! Receives callers' requests: HTTP on the caller address, in the format that a [`CallerProtocol`] reads.
 
 mod read_ahead;
 mod announce;
@@ -8,7 +8,7 @@
 mod default_protocol;
 mod refusal;
 mod server;
-mod waits;
+mod caller_timeouts;
 
 #[cfg(test)]
 mod tests;
@@ -48,8 +48,8 @@
     snapshot::{ServiceRoutes, SnapshotCell},
 };
 
+use caller_timeouts::CallerTimeouts;
 use destination::Destinations;
-use waits::Waits;
 
 pub use announce::{AnnounceProtocol, UpstreamMessage};
 pub use protocol::{CallHead, CallId, CallerProtocol, answer_response, status_of};
@@ -61,21 +61,20 @@
 pub(crate) use default_protocol::DefaultCallerProtocol;
 pub(crate) use server::serve;
 
-/// How long a first request waits for the routes of a service that this agent has not met.
-const ROUTES_WAIT: Duration = Duration::from_secs(1);
-/// When callers may come back to an instance that is stopping: a stop that is near its end and the
-/// start that may follow it take about this long.
-const COME_BACK_AFTER_STOP: Duration = Duration::from_millis(1_500);
-/// When callers may come back after a refusal that names no time.
-const COME_BACK: Duration = Duration::from_millis(200);
+/// Longest wait of a request for the routes of a service that this agent has not seen before.
+const ROUTES_WAIT_MAX: Duration = Duration::from_secs(1);
+/// Retry-after time while the instance stops: about the time for the end of the stop and a start after it.
+const RETRY_AFTER_STOP: Duration = Duration::from_millis(1_500);
+/// Retry-after time for refusals that specify none.
+const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
 
-/// What ingress is made from.
+/// Parts from which ingress is built.
 pub(crate) struct IngressParts {
     pub(crate) clock: Clock,
     pub(crate) snapshots: Arc<SnapshotCell>,
     pub(crate) forwarder: Forwarder,
     pub(crate) reporter: Reporter,
-    /// None where the upstream announces itself at an address of its own.
+    /// `None` if the upstream announces itself at a separate address.
     pub(crate) announcements: Option<Announcements>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Arc<RequestLog>,
@@ -86,14 +85,14 @@
 pub(crate) struct Ingress {
     parts: IngressParts,
     destinations: Destinations,
-    waits: Waits,
+    caller_timeouts: CallerTimeouts,
     in_flight: AtomicUsize,
-    /// When the last request came; on the process's clock.
+    /// Arrival time of the last request on the process's clock, in nanoseconds.
     last_request_ns: AtomicU64,
-    /// The instance is leaving: callers are asked to connect elsewhere.
-    leaving: AtomicBool,
-    /// The process is about to end: nothing more is taken.
-    closed: AtomicBool,
+    /// Set while the instance is leaving and callers are asked to connect elsewhere.
+    is_leaving: AtomicBool,
+    /// Set shortly before the process ends, when new requests are refused.
+    is_closed: AtomicBool,
 }
 
 impl Ingress {
@@ -101,26 +100,26 @@
         Ingress {
             parts,
             destinations: Destinations::default(),
-            waits: Waits::default(),
+            caller_timeouts: CallerTimeouts::default(),
             in_flight: AtomicUsize::new(0),
             last_request_ns: AtomicU64::new(0),
-            leaving: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
+            is_leaving: AtomicBool::new(false),
+            is_closed: AtomicBool::new(false),
         }
     }
 
-    /// Requests whose answer has not been handed to the connection.
+    /// Returns how many requests have responses that have not been passed to the connection in full.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Waits until no request has come for `quiet`, but no longer than `max`.
+    /// Waits until no request has arrived for `quiet`, but at most for `max`.
     pub(crate) async fn wait_quiet(&self, quiet: Duration, max: Duration) {
         let clock = self.parts.clock;
-        let began = clock.now();
+        let started = clock.now();
         loop {
             let last = Timestamp { ns: self.last_request_ns.load(Ordering::Relaxed) };
-            let until = (last.max(began) + quiet).min(began + max);
+            let until = (last.max(started) + quiet).min(started + max);
             if clock.now() >= until {
                 return;
             }
@@ -128,33 +127,33 @@
         }
     }
 
-    /// Serves on, and asks callers to connect elsewhere.
+    /// Continues to serve, but asks callers to connect elsewhere.
     pub(crate) fn leave(&self) {
-        self.leaving.store(true, Ordering::SeqCst);
+        self.is_leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Refuses everything from now on, as not run.
+    /// Refuses all further requests as not run.
     pub(crate) fn close(&self) {
-        self.closed.store(true, Ordering::SeqCst);
+        self.is_closed.store(true, Ordering::SeqCst);
     }
 
     /// Serves one request. Dropping the future cancels it.
-    pub(crate) async fn call(self: &Arc<Ingress>, request: Request) -> Response {
+    pub(crate) async fn serve(self: &Arc<Ingress>, request: Request) -> Response {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         self.last_request_ns.store(self.parts.clock.now().ns, Ordering::Relaxed);
-        let counted = Counted(Arc::clone(self));
-        let response = self.answer(request).await;
-        answer::counted(response, counted)
+        let guard = InFlightGuard(Arc::clone(self));
+        let response = self.respond(request).await;
+        answer::guard_until_sent(response, guard)
     }
 
-    /// Whether callers are asked to connect elsewhere.
+    /// Returns whether callers are asked to connect elsewhere.
     fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::SeqCst)
+        self.is_leaving.load(Ordering::SeqCst)
     }
 
-    /// Whether a request may be started before it is its turn: it may be repeated, in case that its answer
-    /// does not reach the caller.
-    fn may_start_ahead(&self, parts: &Parts) -> bool {
+    /// Returns whether a pipelined request may be started before the earlier ones are answered. It has to be
+    /// idempotent, since its caller sends it again if the answer does not arrive.
+    fn may_start_early(&self, parts: &Parts) -> bool {
         if self.is_leaving() {
             return false;
         }
@@ -162,12 +161,12 @@
         self.destinations.is_idempotent(&head, parts, &self.parts.snapshots.load())
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn respond(&self, request: Request) -> Response {
         let (parts, body) = request.into_parts();
         if let Some(announcements) =
             self.parts.announcements.as_ref().filter(|it| it.is_announcement(&parts))
         {
-            return announcements.take(&parts, body).await;
+            return announcements.handle(&parts, body).await;
         }
         let head = match self.parts.protocol.read(&parts) {
             Ok(head) => head,
@@ -175,28 +174,33 @@
         };
         let id = head.id.unwrap_or_else(|| RequestId(rand::random()));
         let id = CallId { id, text: head.id_text.clone() };
-        if self.closed.load(Ordering::SeqCst) {
+        if self.is_closed.load(Ordering::SeqCst) {
             let reply = GateReply::not_run(NotRunReason::Draining);
-            let ending = FinalReply { reply, retry_after: Some(COME_BACK_AFTER_STOP) };
-            let resent = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
+            let final_reply = FinalReply { reply, retry_after: Some(RETRY_AFTER_STOP) };
+            let is_resend = parts.headers.contains_key(default_protocol::FIRST_SENT_HEADER);
             return self
                 .parts
                 .protocol
-                .answer(if resent { of_resend(ending) } else { ending }, &id);
+                .answer(if is_resend { as_resend_reply(final_reply) } else { final_reply }, &id);
         }
         let started = self.parts.clock.now();
         match self.forward(&parts, head, id.id, body).await {
-            Ok(Done { team, class, ending }) => {
+            Ok(ForwardedRequest { team, class, final_reply }) => {
                 let spent = self.parts.clock.now().since(started);
-                self.parts.metrics.record_request(&team, &class, ending.reply.outcome(), spent);
-                self.parts.protocol.answer(ending, &id)
+                self.parts.metrics.record_request(
+                    &team,
+                    &class,
+                    final_reply.reply.outcome(),
+                    spent,
+                );
+                self.parts.protocol.answer(final_reply, &id)
             }
             Err(refusal) => self.refuse(&refusal, Some(id.id)),
         }
     }
 
     fn refuse(&self, refusal: &Refusal, id: Option<RequestId>) -> Response {
-        self.parts.log.refused(id, refusal);
+        self.parts.log.log_refusal(id, refusal);
         self.parts.protocol.refuse(refusal)
     }
 
@@ -206,95 +210,95 @@
         head: CallHead,
         id: RequestId,
         body: Body,
-    ) -> Result<Done, Refusal> {
-        let arrived = self.parts.clock.now();
+    ) -> Result<ForwardedRequest, Refusal> {
+        let arrived_at = self.parts.clock.now();
         let destination =
             self.destinations.find(&head, &parts.uri, &self.parts.snapshots.load())?;
-        let patience = head.deadline.map_or(ROUTES_WAIT, |it| it.min(ROUTES_WAIT));
-        let Some(routes) = self.routes(&destination.service, patience).await else {
+        let wait_max = head.deadline.map_or(ROUTES_WAIT_MAX, |it| it.min(ROUTES_WAIT_MAX));
+        let Some(routes) = self.routes(&destination.service, wait_max).await else {
             return Err(Refusal::RoutesUnknown);
         };
         let limits = &routes.document.limits;
-        check_size(&parts.headers, &parts.uri, limits.header_bytes_max)?;
-        let left = head.deadline;
+        check_header_size(&parts.headers, &parts.uri, limits.header_bytes_max)?;
+        let timeout_left = head.deadline;
         let mut request = gate_request(&routes, &destination, parts, head, id)?;
-        request.body = read(body, limits.body_bytes_max).await?;
+        request.body = read_body(body, limits.body_bytes_max).await?;
         request.fingerprint = request_fingerprint(&request);
-        if let (Some(route), Some(left)) = (&destination.route, left) {
-            let waited = self.waits.waited(route, left);
-            request.is_retry_after_refusal = waited.is_some();
-            let waited = waited.unwrap_or_default();
-            request.objective = request.objective.map(|it| it.saturating_sub(waited));
+        if let (Some(route), Some(left)) = (&destination.route, timeout_left) {
+            let waited_before = self.caller_timeouts.time_waited_before(route, left);
+            request.is_retry_after_refusal = waited_before.is_some();
+            let waited_before = waited_before.unwrap_or_default();
+            request.objective = request.objective.map(|it| it.saturating_sub(waited_before));
         }
-        let spent = self.parts.clock.now().since(arrived);
+        let spent = self.parts.clock.now().since(arrived_at);
         request.remaining = request.remaining.saturating_sub(spent);
         request.objective = request.objective.map(|it| it.saturating_sub(spent));
         let team = routes.document.team.clone();
         let (class, age) = (request.class.clone(), request.age);
         drop(routes);
-        let mut ending = self.parts.forwarder.send(request, &team).await;
-        match ending.reply.outcome() {
-            // Coming back is of no use.
+        let mut final_reply = self.parts.forwarder.send(request, &team).await;
+        match final_reply.reply.outcome() {
+            // A retry would be refused as well.
             Outcome::NotRun(NotRunReason::Quarantined) => {}
-            Outcome::NotRun(_) => drop(ending.retry_after.get_or_insert(COME_BACK)),
+            Outcome::NotRun(_) => drop(final_reply.retry_after.get_or_insert(RETRY_AFTER_DEFAULT)),
             Outcome::Answered | Outcome::Unknown(_) => {}
         }
-        let ending = if age.is_zero() { ending } else { of_resend(ending) };
-        Ok(Done { team, class, ending })
+        let final_reply = if age.is_zero() { final_reply } else { as_resend_reply(final_reply) };
+        Ok(ForwardedRequest { team, class, final_reply })
     }
 
-    /// The service's routes. For one that this agent has not met, control is asked; if it learns
-    /// of nobody in time, the routes lead nowhere.
+    /// Returns the service's routes. Asks control to look up a service that has no known instance, and waits
+    /// for the result up to `wait_max`; the routes returned then may still have no instance.
     async fn routes(
         &self,
         service: &ServiceName,
-        patience: Duration,
+        wait_max: Duration,
     ) -> Option<Arc<ServiceRoutes>> {
-        let known = || self.parts.snapshots.load().services.get(service).cloned();
-        let lead_somewhere = |it: &Arc<ServiceRoutes>| it.routes.instances().next().is_some();
-        if let Some(routes) = known().filter(lead_somewhere) {
+        let current = || self.parts.snapshots.load().services.get(service).cloned();
+        let has_instances = |it: &Arc<ServiceRoutes>| it.routes.instances().next().is_some();
+        if let Some(routes) = current().filter(has_instances) {
             return Some(routes);
         }
         let mut changes = self.parts.snapshots.changes();
         self.parts.reporter.try_report(Report::UnknownService { service: service.clone() });
         let waiting = async {
-            while known().filter(lead_somewhere).is_none() && changes.changed().await.is_ok() {}
+            while current().filter(has_instances).is_none() && changes.changed().await.is_ok() {}
         };
-        // Whatever is known when the time is over has to do.
-        _ = timeout(patience, waiting).await;
-        known()
+        // After a timeout, the routes known so far are used.
+        _ = timeout(wait_max, waiting).await;
+        current()
     }
 }
 
-/// The end of a request that was sent before, with an end that its caller doesn't know: though
-/// this sending was refused, the earlier one may have run.
-fn of_resend(ending: FinalReply) -> FinalReply {
-    let Outcome::NotRun(_) = ending.reply.outcome() else { return ending };
-    FinalReply { reply: GateReply::unknown(UnknownReason::NoRecord), ..ending }
+/// Replaces a not-run outcome by an unknown one, for a request that its caller sent before without learning
+/// the outcome: this sending was refused, but the earlier one may have run.
+fn as_resend_reply(final_reply: FinalReply) -> FinalReply {
+    let Outcome::NotRun(_) = final_reply.reply.outcome() else { return final_reply };
+    FinalReply { reply: GateReply::unknown(UnknownReason::NoRecord), ..final_reply }
 }
 
-/// A request that was sent on, with its labels.
-struct Done {
+/// The reply to a forwarded request, with the labels of its metrics.
+struct ForwardedRequest {
     team: TeamName,
     class: ClassName,
-    ending: FinalReply,
+    final_reply: FinalReply,
 }
 
-/// Counts a request down when its answer has left, or its caller.
-pub(crate) struct Counted(Arc<Ingress>);
+/// Counts a request as in flight until it is dropped, when the response has been sent or the caller has left.
+pub(crate) struct InFlightGuard(Arc<Ingress>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Requests of one host route are of one kind. There are more routes than kinds, so some share theirs.
+/// Returns the kind of a host route's requests. There are more routes than kinds, so some routes share one.
 fn kind_of(route: &HostRoute) -> u8 {
     key_hash(route.name.as_bytes()).0 as u8
 }
 
-/// The request for the gate; its body is still to come.
+/// Builds the request for the gate, without its body.
 fn gate_request(
     routes: &ServiceRoutes,
     destination: &destination::Destination,
@@ -333,7 +337,7 @@
     })
 }
 
-/// What a request asks for, once its body is there.
+/// Computes the fingerprint of a request whose body is complete, from that of its headers.
 fn request_fingerprint(request: &GateRequest) -> Fingerprint {
     Fingerprint::of([
         &request.fingerprint.0.to_le_bytes()[..],
@@ -343,7 +347,7 @@
     ])
 }
 
-fn check_size(headers: &HeaderMap, uri: &Uri, bytes_max: usize) -> Result<(), Refusal> {
+fn check_header_size(headers: &HeaderMap, uri: &Uri, bytes_max: usize) -> Result<(), Refusal> {
     let all = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
     let uri = uri.path_and_query().map_or(0, |it| it.as_str().len());
     match all.sum::<usize>() + uri {
@@ -352,7 +356,7 @@
     }
 }
 
-/// Takes out what is about one connection only.
+/// Removes the headers that apply to a single connection only.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -379,8 +383,8 @@
     headers.remove("keep-alive");
 }
 
-async fn read(body: Body, bytes_max: usize) -> Result<bytes::Bytes, Refusal> {
-    // What says that it is too large is refused before it is sent.
+async fn read_body(body: Body, bytes_max: usize) -> Result<bytes::Bytes, Refusal> {
+    // A body whose announced length is too large is refused before it is received.
     if http_body::Body::size_hint(&body).lower() > bytes_max as u64 {
         return Err(Refusal::BodyTooLarge { bytes_max });
     }
--- a/crates/agent/src/ingress/refusal.rs
+++ b/crates/agent/src/ingress/refusal.rs
@@ -1,9 +1,9 @@
-//! Why a request goes nowhere.
+//! Refusals: the reasons for which ingress does not forward a request.
 
 use http::{HeaderName, StatusCode};
 use settings::RouteError;
 
-/// Why a request goes nowhere.
+/// The reason for which ingress does not forward a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum Refusal {
@@ -19,8 +19,8 @@
     NoKey(RouteError),
     #[error("the key is no whole number, or too large a one")]
     KeyOutOfRange,
-    #[error("{header}: {reason}")]
-    Header { header: HeaderName, reason: &'static str },
+    #[error("{header}: {expected}")]
+    Header { header: HeaderName, expected: &'static str },
     #[error("the headers have more than {bytes_max} bytes")]
     HeadersTooLarge { bytes_max: usize },
     #[error("the body has more than {bytes_max} bytes")]
@@ -30,7 +30,7 @@
 }
 
 impl Refusal {
-    /// The status that says so in HTTP.
+    /// Returns the HTTP status of the refusal.
     pub fn status(&self) -> StatusCode {
         match self {
             Refusal::NoService | Refusal::NoHostRoute | Refusal::NoRoute(_) => {
--- /dev/null
+++ b/crates/ownership/src/sim/invariants.rs
@@ -0,0 +1,221 @@
+//! Invariants of ownership, checked whenever a gate carries out a command.
+
+use std::{collections::BTreeMap, fmt};
+
+use model::{KeyHash, Slot, SlotCount, Timestamp, Token};
+
+use crate::{CoordinatorLease, GateCommand};
+
+use super::{Sim, host::Host};
+
+/// Violated invariant, with the virtual time and the hosts by index.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Violation {
+    /// Two hosts may run requests of the same slot at the same time.
+    SlotHeldTwice { slot: Slot, hosts: (usize, usize), at: Timestamp },
+    /// The second host was granted a slot while the upstream of the first has a request of the slot in flight, under
+    /// a lease that has not ended by that host's clock.
+    RequestStillInFlight { slot: Slot, hosts: (usize, usize), at: Timestamp },
+    /// Two hosts may run requests of the same key at the same time.
+    KeyHeldTwice { key_hash: KeyHash, hosts: (usize, usize), at: Timestamp },
+    /// A slot was admitted under a token that is not higher than all its earlier tokens.
+    TokenNotIncreasing { slot: Slot, token: Token, last: Token, at: Timestamp },
+    /// A key was admitted under a token that is lower than an earlier one.
+    KeyTokenDecreased { key_hash: KeyHash, token: Token, last: Token, at: Timestamp },
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Violation::SlotHeldTwice { slot, hosts, at } => {
+                write!(f, "{} ms: slot {slot} is held by two hosts, {hosts:?}", at.ns / 1_000_000)
+            }
+            Violation::RequestStillInFlight { slot, hosts: (holder, grantee), at } => {
+                let ms = at.ns / 1_000_000;
+                write!(
+                    f,
+                    "{ms} ms: host {grantee} was granted slot {slot}, which has a request in flight on host {holder}"
+                )
+            }
+            Violation::KeyHeldTwice { key_hash, hosts, at } => {
+                write!(
+                    f,
+                    "{} ms: key {:x} is held by two hosts, {hosts:?}",
+                    at.ns / 1_000_000,
+                    key_hash.0
+                )
+            }
+            Violation::TokenNotIncreasing { slot, token, last, at } => {
+                write!(
+                    f,
+                    "{} ms: slot {slot} was admitted under token {token}, which is not higher than {last}",
+                    at.ns / 1_000_000
+                )
+            }
+            Violation::KeyTokenDecreased { key_hash, token, last, at } => {
+                let ms = at.ns / 1_000_000;
+                write!(
+                    f,
+                    "{ms} ms: key {:x} was admitted under token {token}, which is lower than {last}",
+                    key_hash.0
+                )
+            }
+        }
+    }
+}
+
+/// Highest tokens so far, the first violation, and counts of events and grants.
+#[derive(Debug)]
+pub(super) struct InvariantChecker {
+    slot_count: SlotCount,
+    /// Highest token of each slot and key so far.
+    slot_tokens: BTreeMap<Slot, Token>,
+    key_tokens: BTreeMap<KeyHash, Token>,
+    /// First violation.
+    pub(super) violation: Option<Violation>,
+    /// Number of emitted events by variant name.
+    pub(super) events: BTreeMap<String, u64>,
+    /// Number of grants for rebalancing or because the previous owner was leaving.
+    pub(super) handovers: u64,
+    /// Number of commands to admit a hot key by its own gate entry.
+    pub(super) key_grants: u64,
+}
+
+impl InvariantChecker {
+    pub(super) fn new(slot_count: SlotCount) -> InvariantChecker {
+        InvariantChecker {
+            slot_count,
+            slot_tokens: BTreeMap::new(),
+            key_tokens: BTreeMap::new(),
+            violation: None,
+            events: BTreeMap::new(),
+            handovers: 0,
+            key_grants: 0,
+        }
+    }
+
+    /// Records a violation unless there is an earlier one.
+    fn record_violation(&mut self, violation: Violation) {
+        self.violation.get_or_insert(violation);
+    }
+
+    /// Checks that a slot's token is higher than all earlier ones.
+    fn check_slot_token(&mut self, slot: Slot, token: Token, at: Timestamp) {
+        let last = self.slot_tokens.entry(slot).or_default();
+        if token <= *last {
+            let last = *last;
+            return self.record_violation(Violation::TokenNotIncreasing { slot, token, last, at });
+        }
+        *last = token;
+    }
+
+    /// Checks that a key's token is not lower than an earlier one.
+    fn check_key_token(&mut self, key_hash: KeyHash, token: Token, at: Timestamp) {
+        let last = self.key_tokens.entry(key_hash).or_default();
+        if token < *last {
+            let last = *last;
+            return self.record_violation(Violation::KeyTokenDecreased {
+                key_hash,
+                token,
+                last,
+                at,
+            });
+        }
+        *last = token;
+    }
+}
+
+impl Sim {
+    /// Applies a command to the gate of a host, and checks all slots and keys that the gate may serve because of it.
+    pub(super) fn apply_gate_command(&mut self, host: usize, command: &GateCommand) {
+        let now = self.now;
+        let had_lease = {
+            let it = &self.hosts[host];
+            it.clock(now) < it.gate.lease_until
+        };
+        let enforces_leases = self.config.limits.coordinator_lease == CoordinatorLease::Full;
+        if enforces_leases && *command == GateCommand::DropAll {
+            self.hosts[host].orphan_grants();
+            self.abort_requests_randomly(host);
+        }
+        self.hosts[host].gate.apply(command);
+        if let GateCommand::Lease { .. } = command {
+            self.hosts[host].extend_request_leases();
+        }
+        match command {
+            GateCommand::Admit { slot, token } => {
+                // A command that a pause delayed past the end of the lease has no effect.
+                if self.check_slot(host, *slot) {
+                    self.checker.check_slot_token(*slot, *token, now);
+                }
+                for key_hash in self.tracked_keys_in(*slot) {
+                    self.check_key(host, key_hash);
+                }
+            }
+            GateCommand::AdmitKey { key_hash, .. } => {
+                self.checker.key_grants += 1;
+                self.check_key(host, *key_hash);
+            }
+            GateCommand::RemoveKey { key_hash } => {
+                self.check_key(host, *key_hash);
+            }
+            GateCommand::Lease { .. } if !had_lease => {
+                let slots: Vec<Slot> = self.hosts[host].gate.slots.keys().copied().collect();
+                for slot in slots {
+                    self.check_slot(host, slot);
+                }
+                for key_hash in self.keys.clone() {
+                    self.check_key(host, key_hash);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Returns the tracked keys of a slot.
+    fn tracked_keys_in(&self, slot: Slot) -> Vec<KeyHash> {
+        let slot_count = self.checker.slot_count;
+        self.keys.iter().copied().filter(|it| slot_count.slot_of(*it) == slot).collect()
+    }
+
+    /// Checks that no other host may run requests of the slot if this host may. Returns whether this host may.
+    fn check_slot(&mut self, host: usize, slot: Slot) -> bool {
+        let now = self.now;
+        let holds = |it: &Host| it.holds(now, slot);
+        if !holds(&self.hosts[host]) {
+            return false;
+        }
+        let other = (0..self.hosts.len()).find(|it| *it != host && holds(&self.hosts[*it]));
+        if let Some(other) = other {
+            let hosts = (other, host);
+            self.checker.record_violation(Violation::SlotHeldTwice { slot, hosts, at: now });
+        }
+        let has_request =
+            |it: &usize| *it != host && self.hosts[*it].has_request_in_flight(now, slot);
+        if let Some(other) = (0..self.hosts.len()).find(has_request) {
+            let hosts = (other, host);
+            self.checker.record_violation(Violation::RequestStillInFlight { slot, hosts, at: now });
+        }
+        true
+    }
+
+    /// Checks that no other host may run requests of the key if this host may, and that its token has not decreased.
+    fn check_key(&mut self, host: usize, key_hash: KeyHash) {
+        let now = self.now;
+        let slot = self.checker.slot_count.slot_of(key_hash);
+        let holds = |it: &Host| it.holds_key(now, slot, key_hash);
+        if !holds(&self.hosts[host]) {
+            return;
+        }
+        let other = (0..self.hosts.len()).find(|it| *it != host && holds(&self.hosts[*it]));
+        if let Some(other) = other {
+            let hosts = (other, host);
+            self.checker.record_violation(Violation::KeyHeldTwice { key_hash, hosts, at: now });
+        }
+        let gate = &self.hosts[host].gate;
+        let token = gate.keys.get(&key_hash).or(gate.slots.get(&slot)).map(|it| it.token);
+        if let Some(token) = token {
+            self.checker.check_key_token(key_hash, token, now);
+        }
+    }
+}
