--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -78,7 +78,7 @@
 /// Error for a number of slots that is out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("the number of slots must be 1 to {max}, not {0}", max = SlotCount::MAX)]
+#[error("the number of slots is 1 to {max}, not {0}", max = SlotCount::MAX)]
 pub struct SlotCountError(u16);
 
 impl SlotCount {
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub enum NameError {
-    #[error("a name must not be empty")]
+    #[error("a name may not be empty")]
     Empty,
-    #[error("a name must have at most {NAME_MAX_BYTES} bytes, not {0}")]
+    #[error("a name has at most {NAME_MAX_BYTES} bytes, this one has {0}")]
     TooLong(usize),
     #[error("a name holds a-z, 0-9, '-', '_' and '.', not {0:?}")]
     Character(char),
