--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -34,7 +34,7 @@
 }
 
 impl OrderedKeys {
-    /// Creates a number of keys, or `None` for 0.
+    /// Creates the number of keys of a service. Returns `None` for 0 keys.
     pub fn new(count: u32) -> Option<OrderedKeys> {
         (count > 0).then_some(OrderedKeys(count))
     }
@@ -78,13 +78,13 @@
 /// Error for a number of slots that is out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("the number of slots must be 1 to {max}, not {0}", max = SlotCount::MAX)]
+#[error("the number of slots is 1 to {max}, not {0}", max = SlotCount::MAX)]
 pub struct SlotCountError(u16);
 
 impl SlotCount {
     pub const MAX: u16 = 4096;
 
-    /// Creates a number of 1 to [`SlotCount::MAX`] slots.
+    /// Creates a slot count after checking that it is 1 to [`SlotCount::MAX`].
     pub fn new(count: u16) -> Result<SlotCount, SlotCountError> {
         match count {
             1..=Self::MAX => Ok(SlotCount(count)),
