--- a/crates/agent/src/plane.rs
+++ b/crates/agent/src/plane.rs
@@ -165,7 +165,7 @@
 
     /// Makes the gate apply the current snapshot.
     #[cfg(test)]
-    pub(crate) async fn wait_bound(&self) {
+    pub(crate) async fn rebind_gate(&self) {
         self.gate.rebind();
     }
 
--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -15,7 +15,7 @@
 use upstream::{AnnouncedKeys, AssignedKeys, GrantedKeys, ReleasedKeys};
 use volo_http::{body::Body, response::Response};
 
-use super::fakes::{Call, PATIENCE, TestAgent, check, get, token};
+use super::fakes::{Call, TestAgent, WAIT_TIMEOUT, check, get, token};
 use crate::{
     ingress::{AnnounceProtocol, UpstreamMessage},
     report::{Announcement, Report},
@@ -31,9 +31,9 @@
 }
 
 /// Announcements at the callers' address, as JSON.
-pub(super) struct TestForm;
+pub(super) struct TestAnnounceProtocol;
 
-impl AnnounceProtocol for TestForm {
+impl AnnounceProtocol for TestAnnounceProtocol {
     fn is_announcement(&self, head: &Parts) -> bool {
         head.uri.path() == "/announce"
     }
@@ -92,7 +92,7 @@
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(request.as_bytes()).await.unwrap();
         let mut answer = String::new();
-        timeout(PATIENCE, stream.read_to_string(&mut answer)).await.unwrap().unwrap();
+        timeout(WAIT_TIMEOUT, stream.read_to_string(&mut answer)).await.unwrap().unwrap();
         let (_, body) = answer.split_once("\r\n\r\n").unwrap();
         serde_json::from_str(body).unwrap()
     })
@@ -110,7 +110,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keys_come_and_go_with_the_answers_to_announcements() {
-    let mut agent = TestAgent::start_announced("a", Arc::new(TestForm)).await;
+    let mut agent =
+        TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
     let granted = announce(&agent, said(1, Vec::new())).await.unwrap();
@@ -141,7 +142,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_announcement_that_comes_late_or_is_followed_is_told_nothing_of_keys() {
-    let agent = TestAgent::start_announced("a", Arc::new(TestForm)).await;
+    let agent =
+        TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
     announce(&agent, said(5, Vec::new())).await.unwrap();
--- a/crates/agent/src/tests/callers.rs
+++ b/crates/agent/src/tests/callers.rs
@@ -9,7 +9,7 @@
     time::timeout,
 };
 
-use super::fakes::{Call, PATIENCE, TestAgent, check, get, post};
+use super::fakes::{Call, TestAgent, WAIT_TIMEOUT, check, get, post};
 
 async fn owner() -> TestAgent {
     let agent = TestAgent::start("a").await;
@@ -24,7 +24,7 @@
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     while !answer.windows(2).any(|it| it == b"\r\n") {
-        let read = timeout(PATIENCE, stream.read_buf(&mut answer)).await.unwrap().unwrap();
+        let read = timeout(WAIT_TIMEOUT, stream.read_buf(&mut answer)).await.unwrap().unwrap();
         assert_ne!(read, 0, "the agent hung up");
     }
     String::from_utf8_lossy(&answer).lines().next().unwrap().to_owned()
@@ -148,7 +148,7 @@
         body: Bytes::new(),
         id: model::RequestId(id),
         token: None,
-        remaining: PATIENCE / 2,
+        remaining: WAIT_TIMEOUT / 2,
         bounds: None,
     }
 }
--- a/crates/agent/src/tests/closing.rs
+++ b/crates/agent/src/tests/closing.rs
@@ -14,7 +14,7 @@
 use upstream::{Request, Upstream};
 
 use super::{
-    announcements::{TestForm, announce, releasing, said},
+    announcements::{TestAnnounceProtocol, announce, releasing, said},
     fakes::{Call, TestAgent, get, token},
 };
 use crate::report::Report;
@@ -82,7 +82,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slot_given_up_with_an_announcement_waits_for_a_run_that_was_cut_off() {
-    let mut agent = TestAgent::start_announced("a", Arc::new(TestForm)).await;
+    let mut agent =
+        TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
     announce(&agent, said(1, Vec::new())).await.unwrap();
--- a/crates/agent/src/tests/fakes.rs
+++ b/crates/agent/src/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! An upstream in memory, and agents without control.
+//! An in-memory upstream, and agents without a control thread.
 
 use std::{
     collections::HashMap,
@@ -39,30 +39,30 @@
     },
 };
 
-/// Far longer than anything here takes; no test asserts a time.
-pub(super) const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for waits, far longer than any of them takes.
+pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 pub(super) const SECRET: &[u8] = b"a secret of all agents";
 
-/// An upstream that does what the last segment of the path says.
+/// An upstream whose behaviour is selected by the last segment of a request's path.
 pub(super) struct FakeUpstream {
-    /// Requests that ran, in order.
+    /// Requests that were run, in order.
     pub(super) ran: Mutex<Vec<RequestId>>,
     pub(super) tokens: Mutex<Vec<Option<Token>>>,
     pub(super) cancelled: Mutex<Vec<RequestId>>,
-    /// One permit lets one `hold` go on.
+    /// One permit lets one `hold` request continue.
     pub(super) release: Semaphore,
-    /// One permit for each request that has begun to run.
+    /// One permit for each request that has started to run.
     pub(super) started: Semaphore,
-    pub(super) frozen: std::sync::atomic::AtomicBool,
-    /// Its process has ended; all that it ran was lost then.
-    ended: watch::Sender<bool>,
-    /// Set where it runs requests only for keys that it was granted.
+    pub(super) is_frozen: std::sync::atomic::AtomicBool,
+    /// Whether its process has exited, which also fails its running requests.
+    exited: watch::Sender<bool>,
+    /// Set if it runs requests only for keys that it was granted.
     key_grants: Option<KeyGrants>,
-    /// Calls about keys, in order.
+    /// Grants and releases of keys, in order.
     pub(super) key_calls: Mutex<Vec<KeyCall>>,
 }
 
-/// A call about keys, as an upstream that enforces leases gets it.
+/// A call to grant or release keys at an upstream that enforces leases.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum KeyCall {
     Grant { granted: GrantedKeys, handover: Option<HandoverToken> },
@@ -77,8 +77,8 @@
             cancelled: Mutex::default(),
             release: Semaphore::new(0),
             started: Semaphore::new(0),
-            frozen: std::sync::atomic::AtomicBool::new(false),
-            ended: watch::Sender::new(false),
+            is_frozen: std::sync::atomic::AtomicBool::new(false),
+            exited: watch::Sender::new(false),
             key_grants,
             key_calls: Mutex::default(),
         }
@@ -88,42 +88,42 @@
         self.ran.lock().unwrap().clone()
     }
 
-    /// Waits until one more request has begun.
+    /// Waits until one more request has started.
     pub(super) async fn wait_started(&self) {
-        timeout(PATIENCE, self.started.acquire()).await.unwrap().unwrap().forget();
+        timeout(WAIT_TIMEOUT, self.started.acquire()).await.unwrap().unwrap().forget();
     }
 
-    /// Whether its process has ended.
-    pub(super) fn has_ended(&self) -> bool {
-        *self.ended.borrow()
+    /// Returns whether its process has exited.
+    pub(super) fn is_down(&self) -> bool {
+        *self.exited.borrow()
     }
 
-    /// Ends its process.
-    pub(super) fn end(&self) {
-        self.ended.send_replace(true);
+    /// Simulates a crash of its process.
+    pub(super) fn crash(&self) {
+        self.exited.send_replace(true);
     }
 
-    /// Starts its process again.
+    /// Restarts its process.
     pub(super) fn restart(&self) {
-        self.ended.send_replace(false);
+        self.exited.send_replace(false);
     }
 
     async fn run(&self, request: Request) -> Result<Answer, CallError> {
         let peer = SocketAddr::from(([127, 0, 0, 1], 1));
-        if self.has_ended() {
-            let reason = "nobody listens".to_owned();
+        if self.is_down() {
+            let reason = "connection refused".to_owned();
             return Err(CallError::NotSent { step: "connect", peer, reason });
         }
-        let mut ended = self.ended.subscribe();
+        let mut exited = self.exited.subscribe();
         tokio::select! {
-            result = self.work(request) => result,
-            _ = ended.wait_for(|it| *it) => {
-                Err(CallError::Lost { step: "call", peer, reason: "reset".to_owned() })
+            result = self.serve(request) => result,
+            _ = exited.wait_for(|it| *it) => {
+                Err(CallError::Lost { step: "call", peer, reason: "connection reset".to_owned() })
             }
         }
     }
 
-    async fn work(&self, request: Request) -> Result<Answer, CallError> {
+    async fn serve(&self, request: Request) -> Result<Answer, CallError> {
         let peer = SocketAddr::from(([127, 0, 0, 1], 1));
         let op = request.path.path().rsplit('/').next().unwrap_or_default().to_owned();
         if op == "refuse" {
@@ -134,7 +134,7 @@
         self.started.add_permits(1);
         match op.as_str() {
             "hold" => self.release.acquire().await.unwrap().forget(),
-            "give-up" => {
+            "time-out" => {
                 tokio::time::sleep(request.remaining).await;
                 let status = StatusCode::GATEWAY_TIMEOUT;
                 return Ok(Answer { status, headers: HeaderMap::new(), body: Bytes::new() });
@@ -142,11 +142,15 @@
             "work" => tokio::time::sleep(Duration::from_millis(20)).await,
             "end" => {
                 tokio::time::sleep(Duration::from_millis(5)).await;
-                self.ended.send_replace(true);
+                self.exited.send_replace(true);
                 std::future::pending::<()>().await;
             }
             "lost" => {
-                return Err(CallError::Lost { step: "call", peer, reason: "cut".to_owned() });
+                return Err(CallError::Lost {
+                    step: "call",
+                    peer,
+                    reason: "connection lost".to_owned(),
+                });
             }
             _ => {}
         }
@@ -160,7 +164,7 @@
     }
 }
 
-/// A body of several chunks that no other request has.
+/// A body of several chunks that is unique to the request.
 pub(super) fn big_body(id: RequestId) -> Bytes {
     let byte = |it: usize| (id.0 as usize).wrapping_mul(31).wrapping_add(it / 7) as u8;
     (0..700_000 + id.0 as usize % 1000).map(byte).collect::<Vec<u8>>().into()
@@ -173,7 +177,7 @@
 
     fn health(&self) -> UpstreamFuture<'_, Result<Health, ControlError>> {
         Box::pin(async {
-            if self.frozen.load(std::sync::atomic::Ordering::SeqCst) {
+            if self.is_frozen.load(std::sync::atomic::Ordering::SeqCst) {
                 std::future::pending::<()>().await;
             }
             Ok(Health { state: HealthState::Ready, slots: 2 })
@@ -203,7 +207,7 @@
     }
 
     fn has_exited(&self) -> UpstreamFuture<'_, bool> {
-        Box::pin(async { self.has_ended() })
+        Box::pin(async { self.is_down() })
     }
 
     fn key_lease_mode(&self) -> KeyLeaseMode<'_> {
@@ -235,12 +239,12 @@
     }
 }
 
-/// `GET` is idempotent, everything else is not.
+/// A document in which only `GET` requests are idempotent.
 pub(super) fn document(keyed: bool) -> Arc<ServiceDocument> {
     parsed(&document_text(keyed))
 }
 
-/// The same for upstreams that run requests only for keys that they were granted: 64 keys, 16 a slot.
+/// A document for upstreams that run requests only for keys that they were granted: 64 keys, 16 in each slot.
 fn leased_document(key_grants: KeyGrants) -> Arc<ServiceDocument> {
     let text = document_text(true);
     let text = text.replace(
@@ -281,7 +285,7 @@
     }
 }
 
-/// One agent: its traffic plane, and the ends that control would hold.
+/// The traffic plane of one agent, with the ends of its channels that the control thread would hold.
 pub(super) struct TestAgent {
     pub(super) plane: Plane,
     pub(super) own: Instance,
@@ -298,14 +302,16 @@
         TestAgent::start_with_key(name, SECRET).await
     }
 
-    /// Agents of one service that is not divided by key, which know each other.
-    pub(super) async fn start_fleet(count: usize) -> Vec<TestAgent> {
+    /// Starts agents that are members of one service that is not sharded by key.
+    pub(super) async fn start_members(count: usize) -> Vec<TestAgent> {
         let store = Arc::new(FakeStore::new());
         let mut agents = Vec::new();
         for it in 0..count {
-            let (upstream, form) = (FakeUpstream::new(None), Arc::new(DefaultAnnounceProtocol));
+            let (upstream, announce_protocol) =
+                (FakeUpstream::new(None), Arc::new(DefaultAnnounceProtocol));
             let (name, store) = (format!("a{it}"), Arc::clone(&store));
-            agents.push(TestAgent::start_at(&name, SECRET, upstream, form, store).await);
+            agents
+                .push(TestAgent::start_at(&name, SECRET, upstream, announce_protocol, store).await);
         }
         let members: Vec<Instance> = agents.iter().map(|it| it.own.clone()).collect();
         for agent in &agents {
@@ -319,16 +325,19 @@
             .await
     }
 
-    /// Beside an upstream that runs requests only for keys that it was granted.
+    /// Starts an agent whose upstream runs requests only for keys that it was granted by calls.
     pub(super) async fn start_leased(name: &str) -> TestAgent {
         let upstream = FakeUpstream::new(Some(KeyGrants::Calls));
         TestAgent::start_with(name, SECRET, upstream, Arc::new(DefaultAnnounceProtocol)).await
     }
 
-    /// Beside one that is granted keys by the answers to its announcements.
-    pub(super) async fn start_announced(name: &str, form: Arc<dyn AnnounceProtocol>) -> TestAgent {
+    /// Starts an agent whose upstream is granted keys in the responses to its announcements.
+    pub(super) async fn start_granted_by_announcements(
+        name: &str,
+        announce_protocol: Arc<dyn AnnounceProtocol>,
+    ) -> TestAgent {
         let upstream = FakeUpstream::new(Some(KeyGrants::Announcements));
-        TestAgent::start_with(name, SECRET, upstream, form).await
+        TestAgent::start_with(name, SECRET, upstream, announce_protocol).await
     }
 
     async fn start_with(
@@ -384,7 +393,7 @@
         TestAgent { plane, own, gate, snapshots, reports, upstream, caller, caller_address }
     }
 
-    /// Publishes routes in which all slots belong to one instance.
+    /// Publishes routes in which one instance owns all slots.
     pub(super) async fn route_to(&self, owner: &Instance, route_version: u64) {
         let document = match self.upstream.key_grants {
             Some(key_grants) => leased_document(key_grants),
@@ -407,16 +416,16 @@
         self.publish(document(false), routes).await;
     }
 
-    /// The same with the own zone closed, or opened.
+    /// Publishes the current snapshot with the agent's own zone closed or open.
     pub(super) async fn close_zone(&self, is_closed: bool) {
-        let former = self.snapshots.load();
-        let local = former.local.clone().map(|it| LocalUpstream {
+        let previous = self.snapshots.load();
+        let local = previous.local.clone().map(|it| LocalUpstream {
             leaving: is_closed.then_some(LeaveReason::ZoneClosed),
             ..it
         });
-        let services = former.services.clone();
+        let services = previous.services.clone();
         self.snapshots.store(Snapshot { services, routing: None, local });
-        self.plane.wait_bound().await;
+        self.plane.rebind_gate().await;
     }
 
     async fn publish(&self, document: Arc<ServiceDocument>, routes: Routes) {
@@ -437,10 +446,10 @@
         let local = Some(LocalUpstream { announcement, leaving: None });
         let services = HashMap::from([(service, Arc::new(routes))]);
         self.snapshots.store(Snapshot { services, routing: None, local });
-        self.plane.wait_bound().await;
+        self.plane.rebind_gate().await;
     }
 
-    /// Grants all slots and lets the grant grow older than the margin of records.
+    /// Grants all slots, and waits until the grant is older than the time margin of records.
     pub(super) async fn settle(&self, sequence: u64) {
         self.grant_all(sequence);
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -448,7 +457,7 @@
 
     /// Grants all slots, under a lease that outlasts the test.
     pub(super) fn grant_all(&self, sequence: u64) {
-        let until = self.gate.clock.now() + PATIENCE * 10;
+        let until = self.gate.clock.now() + WAIT_TIMEOUT * 10;
         let mut commands = vec![GateCommand::Lease { until }];
         commands
             .extend((0..4).map(|it| GateCommand::Admit { slot: Slot(it), token: token(sequence) }));
@@ -459,7 +468,7 @@
         self.gate.apply(&[GateCommand::Lease { until: Timestamp::ZERO }]);
     }
 
-    /// Calls like a caller would.
+    /// Sends a request as a caller does.
     pub(super) async fn call(&self, call: Call<'_>) -> Answer {
         let mut headers = HeaderMap::new();
         headers.insert("x-key", HeaderValue::from_str(call.key).unwrap());
@@ -476,21 +485,22 @@
             remaining: call.deadline,
             bounds: None,
         });
-        timeout(PATIENCE, answer).await.expect("an end in time").expect("an answer")
+        timeout(WAIT_TIMEOUT, answer).await.expect("no answer in time").expect("the call failed")
     }
 
-    /// Waits for a report that `wanted` takes.
+    /// Waits for a report for which `wanted` returns a value.
     pub(super) async fn report<T>(&mut self, wanted: impl Fn(&Report) -> Option<T>) -> T {
         loop {
-            let report = timeout(PATIENCE, self.reports.recv()).await.expect("a report in time");
-            if let Some(it) = wanted(&report.expect("traffic goes on")) {
+            let report =
+                timeout(WAIT_TIMEOUT, self.reports.recv()).await.expect("no report in time");
+            if let Some(it) = wanted(&report.expect("the traffic plane has ended")) {
                 return it;
             }
         }
     }
 }
 
-/// One call.
+/// A caller's request.
 #[derive(Debug, Clone)]
 pub(super) struct Call<'a> {
     pub(super) method: Method,
@@ -502,13 +512,13 @@
     pub(super) deadline: Duration,
 }
 
-/// An idempotent call.
+/// Returns an idempotent request.
 pub(super) fn get(op: &str, id: u128) -> Call<'_> {
-    let deadline = PATIENCE / 2;
+    let deadline = WAIT_TIMEOUT / 2;
     Call { method: Method::GET, op, key: "car-7", id, body: Bytes::new(), age: None, deadline }
 }
 
-/// A call that may run once.
+/// Returns a request that may be run only once.
 pub(super) fn post(op: &str, id: u128) -> Call<'_> {
     Call { method: Method::POST, ..get(op, id) }
 }
--- a/crates/agent/src/tests/gate.rs
+++ b/crates/agent/src/tests/gate.rs
@@ -91,7 +91,7 @@
 async fn upstream_that_gives_up_at_its_deadline_is_unknown() {
     let agent = owner().await;
     let deadline = Duration::from_millis(100);
-    let answer = agent.call(Call { deadline, ..post("give-up", 1) }).await;
+    let answer = agent.call(Call { deadline, ..post("time-out", 1) }).await;
     check(&answer, 504, "unknown; reason=deadline-exceeded");
 }
 
@@ -169,11 +169,11 @@
         _ => None,
     };
     assert_eq!(agent.report(state).await, UpstreamState::Ready);
-    let frozen = |it| agent.upstream.frozen.store(it, std::sync::atomic::Ordering::SeqCst);
-    frozen(true);
+    let set_frozen = |it| agent.upstream.is_frozen.store(it, std::sync::atomic::Ordering::SeqCst);
+    set_frozen(true);
     let mut agent = agent;
     assert_eq!(agent.report(state).await, UpstreamState::Lost);
-    agent.upstream.frozen.store(false, std::sync::atomic::Ordering::SeqCst);
+    agent.upstream.is_frozen.store(false, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(agent.report(state).await, UpstreamState::Ready);
 }
 
--- a/crates/agent/src/tests/mod.rs
+++ b/crates/agent/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic plane on real sockets, with upstreams in memory and control played by the test.
+//! Tests of the traffic plane on real sockets, with in-memory upstreams and with the test in place of control.
 
 mod announcements;
 mod callers;
--- a/crates/agent/src/tests/pipelining.rs
+++ b/crates/agent/src/tests/pipelining.rs
@@ -9,7 +9,7 @@
     time::{sleep, timeout},
 };
 
-use super::fakes::{PATIENCE, TestAgent};
+use super::fakes::{TestAgent, WAIT_TIMEOUT};
 
 async fn owner() -> TestAgent {
     let agent = TestAgent::start("a").await;
@@ -38,7 +38,7 @@
             return ran;
         }
         let mut chunk = vec![0; 4096];
-        let read = timeout(PATIENCE, stream.read(&mut chunk)).await.unwrap().unwrap();
+        let read = timeout(WAIT_TIMEOUT, stream.read(&mut chunk)).await.unwrap().unwrap();
         assert_ne!(read, 0, "the agent hung up after {text}");
         text.push_str(std::str::from_utf8(&chunk[..read]).unwrap());
     }
@@ -50,7 +50,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(timeout(PATIENCE, waiting).await.is_ok(), "{what}");
+    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "{what}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -115,7 +115,7 @@
     agent.upstream.wait_started().await;
     agent.upstream.release.add_permits(1);
     let mut text = String::new();
-    timeout(PATIENCE, stream.read_to_string(&mut text)).await.unwrap().unwrap();
+    timeout(WAIT_TIMEOUT, stream.read_to_string(&mut text)).await.unwrap().unwrap();
     assert!(text.contains("connection: close"), "{text}");
     assert_eq!(agent.upstream.ran(), [RequestId(1)]);
 }
@@ -130,7 +130,7 @@
     agent.plane.leave();
     agent.upstream.release.add_permits(2);
     let mut text = String::new();
-    timeout(PATIENCE, stream.read_to_string(&mut text)).await.unwrap().unwrap();
+    timeout(WAIT_TIMEOUT, stream.read_to_string(&mut text)).await.unwrap().unwrap();
     assert_eq!(text.matches("x-ran: ").count(), 2, "{text}");
     assert_eq!(text.matches("connection: close").count(), 1, "{text}");
 }
--- a/crates/agent/src/tests/poison.rs
+++ b/crates/agent/src/tests/poison.rs
@@ -29,7 +29,7 @@
 
 impl Fleet {
     async fn start() -> Fleet {
-        Fleet { agents: TestAgent::start_fleet(AGENTS).await, next_id: 0, harmful: Vec::new() }
+        Fleet { agents: TestAgent::start_members(AGENTS).await, next_id: 0, harmful: Vec::new() }
     }
 
     async fn call(&mut self, at: usize, op: &str, body: &'static str) -> Answer {
@@ -90,13 +90,13 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn of_two_suspects_one_runs_at_a_time() {
-    let fleet = TestAgent::start_fleet(1).await;
+    let fleet = TestAgent::start_members(1).await;
     let agent = &fleet[0];
     let held = |id, body: &'static str| Call { body: body.into(), ..get("hold", id) };
     let at_work = async {
         agent.upstream.wait_started().await;
         agent.upstream.wait_started().await;
-        agent.upstream.end();
+        agent.upstream.crash();
         sleep(WORD_SPREADS).await;
         agent.upstream.restart();
     };
--- a/crates/agent/src/tests/request_log.rs
+++ b/crates/agent/src/tests/request_log.rs
@@ -12,7 +12,7 @@
 };
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
-use super::fakes::{Call, PATIENCE, TestAgent, check, get};
+use super::fakes::{Call, TestAgent, WAIT_TIMEOUT, check, get};
 
 type Fields = BTreeMap<String, String>;
 
@@ -70,7 +70,7 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("no such line");
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("no such line");
     found()
 }
 
--- a/crates/agent/src/tests/stop.rs
+++ b/crates/agent/src/tests/stop.rs
@@ -7,7 +7,7 @@
     net::TcpStream,
 };
 
-use super::fakes::{PATIENCE, TestAgent, check, post};
+use super::fakes::{TestAgent, WAIT_TIMEOUT, check, post};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn drain_cuts_off_nothing() {
@@ -28,12 +28,12 @@
     });
     check(&answer, 200, "answered");
     assert_eq!(answer.headers.get("connection").unwrap(), "close");
-    tokio::time::timeout(PATIENCE, a.plane.drain()).await.unwrap();
-    tokio::time::timeout(PATIENCE, b.plane.drain()).await.unwrap();
+    tokio::time::timeout(WAIT_TIMEOUT, a.plane.drain()).await.unwrap();
+    tokio::time::timeout(WAIT_TIMEOUT, b.plane.drain()).await.unwrap();
     // A connection made before is told; a later one is not made.
     idle.write_all(b"POST /svc/echo HTTP/1.1\r\nhost: x\r\nx-key: k\r\n\r\n").await.unwrap();
     let mut told = String::new();
-    tokio::time::timeout(PATIENCE, idle.read_to_string(&mut told)).await.unwrap().unwrap();
+    tokio::time::timeout(WAIT_TIMEOUT, idle.read_to_string(&mut told)).await.unwrap().unwrap();
     assert!(told.contains("not-run; reason=draining"), "{told}");
     assert!(TcpStream::connect(a.caller_address).await.is_err());
     assert_eq!(b.upstream.ran().len(), 1);
