--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -24,7 +24,7 @@
 /// Ranges of keys with the sequence of their token, or with their handover token.
 #[derive(Debug, Default)]
 #[derive(Serialize, Deserialize)]
-pub(super) struct Said {
+pub(super) struct AnnouncedState {
     sequence: u64,
     held: Vec<(u32, u32, u64)>,
     released: Vec<(u32, u32, String)>,
@@ -39,7 +39,7 @@
     }
 
     fn read(&self, _head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
-        let said: Said = serde_json::from_slice(body)
+        let announcing: AnnouncedState = serde_json::from_slice(body)
             .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
         let announcement = Announcement {
             service: model::ServiceName::new("svc").unwrap(),
@@ -49,16 +49,15 @@
             checks_fence: false,
             upstream_id: None,
             incarnation_start_ms: None,
-            sequence: said.sequence,
+            sequence: announcing.sequence,
             cold_for: Duration::ZERO,
         };
-        let held = said.held.into_iter().map(|(first, last, sequence)| GrantedKeys {
+        let held = announcing.held.into_iter().map(|(first, last, sequence)| GrantedKeys {
             keys: KeyRange { first, last },
             token: token(sequence),
         });
-        let released = said.released.into_iter().map(|(first, last, handover)| ReleasedKeys {
-            keys: KeyRange { first, last },
-            handover: handover.into(),
+        let released = announcing.released.into_iter().map(|(first, last, handover)| {
+            ReleasedKeys { keys: KeyRange { first, last }, handover: handover.into() }
         });
         let keys = AnnouncedKeys { held: held.collect(), released: released.collect() };
         Ok(UpstreamMessage::Announced { announcement, clock_ms: None, keys: Some(keys) })
@@ -83,10 +82,10 @@
 pub(super) type Rows = Vec<(u32, u32, u64)>;
 
 /// Announces, and resolves to what is to be held; none: nothing was said of keys.
-pub(super) fn announce(agent: &TestAgent, said: Said) -> JoinHandle<Option<Rows>> {
+pub(super) fn announce(agent: &TestAgent, announcing: AnnouncedState) -> JoinHandle<Option<Rows>> {
     let address = agent.caller_address;
     tokio::spawn(async move {
-        let body = serde_json::to_string(&said).unwrap();
+        let body = serde_json::to_string(&announcing).unwrap();
         let head = "POST /announce HTTP/1.1\r\nhost: x\r\nconnection: close";
         let request = format!("{head}\r\ncontent-length: {}\r\n\r\n{body}", body.len());
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -98,14 +97,18 @@
     })
 }
 
-pub(super) fn said(sequence: u64, held: Rows) -> Said {
-    Said { sequence, held, ..Said::default() }
+pub(super) fn announcing(sequence: u64, held: Rows) -> AnnouncedState {
+    AnnouncedState { sequence, held, ..AnnouncedState::default() }
 }
 
 /// One that gives keys up.
-pub(super) fn releasing(sequence: u64, held: Rows, given_up: &[(u32, u32)]) -> Said {
-    let released = given_up.iter().map(|(first, last)| (*first, *last, "warm".to_owned()));
-    Said { sequence, held, released: released.collect() }
+pub(super) fn releasing(
+    sequence: u64,
+    held: Rows,
+    released_ranges: &[(u32, u32)],
+) -> AnnouncedState {
+    let released = released_ranges.iter().map(|(first, last)| (*first, *last, "warm".to_owned()));
+    AnnouncedState { sequence, held, released: released.collect() }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -114,23 +117,23 @@
         TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    let granted = announce(&agent, said(1, Vec::new())).await.unwrap();
+    let granted = announce(&agent, announcing(1, Vec::new())).await.unwrap();
     assert_eq!(granted, Some(vec![(0, 63, 4)]));
     let call = Call { key: "40", ..get("echo", 1) };
     check(&agent.call(call).await, 200, "answered");
 
     // Left open until there is something to say, but not for ever.
-    let open = announce(&agent, said(2, vec![(0, 63, 4)]));
+    let open = announce(&agent, announcing(2, vec![(0, 63, 4)]));
     tokio::time::sleep(Duration::from_millis(20)).await;
     agent.gate.apply(&[GateCommand::Close { slot: Slot(0), token: token(4), to: None }]);
     let mut told = open.await.unwrap();
     if told == Some(vec![(0, 63, 4)]) {
-        told = announce(&agent, said(3, vec![(0, 63, 4)])).await.unwrap();
+        told = announce(&agent, announcing(3, vec![(0, 63, 4)])).await.unwrap();
     }
     assert_eq!(told, Some(vec![(16, 63, 4)]));
 
     let released = vec![(0, 15, "warm".to_owned())];
-    let shown = Said { sequence: 4, held: vec![(16, 63, 4)], released };
+    let shown = AnnouncedState { sequence: 4, held: vec![(16, 63, 4)], released };
     let answered = announce(&agent, shown);
     let closed = agent.report(|it| match it {
         Report::ClosedSlots(closed) => Some(closed.clone()),
@@ -146,10 +149,10 @@
         TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    announce(&agent, said(5, Vec::new())).await.unwrap();
-    assert_eq!(announce(&agent, said(5, Vec::new())).await.unwrap(), None, "it came twice");
-    assert_eq!(announce(&agent, said(4, Vec::new())).await.unwrap(), None, "it came late");
+    announce(&agent, announcing(5, Vec::new())).await.unwrap();
+    assert_eq!(announce(&agent, announcing(5, Vec::new())).await.unwrap(), None, "it came twice");
+    assert_eq!(announce(&agent, announcing(4, Vec::new())).await.unwrap(), None, "it came late");
     // One that shows nothing is answered at once, as its grants are without effect.
-    let again = announce(&agent, said(6, Vec::new())).await.unwrap();
+    let again = announce(&agent, announcing(6, Vec::new())).await.unwrap();
     assert_eq!(again, Some(vec![(0, 63, 4)]));
 }
--- a/crates/agent/src/tests/callers.rs
+++ b/crates/agent/src/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! Tests of the responses to callers.
 
 use std::time::Duration;
 
@@ -19,19 +19,19 @@
 }
 
 /// Sends raw bytes and returns the status line of the answer.
-async fn raw(agent: &TestAgent, request: &str) -> String {
+async fn send_raw(agent: &TestAgent, request: &str) -> String {
     let mut stream = TcpStream::connect(agent.caller_address).await.unwrap();
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut answer = Vec::new();
     while !answer.windows(2).any(|it| it == b"\r\n") {
         let read = timeout(WAIT_TIMEOUT, stream.read_buf(&mut answer)).await.unwrap().unwrap();
-        assert_ne!(read, 0, "the agent hung up");
+        assert_ne!(read, 0, "the agent closed the connection");
     }
     String::from_utf8_lossy(&answer).lines().next().unwrap().to_owned()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_of_the_local_owner() {
+async fn local_owner_answers_with_body_id_and_token() {
     let agent = owner().await;
     let body = Bytes::from_static(b"lap 12");
     let answer = agent.call(Call { body: body.clone(), ..post("echo", 0xbeef) }).await;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn refuses_what_it_cannot_route() {
+async fn unroutable_or_invalid_requests_are_refused() {
     let agent = owner().await;
     for (request, status) in [
         ("GET / HTTP/1.1\r\nhost: x\r\n\r\n", "404"),
@@ -56,16 +56,16 @@
             "413",
         ),
     ] {
-        let status_line = raw(&agent, request).await;
+        let status_line = send_raw(&agent, request).await;
         assert!(status_line.contains(status), "{request:?}: {status_line}");
     }
     let long = format!("GET /svc/echo HTTP/1.1\r\nhost: x\r\nx-a: {}\r\n\r\n", "a".repeat(20_000));
-    assert!(raw(&agent, &long).await.contains("431"));
+    assert!(send_raw(&agent, &long).await.contains("431"));
     assert!(agent.upstream.ran().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn deadline_ends_as_unknown_and_cancels() {
+async fn exceeded_deadline_is_unknown_and_cancels_the_request() {
     let agent = owner().await;
     let deadline = Duration::from_millis(100);
     check(
@@ -76,14 +76,14 @@
     while agent.upstream.cancelled.lock().unwrap().is_empty() {
         tokio::task::yield_now().await;
     }
-    // Its slots are free again.
+    // The upstream's slots are free again.
     for id in 2..5 {
         check(&agent.call(get("echo", id)).await, 200, "answered");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn caller_that_hangs_up_frees_its_slot() {
+async fn closed_connection_cancels_the_request_and_frees_its_slot() {
     let agent = owner().await;
     for id in 1..3 {
         let mut stream = TcpStream::connect(agent.caller_address).await.unwrap();
@@ -100,21 +100,21 @@
     let mut cancelled = cancelled();
     cancelled.sort();
     assert_eq!(cancelled, [model::RequestId(1), model::RequestId(2)]);
-    // Both slots of the upstream were taken.
+    // Both slots of the upstream were occupied and are free again.
     check(&agent.call(get("echo", 3)).await, 200, "answered");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn overload_is_refused_at_once_with_a_time_to_come_back() {
+async fn request_that_cannot_meet_its_deadline_is_refused() {
     let agent = owner().await;
     let mut held = Vec::new();
     for id in 1..3 {
         let call = agent.caller.clone();
-        let request = agent_request("hold", id);
+        let request = keyed_request("hold", id);
         held.push(tokio::spawn(async move { upstream::Upstream::call(&call, request).await }));
         agent.upstream.wait_started().await;
     }
-    // Less time than a request of this class has been seen to take.
+    // Less time than the expected service time of this class.
     let deadline = Duration::from_millis(5);
     let answer = agent.call(Call { deadline, ..get("echo", 3) }).await;
     assert_eq!(answer.status.as_u16(), 503, "{answer:?}");
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_resend_is_not_said_not_to_have_run() {
+async fn refused_resend_is_unknown_rather_than_not_run() {
     let agent = owner().await;
     agent.end_lease();
     let deadline = Duration::from_millis(50);
@@ -138,7 +138,7 @@
     assert!(resend.headers.contains_key("retry-after-ms"));
 }
 
-fn agent_request(op: &str, id: u128) -> upstream::Request {
+fn keyed_request(op: &str, id: u128) -> upstream::Request {
     let mut headers = http::HeaderMap::new();
     headers.insert("x-key", http::HeaderValue::from_static("car-7"));
     upstream::Request {
--- a/crates/agent/src/tests/closing.rs
+++ b/crates/agent/src/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Keys that are given on while the upstream may still work on them.
+//! Tests of slots that are closed while the upstream may still run requests for them.
 
 use std::{
     sync::{
@@ -14,17 +14,18 @@
 use upstream::{Request, Upstream};
 
 use super::{
-    announcements::{TestAnnounceProtocol, announce, releasing, said},
+    announcements::{TestAnnounceProtocol, announce, announcing, releasing},
     fakes::{Call, TestAgent, get, token},
 };
 use crate::report::Report;
 
-/// The slot of [`KEY`], and one without requests.
+/// The slot of [`KEY`].
 const BUSY: Slot = Slot(2);
+/// A slot without requests.
 const IDLE: Slot = Slot(0);
 const KEY: &str = "40";
 const DEADLINE: Duration = Duration::from_millis(400);
-/// Deadlines are passed on in whole milliseconds.
+/// Tolerance for deadlines, which are sent in whole milliseconds.
 const ROUNDING: Duration = Duration::from_millis(10);
 
 fn close_both(agent: &TestAgent) {
@@ -47,8 +48,8 @@
     }
 }
 
-/// Waits until a slot is closed; gives those that were closed before or with it.
-async fn closed_until(agent: &mut TestAgent, slot: Slot) -> Vec<Slot> {
+/// Waits until a slot is closed. Returns all slots closed until then.
+async fn wait_closed(agent: &mut TestAgent, slot: Slot) -> Vec<Slot> {
     let mut all = Vec::new();
     while !all.contains(&slot) {
         let closed = agent.report(|it| match it {
@@ -60,8 +61,9 @@
     all
 }
 
-/// Has the upstream run a request whose connection ends. Returns until when the upstream may work on it.
-async fn cut_off(agent: &TestAgent) -> Timestamp {
+/// Makes the upstream run a request whose connection is lost. Returns the time until which the upstream may
+/// still run it.
+async fn lose_request(agent: &TestAgent) -> Timestamp {
     let until = agent.gate.clock.now() + DEADLINE;
     agent.call(Call { key: KEY, deadline: DEADLINE, ..get("lost", 1) }).await;
     assert!(!agent.upstream.ran().is_empty());
@@ -69,39 +71,46 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_slot_is_not_closed_while_a_run_that_was_cut_off_may_go_on() {
+async fn slot_is_not_closed_while_a_lost_request_may_still_run() {
     let mut agent = TestAgent::start_leased("a").await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    let until = cut_off(&agent).await;
+    let until = lose_request(&agent).await;
     close_both(&agent);
-    assert_eq!(closed_until(&mut agent, IDLE).await, [IDLE]);
-    assert_eq!(closed_until(&mut agent, BUSY).await, [BUSY]);
-    assert!(agent.gate.clock.now() >= until, "the upstream may still work on it");
+    assert_eq!(wait_closed(&mut agent, IDLE).await, [IDLE]);
+    assert_eq!(wait_closed(&mut agent, BUSY).await, [BUSY]);
+    assert!(
+        agent.gate.clock.now() >= until,
+        "the slot was closed while the upstream may still run the request"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_slot_given_up_with_an_announcement_waits_for_a_run_that_was_cut_off() {
+async fn slot_released_by_announcement_is_not_closed_while_a_lost_request_may_still_run() {
     let mut agent =
         TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    announce(&agent, said(1, Vec::new())).await.unwrap();
-    announce(&agent, said(2, vec![(0, 63, 4)]));
-    let until = cut_off(&agent).await;
+    announce(&agent, announcing(1, Vec::new())).await.unwrap();
+    announce(&agent, announcing(2, vec![(0, 63, 4)]));
+    let until = lose_request(&agent).await;
     close_both(&agent);
-    let kept = vec![(16, 31, 4), (48, 63, 4)];
-    let told = announce(&agent, said(3, vec![(0, 63, 4)])).await.unwrap();
-    assert_eq!(told, Some(kept.clone()));
-    announce(&agent, releasing(4, kept, &[(0, 15), (32, 47)]));
-    assert_eq!(closed_until(&mut agent, IDLE).await, [IDLE]);
-    assert_eq!(closed_until(&mut agent, BUSY).await, [BUSY]);
-    assert!(agent.gate.clock.now() >= until, "the upstream may still work on it");
+    let held = vec![(16, 31, 4), (48, 63, 4)];
+    let granted = announce(&agent, announcing(3, vec![(0, 63, 4)])).await.unwrap();
+    assert_eq!(granted, Some(held.clone()));
+    announce(&agent, releasing(4, held, &[(0, 15), (32, 47)]));
+    assert_eq!(wait_closed(&mut agent, IDLE).await, [IDLE]);
+    assert_eq!(wait_closed(&mut agent, BUSY).await, [BUSY]);
+    assert!(
+        agent.gate.clock.now() >= until,
+        "the slot was closed while the upstream may still run the request"
+    );
 }
 
-/// The release may be answered because the connection of the run has ended, of which the gate hears later.
+/// The upstream may confirm the release because the connection of a request has ended, before the gate has
+/// detected that end.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_slot_is_not_closed_before_the_gate_knows_how_its_runs_ended() {
+async fn slot_is_not_closed_before_the_gate_has_the_outcome_of_its_requests() {
     let mut agent = TestAgent::start_leased("a").await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
@@ -109,15 +118,15 @@
     let call = tokio::spawn(async move { caller.call(keyed_request("hold")).await });
     upstream.wait_started().await;
     close_both(&agent);
-    assert_eq!(closed_until(&mut agent, IDLE).await, [IDLE]);
+    assert_eq!(wait_closed(&mut agent, IDLE).await, [IDLE]);
     let has_ended = Arc::new(AtomicBool::new(false));
-    let ends = Arc::clone(&has_ended);
+    let ended_flag = Arc::clone(&has_ended);
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        ends.store(true, Ordering::SeqCst);
+        ended_flag.store(true, Ordering::SeqCst);
         upstream.release.add_permits(1);
     });
-    assert_eq!(closed_until(&mut agent, BUSY).await, [BUSY]);
-    assert!(has_ended.load(Ordering::SeqCst), "it still runs");
+    assert_eq!(wait_closed(&mut agent, BUSY).await, [BUSY]);
+    assert!(has_ended.load(Ordering::SeqCst), "the slot was closed while a request was running");
     call.await.unwrap().unwrap();
 }
