--- a/crates/agent/src/tests/announcements.rs
+++ b/crates/agent/src/tests/announcements.rs
@@ -1,4 +1,4 @@
-//! An upstream that is granted keys by the answers to its announcements.
+//! Tests of an upstream that is granted keys in the responses to its announcements.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,7 +21,8 @@
     report::{Announcement, Report},
 };
 
-/// Ranges of keys with the sequence of their token, or with their handover token.
+/// The announced state of the upstream: ranges of held keys with the sequence of their token, and of released
+/// keys with their handover token.
 #[derive(Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub(super) struct AnnouncedState {
@@ -30,7 +31,7 @@
     released: Vec<(u32, u32, String)>,
 }
 
-/// Announcements at the callers' address, as JSON.
+/// A protocol with JSON announcements at the callers' address.
 pub(super) struct TestAnnounceProtocol;
 
 impl AnnounceProtocol for TestAnnounceProtocol {
@@ -39,7 +40,7 @@
     }
 
     fn read(&self, _head: &Parts, body: &[u8]) -> Result<UpstreamMessage, (StatusCode, String)> {
-        let announcing: AnnouncedState = serde_json::from_slice(body)
+        let state: AnnouncedState = serde_json::from_slice(body)
             .map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))?;
         let announcement = Announcement {
             service: model::ServiceName::new("svc").unwrap(),
@@ -49,15 +50,16 @@
             checks_fence: false,
             upstream_id: None,
             incarnation_start_ms: None,
-            sequence: announcing.sequence,
+            sequence: state.sequence,
             cold_for: Duration::ZERO,
         };
-        let held = announcing.held.into_iter().map(|(first, last, sequence)| GrantedKeys {
+        let held = state.held.into_iter().map(|(first, last, sequence)| GrantedKeys {
             keys: KeyRange { first, last },
             token: token(sequence),
         });
-        let released = announcing.released.into_iter().map(|(first, last, handover)| {
-            ReleasedKeys { keys: KeyRange { first, last }, handover: handover.into() }
+        let released = state.released.into_iter().map(|(first, last, handover)| ReleasedKeys {
+            keys: KeyRange { first, last },
+            handover: handover.into(),
         });
         let keys = AnnouncedKeys { held: held.collect(), released: released.collect() };
         Ok(UpstreamMessage::Announced { announcement, clock_ms: None, keys: Some(keys) })
@@ -81,11 +83,11 @@
 
 pub(super) type Rows = Vec<(u32, u32, u64)>;
 
-/// Announces, and resolves to what is to be held; none: nothing was said of keys.
-pub(super) fn announce(agent: &TestAgent, announcing: AnnouncedState) -> JoinHandle<Option<Rows>> {
+/// Sends an announcement. Resolves to the keys to hold, or to `None` if the response lists none.
+pub(super) fn announce(agent: &TestAgent, state: AnnouncedState) -> JoinHandle<Option<Rows>> {
     let address = agent.caller_address;
     tokio::spawn(async move {
-        let body = serde_json::to_string(&announcing).unwrap();
+        let body = serde_json::to_string(&state).unwrap();
         let head = "POST /announce HTTP/1.1\r\nhost: x\r\nconnection: close";
         let request = format!("{head}\r\ncontent-length: {}\r\n\r\n{body}", body.len());
         let mut stream = TcpStream::connect(address).await.unwrap();
@@ -97,11 +99,11 @@
     })
 }
 
-pub(super) fn announcing(sequence: u64, held: Rows) -> AnnouncedState {
+pub(super) fn holding(sequence: u64, held: Rows) -> AnnouncedState {
     AnnouncedState { sequence, held, ..AnnouncedState::default() }
 }
 
-/// One that gives keys up.
+/// Returns the state of an upstream that has released keys.
 pub(super) fn releasing(
     sequence: u64,
     held: Rows,
@@ -112,47 +114,59 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn keys_come_and_go_with_the_answers_to_announcements() {
+async fn keys_are_granted_and_revoked_by_responses_to_announcements() {
     let mut agent =
         TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    let granted = announce(&agent, announcing(1, Vec::new())).await.unwrap();
+    let granted = announce(&agent, holding(1, Vec::new())).await.unwrap();
     assert_eq!(granted, Some(vec![(0, 63, 4)]));
     let call = Call { key: "40", ..get("echo", 1) };
     check(&agent.call(call).await, 200, "answered");
 
-    // Left open until there is something to say, but not for ever.
-    let open = announce(&agent, announcing(2, vec![(0, 63, 4)]));
+    // The response is delayed until the keys change, but only for a limited time.
+    let open = announce(&agent, holding(2, vec![(0, 63, 4)]));
     tokio::time::sleep(Duration::from_millis(20)).await;
     agent.gate.apply(&[GateCommand::Close { slot: Slot(0), token: token(4), to: None }]);
-    let mut told = open.await.unwrap();
-    if told == Some(vec![(0, 63, 4)]) {
-        told = announce(&agent, announcing(3, vec![(0, 63, 4)])).await.unwrap();
+    let mut granted = open.await.unwrap();
+    if granted == Some(vec![(0, 63, 4)]) {
+        granted = announce(&agent, holding(3, vec![(0, 63, 4)])).await.unwrap();
     }
-    assert_eq!(told, Some(vec![(16, 63, 4)]));
+    assert_eq!(granted, Some(vec![(16, 63, 4)]));
 
     let released = vec![(0, 15, "warm".to_owned())];
-    let shown = AnnouncedState { sequence: 4, held: vec![(16, 63, 4)], released };
-    let answered = announce(&agent, shown);
+    let state = AnnouncedState { sequence: 4, held: vec![(16, 63, 4)], released };
+    let response = announce(&agent, state);
     let closed = agent.report(|it| match it {
         Report::ClosedSlots(closed) => Some(closed.clone()),
         _ => None,
     });
     assert_eq!(closed.await, [(Slot(0), token(4))]);
-    assert_eq!(answered.await.unwrap(), Some(vec![(16, 63, 4)]), "renewed at the latest");
+    assert_eq!(
+        response.await.unwrap(),
+        Some(vec![(16, 63, 4)]),
+        "the remaining keys are renewed in the response"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_announcement_that_comes_late_or_is_followed_is_told_nothing_of_keys() {
+async fn outdated_or_repeated_announcement_gets_no_keys() {
     let agent =
         TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    announce(&agent, announcing(5, Vec::new())).await.unwrap();
-    assert_eq!(announce(&agent, announcing(5, Vec::new())).await.unwrap(), None, "it came twice");
-    assert_eq!(announce(&agent, announcing(4, Vec::new())).await.unwrap(), None, "it came late");
-    // One that shows nothing is answered at once, as its grants are without effect.
-    let again = announce(&agent, announcing(6, Vec::new())).await.unwrap();
-    assert_eq!(again, Some(vec![(0, 63, 4)]));
+    announce(&agent, holding(5, Vec::new())).await.unwrap();
+    assert_eq!(
+        announce(&agent, holding(5, Vec::new())).await.unwrap(),
+        None,
+        "the announcement is repeated"
+    );
+    assert_eq!(
+        announce(&agent, holding(4, Vec::new())).await.unwrap(),
+        None,
+        "the announcement is outdated"
+    );
+    // An announcement without held keys is answered at once, since its grants have no effect yet.
+    let granted = announce(&agent, holding(6, Vec::new())).await.unwrap();
+    assert_eq!(granted, Some(vec![(0, 63, 4)]));
 }
--- a/crates/agent/src/tests/closing.rs
+++ b/crates/agent/src/tests/closing.rs
@@ -14,7 +14,7 @@
 use upstream::{Request, Upstream};
 
 use super::{
-    announcements::{TestAnnounceProtocol, announce, announcing, releasing},
+    announcements::{TestAnnounceProtocol, announce, holding, releasing},
     fakes::{Call, TestAgent, get, token},
 };
 use crate::report::Report;
@@ -91,12 +91,12 @@
         TestAgent::start_granted_by_announcements("a", Arc::new(TestAnnounceProtocol)).await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(4);
-    announce(&agent, announcing(1, Vec::new())).await.unwrap();
-    announce(&agent, announcing(2, vec![(0, 63, 4)]));
+    announce(&agent, holding(1, Vec::new())).await.unwrap();
+    announce(&agent, holding(2, vec![(0, 63, 4)]));
     let until = lose_request(&agent).await;
     close_both(&agent);
     let held = vec![(16, 31, 4), (48, 63, 4)];
-    let granted = announce(&agent, announcing(3, vec![(0, 63, 4)])).await.unwrap();
+    let granted = announce(&agent, holding(3, vec![(0, 63, 4)])).await.unwrap();
     assert_eq!(granted, Some(held.clone()));
     announce(&agent, releasing(4, held, &[(0, 15), (32, 47)]));
     assert_eq!(wait_closed(&mut agent, IDLE).await, [IDLE]);
