--- a/crates/agent/src/tests/gate.rs
+++ b/crates/agent/src/tests/gate.rs
@@ -1,4 +1,4 @@
-//! At most once, lease and fence at the gate.
+//! Tests of at-most-once execution, leases and fence tokens at the gate.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn lost_answer_is_unknown_and_never_run_again() {
+async fn lost_answer_is_unknown_and_the_resend_is_not_run() {
     let agent = owner().await;
     check(&agent.call(post("lost", 1)).await, 502, "unknown; reason=connection-lost");
     let age = Some(Duration::from_millis(10));
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn resend_waits_for_the_first_that_runs() {
+async fn resend_waits_for_the_running_first_sending() {
     let agent = owner().await;
     let both = async {
         tokio::join!(
@@ -52,7 +52,7 @@
                 agent.call(Call { age: Some(Duration::from_millis(5)), ..post("hold", 1) }).await
             },
             async {
-                // Whichever order the resend arrives in, it must not run.
+                // The resend must not run, whether it arrives before or after this release.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 agent.upstream.release.add_permits(1);
             }
@@ -74,11 +74,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn first_sending_held_over_a_change_of_owner_is_not_run() {
+async fn request_during_an_ownership_change_runs_only_if_it_is_answered() {
     let agent = owner().await;
     agent.gate.apply(&[GateCommand::DropAll]);
     let (answer, ()) = tokio::join!(agent.call(post("echo", 1)), async {
-        // The lease comes back before the grants: ingress tries again meanwhile.
+        // Ingress retries until the slots are granted again.
         tokio::time::sleep(Duration::from_millis(5)).await;
         agent.grant_all(2);
     });
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn upstream_that_gives_up_at_its_deadline_is_unknown() {
+async fn timeout_answer_of_the_upstream_is_unknown() {
     let agent = owner().await;
     let deadline = Duration::from_millis(100);
     let answer = agent.call(Call { deadline, ..post("time-out", 1) }).await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn resend_that_is_refused_is_not_told_not_run() {
+async fn refused_resend_after_a_lost_answer_is_unknown() {
     let agent = owner().await;
     check(&agent.call(get("lost", 1)).await, 502, "unknown; reason=connection-lost");
     let age = Some(Duration::from_millis(5));
@@ -106,14 +106,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn refused_by_the_upstream_may_run_later() {
+async fn request_refused_by_the_upstream_may_run_later() {
     let agent = owner().await;
     check(&agent.call(post("refuse", 1)).await, 503, "not-run; reason=refused");
     check(&agent.call(post("echo", 1)).await, 200, "answered");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_lease_no_request() {
+async fn request_is_refused_without_a_lease() {
     let agent = owner().await;
     agent.end_lease();
     check(&agent.call(post("echo", 1)).await, 503, "not-run; reason=no-owner");
@@ -121,9 +121,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn lease_that_ends_in_the_queue_refuses_at_the_last_step() {
+async fn queued_request_is_refused_when_the_lease_ends() {
     let agent = owner().await;
-    let (first, second, waiting, ()) = tokio::join!(
+    let (first, second, queued_call, ()) = tokio::join!(
         agent.call(get("hold", 1)),
         agent.call(get("hold", 2)),
         async {
@@ -141,12 +141,12 @@
     );
     check(&first, 200, "answered");
     check(&second, 200, "answered");
-    check(&waiting, 503, "not-run; reason=no-owner");
+    check(&queued_call, 503, "not-run; reason=no-owner");
     assert_eq!(agent.upstream.ran().len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn dropping_everything_cancels_at_an_unchecked_upstream() {
+async fn drop_all_cancels_requests_at_an_upstream_that_checks_no_fence() {
     let agent = owner().await;
     let (answer, ()) = tokio::join!(agent.call(post("hold", 1)), async {
         agent.upstream.wait_started().await;
@@ -154,7 +154,7 @@
     });
     check(&answer, 502, "unknown; reason=connection-lost");
     assert_eq!(agent.upstream.cancelled.lock().unwrap().as_slice(), [RequestId(1)]);
-    // A new grant starts without the records of the former one.
+    // A new grant starts without the records of the previous one.
     agent.grant_all(2);
     let age = Some(Duration::from_secs(1));
     check(&agent.call(Call { age, ..post("echo", 1) }).await, 502, "unknown; reason=no-record");
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn frozen_upstream_is_reported_and_its_return_too() {
+async fn frozen_upstream_is_reported_lost_and_then_ready() {
     let mut agent = owner().await;
     let state = |it: &Report| match it {
         Report::Upstream(state) => Some(*state),
@@ -178,7 +178,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn members_agree_on_who_runs_a_request_once() {
+async fn resend_through_another_member_is_not_run_again() {
     let (a, b) = (TestAgent::start("a").await, TestAgent::start("b").await);
     for agent in [&a, &b] {
         agent.route_to_members(&[&a.own, &b.own]).await;
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hot_key_that_comes_and_goes_keeps_its_records_and_rising_tokens() {
+async fn added_and_removed_hot_key_keeps_its_records_and_increasing_tokens() {
     let agent = owner().await;
     let key_hash = model::key_hash(b"car-7");
     check(&agent.call(post("echo", 1)).await, 200, "answered");
@@ -202,7 +202,7 @@
     check(&agent.call(post("echo", 2)).await, 200, "answered");
     agent.gate.apply(&[GateCommand::RemoveKey { key_hash }]);
     check(&agent.call(post("echo", 3)).await, 200, "answered");
-    // The slot is granted anew without a gap.
+    // The slot is granted again without a gap.
     agent.grant_all(12);
     let age = Some(Duration::from_millis(5));
     for id in 1..4 {
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nothing_new_goes_to_an_upstream_whose_zone_is_closed() {
+async fn upstream_in_a_closed_zone_gets_no_new_requests() {
     let agent = TestAgent::start("a").await;
     agent.route_to_members(&[&agent.own]).await;
     check(&agent.call(get("echo", 1)).await, 200, "answered");
@@ -227,13 +227,13 @@
     assert_eq!(agent.upstream.ran(), [RequestId(1), RequestId(3)]);
 }
 
-/// It had come before the zone was closed, and gets its slot after it.
+/// The request is queued before the zone is closed, and would get its slot afterwards.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_has_waited_does_not_reach_an_upstream_whose_zone_was_closed() {
+async fn queued_request_does_not_reach_an_upstream_in_a_closed_zone() {
     let agent = TestAgent::start("a").await;
     agent.route_to_members(&[&agent.own]).await;
     let holding = async { tokio::join!(agent.call(get("hold", 1)), agent.call(get("hold", 2))) };
-    let waiting = async {
+    let queued_call = async {
         agent.upstream.wait_started().await;
         agent.upstream.wait_started().await;
         let deadline = Duration::from_millis(1_500);
@@ -247,7 +247,7 @@
         };
         tokio::join!(waited, closing).0
     };
-    let (_, refused) = tokio::join!(holding, waiting);
+    let (_, refused) = tokio::join!(holding, queued_call);
     check(&refused, 503, "not-run; reason=draining");
     assert_eq!(agent.upstream.ran().len(), 2);
 }
