--- a/crates/agent/src/tests/forwarding.rs
+++ b/crates/agent/src/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests that come in at one agent and run beside another.
+//! Tests of requests that arrive at one agent and are run at the upstream of another.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use super::fakes::{SECRET, TestAgent, big_body, check, get, instance, post};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_never_cross() {
+async fn each_concurrent_request_gets_its_own_answer() {
     let (a, b) = (TestAgent::start("a").await, TestAgent::start("b").await);
     a.route_to(&b.own, 1).await;
     b.route_to(&b.own, 1).await;
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn stale_route_is_followed() {
+async fn redirect_from_a_stale_route_is_followed_and_reported() {
     let (a, b, c) =
         (TestAgent::start("a").await, TestAgent::start("b").await, TestAgent::start("c").await);
     a.route_to(&b.own, 1).await;
@@ -86,15 +86,15 @@
 async fn unreachable_owner_is_not_run() {
     let a = TestAgent::start("a").await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let gone = instance("gone", listener.local_addr().unwrap());
+    let unreachable = instance("unreachable", listener.local_addr().unwrap());
     drop(listener);
-    a.route_to(&gone, 1).await;
+    a.route_to(&unreachable, 1).await;
     let answer = a.call(post("echo", 1)).await;
     check(&answer, 503, "not-run; reason=unreachable");
     assert!(answer.headers.contains_key("retry-after"), "{answer:?}");
 }
 
-/// An owner that answers every request with these frames.
+/// Simulates an owner that answers every request with these frames, and checks the response to the caller.
 async fn check_answer_frames(
     frames: impl Fn(wire::traffic::CorrelationId) -> Vec<Frame> + Send + 'static,
     status: u16,
@@ -128,8 +128,8 @@
     Frame::Answer(Answer { id, load: None, status: 200, headers: Vec::new(), body_len, body })
 }
 
-/// An answer of eight bytes of which four have come, then this part.
-async fn check_broken_by(offset: u64, data: &'static [u8]) {
+/// Sends an answer of eight bytes, of which the head contains four, followed by this chunk.
+async fn check_broken_by_chunk(offset: u64, data: &'static [u8]) {
     let frames = move |id| {
         let data = bytes::Bytes::from_static(data);
         vec![answer_head(id, 8), Frame::Chunk(Chunk { id, offset, data })]
@@ -138,17 +138,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn late_part_makes_an_answer_broken() {
-    check_broken_by(6, b"56").await;
+async fn answer_with_a_missing_chunk_is_broken() {
+    check_broken_by_chunk(6, b"56").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn part_too_many_makes_an_answer_broken() {
-    check_broken_by(4, b"56789").await;
+async fn answer_with_a_too_long_chunk_is_broken() {
+    check_broken_by_chunk(4, b"56789").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_to_nobody_are_dropped() {
+async fn answers_without_a_pending_request_are_dropped() {
     let frames = |id: wire::traffic::CorrelationId| {
         let other = wire::traffic::CorrelationId(id.0 ^ 1);
         vec![answer_head(other, 4), answer_head(id, 4), answer_head(id, 4)]
@@ -157,30 +157,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn try_that_may_have_run_is_not_forgotten() {
+async fn outcome_stays_unknown_if_the_retry_cannot_be_sent() {
     let a = TestAgent::start("a").await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let own = instance("peer", listener.local_addr().unwrap());
     a.route_to(&own, 1).await;
     let identity = LinkIdentity { own, kind: LinkKind::Traffic, key: LinkKey::new(SECRET) };
     tokio::spawn(async move {
-        // Takes one request, then is gone for ever.
+        // Receives one request, then closes the connection and stops listening.
         let (stream, address) = listener.accept().await.unwrap();
         let mut socket = identity.accept(address, stream).await.unwrap().socket;
         drop(listener);
         socket.next().await.unwrap().unwrap();
     });
-    // Idempotent, so it is tried again, and can't be placed.
+    // The request is idempotent, so it is retried, but no owner is reachable.
     check(&a.call(get("echo", 1)).await, 502, "unknown; reason=connection-lost");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn member_that_cannot_be_reached_is_avoided() {
+async fn unreachable_member_is_avoided() {
     let a = TestAgent::start("a").await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let gone = instance("gone", listener.local_addr().unwrap());
+    let unreachable = instance("unreachable", listener.local_addr().unwrap());
     drop(listener);
-    a.route_to_members(&[&gone, &a.own]).await;
+    a.route_to_members(&[&unreachable, &a.own]).await;
     for id in 0..100 {
         check(&a.call(get("echo", id)).await, 200, "answered");
     }
--- a/crates/agent/src/tests/load.rs
+++ b/crates/agent/src/tests/load.rs
@@ -8,11 +8,11 @@
 use crate::gate::load::LoadTable;
 
 #[test]
-fn a_reported_key_does_not_count_in_its_slot_too() {
+fn reported_key_is_not_counted_in_its_slot_as_well() {
     let table = LoadTable::default();
     let ms = Duration::from_millis;
     table.add(Some(Slot(1)), KeyHash(10), ms(30));
-    // Lighter keys than those that fit the report stay with their slot.
+    // Keys that are too light to be reported are counted in their slot.
     for key in 0..16 {
         table.add(Some(Slot(2)), KeyHash(100 + key), ms(20));
     }
@@ -27,10 +27,10 @@
     assert_eq!(slots + keys, report.total_us);
 }
 
-/// A slot whose upstream is full refuses five requests for each two that run. What it reports is more
-/// than what ran, so that it can be told from a slot that is merely full.
+/// A slot at an overloaded upstream refuses five requests for each two that it runs. Its reported load exceeds
+/// that of the requests run, which distinguishes it from a slot that is just fully used.
 #[test]
-fn refused_requests_count_as_half_of_one_that_ran() {
+fn refused_request_counts_as_half_of_a_run_one() {
     let table = LoadTable::default();
     table.add_refused(Some(Slot(1)), KeyHash(1));
     for key in 0..20 {
