--- a/crates/agent/src/tests/gate.rs
+++ b/crates/agent/src/tests/gate.rs
@@ -78,7 +78,7 @@
     let agent = owner().await;
     agent.gate.apply(&[GateCommand::DropAll]);
     let (answer, ()) = tokio::join!(agent.call(post("echo", 1)), async {
-        // Ingress retries until the slots are granted again.
+        // The lease is restored before the slots are granted; ingress retries meanwhile.
         tokio::time::sleep(Duration::from_millis(5)).await;
         agent.grant_all(2);
     });
--- a/crates/agent/src/tests/pipelining.rs
+++ b/crates/agent/src/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests before the first is answered.
+//! Tests of HTTP pipelining: callers that send further requests before the first is answered.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     stream
 }
 
-/// Reads until as many answers have come; returns what they say that has run.
+/// Reads until `count` answers have arrived. Returns the ids of the requests run, in the order of the answers.
 async fn answers(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut text = String::new();
     loop {
@@ -39,39 +39,39 @@
         }
         let mut chunk = vec![0; 4096];
         let read = timeout(WAIT_TIMEOUT, stream.read(&mut chunk)).await.unwrap().unwrap();
-        assert_ne!(read, 0, "the agent hung up after {text}");
+        assert_ne!(read, 0, "the agent closed the connection after {text}");
         text.push_str(std::str::from_utf8(&chunk[..read]).unwrap());
     }
 }
 
-async fn wait_until(what: &str, is_so: impl Fn() -> bool) {
+async fn wait_until(failure: &str, is_met: impl Fn() -> bool) {
     let waiting = async {
-        while !is_so() {
+        while !is_met() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "{what}");
+    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "{failure}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn reads_run_side_by_side_and_are_answered_in_order() {
+async fn idempotent_requests_run_concurrently_and_are_answered_in_order() {
     let agent = owner().await;
     let requests = [request("GET", "hold", 1), request("GET", "echo", 2)];
     let mut stream = connect(&agent, &requests).await;
-    wait_until("both run", || agent.upstream.ran().len() == 2).await;
+    wait_until("not both requests run", || agent.upstream.ran().len() == 2).await;
     agent.upstream.release.add_permits(1);
     assert_eq!(answers(&mut stream, 2).await, ["1", "2"]);
-    assert_eq!(agent.upstream.ran().len(), 2, "none ran twice");
+    assert_eq!(agent.upstream.ran().len(), 2, "a request ran twice");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_may_not_be_repeated_waits_for_its_turn_and_so_do_those_behind_it() {
+async fn non_idempotent_request_and_later_ones_run_in_turn() {
     let agent = owner().await;
     let requests =
         [request("GET", "hold", 1), request("POST", "hold", 2), request("GET", "echo", 3)];
     let mut stream = connect(&agent, &requests).await;
     agent.upstream.wait_started().await;
-    // The read behind them would have run by now.
+    // Without the barrier, the third request would have run by now.
     sleep(Duration::from_millis(50)).await;
     assert_eq!(agent.upstream.ran(), [RequestId(1)]);
     agent.upstream.release.add_permits(1);
@@ -83,31 +83,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_hangs_up_cancels_all_that_it_asked() {
+async fn closed_connection_cancels_all_its_requests() {
     let agent = owner().await;
     let stream = connect(&agent, &[request("GET", "hold", 1), request("GET", "hold", 2)]).await;
-    wait_until("both run", || agent.upstream.ran().len() == 2).await;
+    wait_until("not both requests run", || agent.upstream.ran().len() == 2).await;
     drop(stream);
     let cancelled = || agent.upstream.cancelled.lock().unwrap().len();
-    wait_until("both are cancelled", || cancelled() == 2).await;
+    wait_until("not both requests were cancelled", || cancelled() == 2).await;
 }
 
-/// The upstream has room for two, so the others that were started wait for it.
+/// The upstream runs two requests at once, so the others that were started are queued.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_connection_has_a_bounded_number_of_requests_under_way() {
+async fn number_of_requests_in_flight_of_one_connection_is_bounded() {
     let agent = owner().await;
     let requests: Vec<String> = (1..=20).map(|it| request("GET", "hold", it)).collect();
     let mut stream = connect(&agent, &requests).await;
-    wait_until("some are queued", || agent.plane.queued() == 7).await;
+    wait_until("not seven requests are queued", || agent.plane.queued() == 7).await;
     sleep(Duration::from_millis(50)).await;
-    assert_eq!(agent.plane.queued(), 7, "one in turn and eight ahead, of which two run");
+    assert_eq!(
+        agent.plane.queued(),
+        7,
+        "one request is served in turn and eight are started early; two of them run"
+    );
     agent.upstream.release.add_permits(20);
     let expected: Vec<String> = (1..=20).map(|it| format!("{it:x}")).collect();
     assert_eq!(answers(&mut stream, 20).await, expected);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_answer_that_closes_the_connection_leaves_nothing_behind_that_has_run() {
+async fn no_later_request_is_run_if_the_first_answer_closes_the_connection() {
     let agent = owner().await;
     agent.plane.leave();
     let requests = [request("GET", "hold", 1), request("GET", "echo", 2)];
@@ -120,13 +124,13 @@
     assert_eq!(agent.upstream.ran(), [RequestId(1)]);
 }
 
-/// The instance begins to leave while two requests of a connection are under way: both are answered.
+/// The instance begins to leave while two requests of a connection run; both must be answered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_was_started_is_answered_before_the_connection_closes() {
+async fn started_requests_are_answered_before_the_connection_closes() {
     let agent = owner().await;
     let requests = [request("GET", "hold", 1), request("GET", "hold", 2)];
     let mut stream = connect(&agent, &requests).await;
-    wait_until("both run", || agent.upstream.ran().len() == 2).await;
+    wait_until("not both requests run", || agent.upstream.ran().len() == 2).await;
     agent.plane.leave();
     agent.upstream.release.add_permits(2);
     let mut text = String::new();
--- a/crates/agent/src/tests/request_log.rs
+++ b/crates/agent/src/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a request, found by its id alone.
+//! Tests of the log lines about requests, found by the id of the request.
 
 use std::{
     collections::BTreeMap,
@@ -16,15 +16,15 @@
 
 type Fields = BTreeMap<String, String>;
 
-/// Keeps the lines about requests, of all tests of this process.
-struct Kept {
+/// A logger that keeps the lines about requests of all tests in this process.
+struct KeptLines {
     lines: Mutex<Vec<Fields>>,
 }
 
-static KEPT: Kept = Kept { lines: Mutex::new(Vec::new()) };
-static SET: Once = Once::new();
+static KEPT_LINES: KeptLines = KeptLines { lines: Mutex::new(Vec::new()) };
+static SET_LOGGER: Once = Once::new();
 
-impl Log for Kept {
+impl Log for KeptLines {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target() == "requests"
     }
@@ -51,32 +51,32 @@
     }
 }
 
-fn keep_lines() {
-    SET.call_once(|| {
-        log::set_logger(&KEPT).unwrap();
+fn install_logger() {
+    SET_LOGGER.call_once(|| {
+        log::set_logger(&KEPT_LINES).unwrap();
         log::set_max_level(log::LevelFilter::Debug);
     });
 }
 
-/// The lines with this id and message, as soon as there are any.
+/// Waits for lines with this id and message, and returns them.
 async fn lines(id: u128, message: &str) -> Vec<Fields> {
     let id = format!("{id:016x}");
-    let found = || -> Vec<Fields> {
-        let lines = KEPT.lines.lock().unwrap_or_else(PoisonError::into_inner);
+    let matching = || -> Vec<Fields> {
+        let lines = KEPT_LINES.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.iter().filter(|it| it["id"] == id && it["message"] == message).cloned().collect()
     };
     let wait = async {
-        while found().is_empty() {
+        while matching().is_empty() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("no such line");
-    found()
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("no such line in time");
+    matching()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_refusal_is_told_with_where_it_was_sent_and_what_it_was_placed_by() {
-    keep_lines();
+async fn lines_of_a_refused_request_contain_target_and_route_version() {
+    install_logger();
     let agent = TestAgent::start("a").await;
     agent.route_to(&agent.own, 7).await;
     agent.grant_all(1);
@@ -98,8 +98,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_deadline_that_passes_at_the_upstream_is_told_by_its_gate() {
-    keep_lines();
+async fn deadline_exceeded_at_the_upstream_is_logged_by_its_gate() {
+    install_logger();
     let agent = TestAgent::start("a").await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(1);
@@ -115,8 +115,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_that_leaves_is_told_of() {
-    keep_lines();
+async fn request_of_a_caller_that_left_is_logged() {
+    install_logger();
     let agent = TestAgent::start("a").await;
     agent.route_to(&agent.own, 1).await;
     agent.grant_all(1);
@@ -129,8 +129,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_without_a_key_is_told_with_the_reason() {
-    keep_lines();
+async fn request_without_a_key_is_logged_with_the_reason() {
+    install_logger();
     let agent = TestAgent::start("a").await;
     agent.route_to(&agent.own, 1).await;
     let mut stream = TcpStream::connect(agent.caller_address).await.unwrap();
--- a/crates/agent/src/tests/restart.rs
+++ b/crates/agent/src/tests/restart.rs
@@ -1,4 +1,4 @@
-//! An agent that is restarted beside an upstream which enforces leases and lives on.
+//! Tests of an agent that restarts while its upstream, which enforces leases, keeps running.
 
 use model::KeyRange;
 use ownership::GateCommand;
@@ -9,7 +9,7 @@
 use super::fakes::{KeyCall, TestAgent, token};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_an_earlier_life_granted_is_given_up_first_and_comes_back_warm() {
+async fn keys_of_an_earlier_incarnation_are_released_first_and_granted_with_their_handover_token() {
     let mut agent = TestAgent::start_leased("a").await;
     agent.route_to(&agent.own, 1).await;
     agent.gate.apply(&[GateCommand::Clear { token: token(3) }]);
@@ -19,8 +19,8 @@
         _ => None,
     });
     assert_eq!(cleared.await, token(3));
-    let is_granted = || agent.upstream.key_calls.lock().unwrap().len() >= 2;
-    while !is_granted() {
+    let has_two_calls = || agent.upstream.key_calls.lock().unwrap().len() >= 2;
+    while !has_two_calls() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     let all =
