--- a/crates/agent/src/tests/upstream_clock.rs
+++ b/crates/agent/src/tests/upstream_clock.rs
@@ -8,7 +8,7 @@
 
 use crate::gate::UpstreamClock;
 
-/// Converts a bound for an upstream whose clock started at `origin`, after a reading that arrived with the delay
+/// Checks a converted bound of an upstream whose clock started at `origin`, after a reading that arrived with the delay
 /// `delay`.
 fn check(origin: Timestamp, read_at: Timestamp, delay: Duration, bound: Timestamp) {
     let upstream_ms = |at: Timestamp| at.since(origin).as_millis() as u64;
