--- a/crates/agent/src/request_log/mod.rs
+++ b/crates/agent/src/request_log/mod.rs
@@ -7,7 +7,7 @@
 use std::{fmt, time::Duration};
 
 use log::Level;
-use logging::LineRate;
+use logging::LineRateLimiter;
 use model::{ConfigVersion, Instance, RequestId, Timestamp};
 use traffic::TargetComparison;
 
@@ -30,8 +30,8 @@
 #[derive(Debug)]
 pub(crate) struct RequestLog {
     clock: Clock,
-    ingress: LineRate,
-    gate: LineRate,
+    ingress: LineRateLimiter,
+    gate: LineRateLimiter,
 }
 
 /// A request on its way from the ingress to a gate. Dropped before its end, its caller has left.
@@ -71,14 +71,14 @@
 
 impl RequestLog {
     pub(crate) fn new(clock: Clock) -> RequestLog {
-        let rate = || LineRate::new(LINES_PER_S, LINES_AT_ONCE);
+        let rate = || LineRateLimiter::new(LINES_PER_S, LINES_AT_ONCE);
         RequestLog { clock, ingress: rate(), gate: rate() }
     }
 
     /// A request that goes nowhere: its head or its body is not as it has to be. One whose head can't be
     /// read has no id; zero stands for it.
     pub(crate) fn log_refusal(&self, id: Option<RequestId>, refusal: &Refusal) {
-        let Some(left_out) = self.ingress.take(self.clock.now()) else { return };
+        let Some(left_out) = self.ingress.admit(self.clock.now()) else { return };
         log::info!(
             target: TARGET,
             id:% = Id(id.unwrap_or(RequestId(0))),
@@ -108,7 +108,7 @@
         if !log::log_enabled!(target: TARGET, level) {
             return;
         }
-        let Some(left_out) = self.ingress.take(now) else { return };
+        let Some(left_out) = self.ingress.admit(now) else { return };
         log::log!(
             target: TARGET,
             level,
@@ -140,7 +140,7 @@
     fn abandoned(&self, logged: &LoggedRequest<'_>) {
         let LoggedRequest { request, placement, .. } = logged;
         let now = self.clock.now();
-        let Some(left_out) = self.ingress.take(now) else { return };
+        let Some(left_out) = self.ingress.admit(now) else { return };
         log::info!(
             target: TARGET,
             id:% = Id(request.id),
@@ -174,7 +174,7 @@
             return;
         }
         let now = self.clock.now();
-        let Some(left_out) = self.gate.take(now) else { return };
+        let Some(left_out) = self.gate.admit(now) else { return };
         log::log!(
             target: TARGET,
             level,
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -5,16 +5,16 @@
 mod rate;
 mod writer;
 
-pub use rate::LineRate;
-pub use writer::Logging;
+pub use rate::LineRateLimiter;
+pub use writer::LogGuard;
 
 #[cfg(test)]
 mod tests;
 
 /// Starts the log of this process, with filters as `env_logger` reads them. Lines still on their way
 /// when the guard is dropped are written first.
-pub fn init(filters: &str) -> Logging {
-    let (logging, lines) = Logging::start(std::io::stdout());
+pub fn init(filters: &str) -> LogGuard {
+    let (logging, lines) = LogGuard::start(std::io::stdout());
     env_logger::Builder::new()
         .parse_filters(filters)
         .format(|line, record| {
--- a/crates/logging/src/rate.rs
+++ b/crates/logging/src/rate.rs
@@ -6,9 +6,9 @@
 
 /// A token bucket that counts what it turns away.
 #[derive(Debug)]
-pub struct LineRate {
+pub struct LineRateLimiter {
     lines_per_s: f64,
-    at_once: f64,
+    burst: f64,
     state: Mutex<State>,
 }
 
@@ -19,18 +19,18 @@
     left_out: u64,
 }
 
-impl LineRate {
-    /// At most `lines_per_s` in the long run, and `at_once` in one go.
-    pub fn new(lines_per_s: f64, at_once: f64) -> LineRate {
-        let state = State { tokens: at_once, refilled_at: Timestamp::ZERO, left_out: 0 };
-        LineRate { lines_per_s, at_once, state: Mutex::new(state) }
+impl LineRateLimiter {
+    /// At most `lines_per_s` in the long run, and `burst` in one go.
+    pub fn new(lines_per_s: f64, burst: f64) -> LineRateLimiter {
+        let state = State { tokens: burst, refilled_at: Timestamp::ZERO, left_out: 0 };
+        LineRateLimiter { lines_per_s, burst, state: Mutex::new(state) }
     }
 
     /// Whether a line may be written now. If so: how many were left out since the last one.
-    pub fn take(&self, now: Timestamp) -> Option<u64> {
+    pub fn admit(&self, now: Timestamp) -> Option<u64> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let passed = now.since(state.refilled_at).as_secs_f64();
-        state.tokens = (state.tokens + passed * self.lines_per_s).min(self.at_once);
+        state.tokens = (state.tokens + passed * self.lines_per_s).min(self.burst);
         state.refilled_at = state.refilled_at.max(now);
         if state.tokens < 1.0 {
             state.left_out += 1;
--- a/crates/logging/src/tests/mod.rs
+++ b/crates/logging/src/tests/mod.rs
@@ -9,7 +9,7 @@
 use log::{Level, Record, kv::Value};
 use model::Timestamp;
 
-use crate::{json, rate::LineRate, writer::Logging};
+use crate::{json, rate::LineRateLimiter, writer::LogGuard};
 
 #[test]
 fn a_record_is_one_line_of_json_with_its_fields_in_order() {
@@ -34,15 +34,15 @@
 
 #[test]
 fn lines_beyond_the_rate_are_counted_and_the_count_is_told_with_the_next() {
-    let rate = LineRate::new(10.0, 3.0);
+    let rate = LineRateLimiter::new(10.0, 3.0);
     let start = Timestamp::ZERO + Duration::from_secs(1);
-    let taken = (0..8).filter(|_| rate.take(start).is_some()).count();
+    let taken = (0..8).filter(|_| rate.admit(start).is_some()).count();
     assert_eq!(taken, 3);
-    assert_eq!(rate.take(start + Duration::from_millis(50)), None);
-    assert_eq!(rate.take(start + Duration::from_millis(110)), Some(6));
+    assert_eq!(rate.admit(start + Duration::from_millis(50)), None);
+    assert_eq!(rate.admit(start + Duration::from_millis(110)), Some(6));
     // The whole allowance comes back, and no more than that.
     let later = start + Duration::from_secs(60);
-    assert_eq!((0..8).filter(|_| rate.take(later).is_some()).count(), 3);
+    assert_eq!((0..8).filter(|_| rate.admit(later).is_some()).count(), 3);
 }
 
 /// A pipe that takes nothing until it is told to.
@@ -74,7 +74,7 @@
     let (open, opened) = channel();
     let (written, lines) = channel();
     let out = Blocked { open: opened, is_open: false, written };
-    let (logging, mut writer) = Logging::start(out);
+    let (logging, mut writer) = LogGuard::start(out);
     for _ in 0..3_000 {
         writer.write_all(b"{}\n").unwrap();
     }
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -26,7 +26,7 @@
 
 /// Keeps the log going; dropped, it waits for the last lines.
 #[derive(Debug)]
-pub struct Logging {
+pub struct LogGuard {
     messages: SyncSender<Message>,
 }
 
@@ -37,9 +37,9 @@
     left_out: Arc<AtomicU64>,
 }
 
-impl Logging {
+impl LogGuard {
     /// Starts the thread that writes to `out`.
-    pub(crate) fn start(out: impl Write + Send + 'static) -> (Logging, LineWriter) {
+    pub(crate) fn start(out: impl Write + Send + 'static) -> (LogGuard, LineWriter) {
         let (messages, received) = sync_channel(WAITING_MAX);
         let left_out = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&left_out);
@@ -47,11 +47,11 @@
             // Nobody reads the log any more, and there is no other place to say so.
             _ = write_all(&received, &counted, out);
         });
-        (Logging { messages: messages.clone() }, LineWriter { messages, left_out })
+        (LogGuard { messages: messages.clone() }, LineWriter { messages, left_out })
     }
 }
 
-impl Drop for Logging {
+impl Drop for LogGuard {
     fn drop(&mut self) {
         let (written, all_written) = channel();
         // If the writer is that far behind, the last lines are left out.
--- a/crates/standins/src/caller/attempt.rs
+++ b/crates/standins/src/caller/attempt.rs
@@ -12,7 +12,7 @@
     response::Response,
 };
 
-use super::{CallRequest, Peer};
+use super::{CallRequest, TargetKind};
 use crate::{
     answer::{ANSWER_BYTES, AnswerFault, KEY, check_answer},
     journal::AttemptResult,
@@ -51,10 +51,10 @@
         target: SocketAddr,
         request: &CallRequest,
         age: Option<Duration>,
-        patience: Duration,
-        peer: Peer,
+        attempt_timeout: Duration,
+        target_kind: TargetKind,
     ) -> Ending {
-        match timeout(patience, self.send(target, request, age, peer)).await {
+        match timeout(attempt_timeout, self.send(target, request, age, target_kind)).await {
             Ok(ending) => ending,
             Err(_) => Ending { result: AttemptResult::TimedOut, retry_after: None },
         }
@@ -65,7 +65,7 @@
         target: SocketAddr,
         request: &CallRequest,
         age: Option<Duration>,
-        peer: Peer,
+        target_kind: TargetKind,
     ) -> Ending {
         let mut builder = self
             .client
@@ -79,7 +79,7 @@
             builder = builder.header(FIRST_SENT, age.as_millis().to_string());
         }
         match builder.send().await {
-            Ok(response) => read(response, request, peer).await,
+            Ok(response) => read(response, request, target_kind).await,
             Err(error) if is_not_sent(&error) => {
                 Ending { result: AttemptResult::NotConnected, retry_after: None }
             }
@@ -106,17 +106,17 @@
     false
 }
 
-async fn read(response: Response, request: &CallRequest, peer: Peer) -> Ending {
+async fn read(response: Response, request: &CallRequest, target_kind: TargetKind) -> Ending {
     let (parts, body) = response.into_parts();
     let retry_after = retry_after(&parts.headers);
     let Ok(body) = body.into_bytes().await else {
         return Ending { result: AttemptResult::ConnectionLost, retry_after };
     };
-    let outcome = match peer {
-        Peer::Agent => parts.headers.get(OUTCOME_HEADER).and_then(|it| it.to_str().ok()),
-        Peer::Upstream if parts.status == StatusCode::OK => Some("answered"),
-        Peer::Upstream if parts.headers.contains_key(NOT_RUN) => Some("not-run"),
-        Peer::Upstream => Some("unknown"),
+    let outcome = match target_kind {
+        TargetKind::Agent => parts.headers.get(OUTCOME_HEADER).and_then(|it| it.to_str().ok()),
+        TargetKind::Upstream if parts.status == StatusCode::OK => Some("answered"),
+        TargetKind::Upstream if parts.headers.contains_key(NOT_RUN) => Some("not-run"),
+        TargetKind::Upstream => Some("unknown"),
     };
     let result = classify(parts.status, outcome, &body, request);
     Ending { result, retry_after }
--- a/crates/standins/src/caller/call.rs
+++ b/crates/standins/src/caller/call.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::{AgentClient, attempt::Ending};
-use crate::journal::{Attempt, AttemptResult, CallRecord, FinalOutcome, wall_ns};
+use crate::journal::{Attempt, AttemptResult, CallRecord, FinalOutcome, wall_clock_ns};
 
 /// A request as a caller means it.
 #[derive(Debug, Clone)]
@@ -32,7 +32,7 @@
 
 /// What callers talk to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Peer {
+pub enum TargetKind {
     /// Whose answers carry an outcome.
     Agent,
     /// An upstream without an agent in between, to compare with.
@@ -41,26 +41,26 @@
 
 /// How callers go about a request that did not succeed.
 #[derive(Debug, Clone)]
-pub struct CallRules {
+pub struct CallPolicy {
     /// Time from the first sending after which a caller gives up.
-    pub patience: Duration,
+    pub call_timeout: Duration,
     /// Beyond the deadline, the longest that a caller waits for the end of one sending.
-    pub margin: Duration,
+    pub attempt_margin: Duration,
     /// Time until the next sending where the agent names none.
-    pub resend_after: Duration,
+    pub resend_delay: Duration,
     /// Whether anything is sent more than once.
-    pub resend: bool,
-    pub peer: Peer,
+    pub is_resend_enabled: bool,
+    pub target_kind: TargetKind,
 }
 
-impl Default for CallRules {
-    fn default() -> CallRules {
-        CallRules {
-            patience: Duration::from_secs(10),
-            margin: Duration::from_millis(250),
-            resend_after: Duration::from_millis(25),
-            resend: true,
-            peer: Peer::Agent,
+impl Default for CallPolicy {
+    fn default() -> CallPolicy {
+        CallPolicy {
+            call_timeout: Duration::from_secs(10),
+            attempt_margin: Duration::from_millis(250),
+            resend_delay: Duration::from_millis(25),
+            is_resend_enabled: true,
+            target_kind: TargetKind::Agent,
         }
     }
 }
@@ -69,7 +69,7 @@
 pub struct Caller {
     pub client: AgentClient,
     pub targets: Vec<SocketAddr>,
-    pub rules: CallRules,
+    pub policy: CallPolicy,
 }
 
 /// What a caller does after a sending.
@@ -91,20 +91,22 @@
         let mut attempts: Vec<Attempt> = Vec::new();
         loop {
             let age = may_have_run_since_ns(&attempts)
-                .map(|since_ns| Duration::from_nanos(wall_ns().saturating_sub(since_ns)));
+                .map(|since_ns| Duration::from_nanos(wall_clock_ns().saturating_sub(since_ns)));
             let address = self.targets[target % self.targets.len()];
-            let sent_ns = wall_ns();
-            let patience = request.deadline + self.rules.margin;
-            let Ending { result, retry_after } =
-                self.client.attempt(address, request, age, patience, self.rules.peer).await;
+            let sent_ns = wall_clock_ns();
+            let attempt_timeout = request.deadline + self.policy.attempt_margin;
+            let Ending { result, retry_after } = self
+                .client
+                .attempt(address, request, age, attempt_timeout, self.policy.target_kind)
+                .await;
             let next = match (&result, retry_after) {
                 // The agent asks for the same id again: it may have the first answer then.
                 (AttemptResult::Unknown { .. }, Some(_)) => Next::Same,
                 _ => next(&result, request.idempotent),
             };
-            let ended_ns = wall_ns();
+            let ended_ns = wall_clock_ns();
             attempts.push(Attempt { target: address, sent_ns, ended_ns, result });
-            if next == Next::Done || !self.rules.resend {
+            if next == Next::Done || !self.policy.is_resend_enabled {
                 break;
             }
             if next == Next::Other {
@@ -119,9 +121,9 @@
                 {
                     Duration::ZERO
                 }
-                None => self.rules.resend_after.mul_f64(jitter),
+                None => self.policy.resend_delay.mul_f64(jitter),
             };
-            if first_sent.elapsed() + wait > self.rules.patience {
+            if first_sent.elapsed() + wait > self.policy.call_timeout {
                 break;
             }
             sleep(wait).await;
--- a/crates/standins/src/caller/load.rs
+++ b/crates/standins/src/caller/load.rs
@@ -16,16 +16,16 @@
     time::{Instant, sleep_until},
 };
 
-use super::{AgentClient, CallRequest, CallRules, Caller, RouteMix};
+use super::{AgentClient, CallPolicy, CallRequest, Caller, WeightedRoute};
 use crate::journal::{CallRecord, JournalWriter};
 
 /// How fast callers send.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Pace {
+pub enum SendMode {
     /// Each caller sends its next request once the former has ended.
-    Closed,
+    ClosedLoop,
     /// All callers together send at this rate, whatever the answers.
-    Rate { requests_per_s: f64 },
+    FixedRate { requests_per_s: f64 },
 }
 
 /// A load on one service.
@@ -34,15 +34,15 @@
     pub service: String,
     pub targets: Vec<SocketAddr>,
     pub callers: usize,
-    pub pace: Pace,
+    pub send_mode: SendMode,
     pub duration: Duration,
-    pub routes: Vec<RouteMix>,
+    pub routes: Vec<WeightedRoute>,
     pub keys: Vec<String>,
     /// Share of the requests that goes to the first key.
     pub hot_share: f64,
     pub answer_bytes: usize,
     pub deadline: Duration,
-    pub rules: CallRules,
+    pub policy: CallPolicy,
     pub seed: u64,
     /// File of the journal; empty: none.
     pub journal: String,
@@ -87,19 +87,19 @@
     let caller = Arc::new(Caller {
         client: AgentClient::new()?,
         targets: load.targets.clone(),
-        rules: load.rules.clone(),
+        policy: load.policy.clone(),
     });
     let mut rng = Pcg64Mcg::seed_from_u64(load.seed ^ ((index as u64) << 32));
     let end = start + load.duration;
     sleep_until(start).await;
-    match load.pace {
-        Pace::Closed => {
+    match load.send_mode {
+        SendMode::ClosedLoop => {
             while Instant::now() < end {
                 let request = load.draw(&mut rng);
                 shared.send(&caller, request, index).await?;
             }
         }
-        Pace::Rate { requests_per_s } => {
+        SendMode::FixedRate { requests_per_s } => {
             let interval = Duration::from_secs_f64(load.callers as f64 / requests_per_s);
             // Callers are spread over one interval; the first requests come at once.
             let offset = interval.mul_f64(index as f64 / load.callers as f64);
@@ -163,7 +163,7 @@
     }
 
     /// Routes are drawn in proportion to their shares.
-    fn draw_route(&self, rng: &mut Pcg64Mcg) -> &RouteMix {
+    fn draw_route(&self, rng: &mut Pcg64Mcg) -> &WeightedRoute {
         let total: f64 = self.routes.iter().map(|it| it.share).sum();
         let mut rest = rng.random_range(0.0..1.0) * total;
         let last = self.routes.len() - 1;
--- a/crates/standins/src/caller/mod.rs
+++ b/crates/standins/src/caller/mod.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 pub use attempt::AgentClient;
-pub use call::{CallRequest, CallRules, Caller, Peer};
-pub use load::{Load, LoadReport, Pace, run_load};
-pub use options::{CallerOptions, RouteMix, run};
+pub use call::{CallPolicy, CallRequest, Caller, TargetKind};
+pub use load::{Load, LoadReport, SendMode, run_load};
+pub use options::{CallerOptions, WeightedRoute, run};
 pub use summary::{Latency, LoadSummary};
--- a/crates/standins/src/caller/options.rs
+++ b/crates/standins/src/caller/options.rs
@@ -6,11 +6,11 @@
 use http::Method;
 use tokio::time::Instant;
 
-use super::{CallRules, Load, LoadSummary, Pace, Peer, run_load};
+use super::{CallPolicy, Load, LoadSummary, SendMode, TargetKind, run_load};
 
 /// One kind of request within a load.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteMix {
+pub struct WeightedRoute {
     pub method: Method,
     /// `/SERVICE/...`, with `{key}` where the key stands.
     pub path: String,
@@ -19,18 +19,18 @@
     pub share: f64,
 }
 
-impl RouteMix {
+impl WeightedRoute {
     /// The last segment of the path.
     pub fn class(&self) -> &str {
         self.path.rsplit('/').next().unwrap_or_default()
     }
 }
 
-impl FromStr for RouteMix {
+impl FromStr for WeightedRoute {
     type Err = anyhow::Error;
 
     /// Parses `METHOD:PATH:repeat|once:SHARE`.
-    fn from_str(text: &str) -> anyhow::Result<RouteMix> {
+    fn from_str(text: &str) -> anyhow::Result<WeightedRoute> {
         let parts: Vec<&str> = text.split(':').collect();
         let [method, path, repeat, share] = parts[..] else {
             anyhow::bail!("a route is METHOD:PATH:repeat|once:SHARE, not {text:?}");
@@ -40,7 +40,7 @@
             "once" => false,
             other => anyhow::bail!("a request is sent repeat or once, not {other:?}"),
         };
-        Ok(RouteMix {
+        Ok(WeightedRoute {
             method: method.parse().context("the method of a route")?,
             path: path.to_owned(),
             idempotent,
@@ -60,7 +60,7 @@
     #[options(help = "the service to call", required)]
     pub service: String,
     #[options(help = "METHOD:PATH:repeat|once:SHARE, may be given again", required)]
-    pub route: Vec<RouteMix>,
+    pub route: Vec<WeightedRoute>,
     #[options(no_short, help = "callers that start at once", default = "100")]
     pub callers: usize,
     #[options(no_short, help = "total rate; 0: each waits for its answer", default = "0")]
@@ -92,27 +92,27 @@
 
     fn try_from(options: CallerOptions) -> anyhow::Result<Load> {
         let targets = options.targets.split(',').map(|it| it.parse().context("--targets"));
-        let pace = match options.requests_per_s {
-            rate if rate > 0.0 => Pace::Rate { requests_per_s: rate },
-            _ => Pace::Closed,
+        let send_mode = match options.requests_per_s {
+            rate if rate > 0.0 => SendMode::FixedRate { requests_per_s: rate },
+            _ => SendMode::ClosedLoop,
         };
-        let patience = Duration::from_millis(options.patience_ms);
+        let call_timeout = Duration::from_millis(options.patience_ms);
         Ok(Load {
             targets: targets.collect::<anyhow::Result<_>>()?,
             service: options.service,
             callers: options.callers,
-            pace,
+            send_mode,
             duration: Duration::from_millis(options.duration_ms),
             routes: options.route,
             keys: (0..options.keys).map(|it| format!("key-{it}")).collect(),
             hot_share: options.hot_share,
             answer_bytes: options.answer_bytes,
             deadline: Duration::from_millis(options.deadline_ms),
-            rules: CallRules {
-                patience,
-                resend: !options.no_resend,
-                peer: if options.direct { Peer::Upstream } else { Peer::Agent },
-                ..CallRules::default()
+            policy: CallPolicy {
+                call_timeout,
+                is_resend_enabled: !options.no_resend,
+                target_kind: if options.direct { TargetKind::Upstream } else { TargetKind::Agent },
+                ..CallPolicy::default()
             },
             seed: options.seed,
             journal: options.journal,
--- a/crates/standins/src/caller/tests.rs
+++ b/crates/standins/src/caller/tests.rs
@@ -12,7 +12,7 @@
 };
 
 use super::{
-    CallRequest, RouteMix,
+    CallRequest, WeightedRoute,
     attempt::classify,
     call::{Next, final_outcome, may_have_run_since_ns, next},
 };
@@ -73,9 +73,9 @@
 
 #[test]
 fn routes_are_parsed() {
-    let route: RouteMix = "POST:/racecontrol/{key}/penalty:once:0.2".parse().unwrap();
+    let route: WeightedRoute = "POST:/racecontrol/{key}/penalty:once:0.2".parse().unwrap();
     assert_eq!((route.class(), route.idempotent), ("penalty", false));
-    assert!("POST:/racecontrol".parse::<RouteMix>().is_err());
+    assert!("POST:/racecontrol".parse::<WeightedRoute>().is_err());
 }
 
 #[test]
--- a/crates/standins/src/journal/mod.rs
+++ b/crates/standins/src/journal/mod.rs
@@ -14,7 +14,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Nanoseconds of the wall clock.
-pub fn wall_ns() -> u64 {
+pub fn wall_clock_ns() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/crates/standins/src/upstream/execution.rs
+++ b/crates/standins/src/upstream/execution.rs
@@ -14,7 +14,7 @@
 use crate::{
     answer::{ANSWER_BYTES, KEY, encode_answer},
     http::{answer, with_header},
-    journal::{RefusedReason, RunEnd, RunEntry, wall_ns},
+    journal::{RefusedReason, RunEnd, RunEntry, wall_clock_ns},
 };
 
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
@@ -22,7 +22,7 @@
 const END_BEFORE: HeaderName = HeaderName::from_static("x-end-before-ms");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 /// How the process exits when a request has ended it.
-pub const ENDED_UNDER_A_RUN: i32 = 70;
+pub const CRASH_EXIT_CODE: i32 = 70;
 /// The deadline of a request that names none.
 const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
 
@@ -89,7 +89,7 @@
 
 fn refuse(upstream: &Upstream, call: &Call, reason: RefusedReason) -> Response {
     let (id, key) = (call.id, call.key.clone());
-    upstream.record(&RunEntry::Refused { at_ns: wall_ns(), id, key, reason });
+    upstream.record(&RunEntry::Refused { at_ns: wall_clock_ns(), id, key, reason });
     with_header(answer(StatusCode::SERVICE_UNAVAILABLE, "not run"), NOT_RUN, 1)
 }
 
@@ -128,7 +128,7 @@
     fn start(upstream: &'a Upstream, call: &Call) -> Run<'a> {
         let (run, cancelled) = upstream.begin_run(call.id);
         upstream.record(&RunEntry::Started {
-            at_ns: wall_ns(),
+            at_ns: wall_clock_ns(),
             run,
             id: call.id,
             key: call.key.clone(),
@@ -139,20 +139,20 @@
     }
 
     async fn finish(mut self, call: &Call) -> Response {
-        let started_ns = wall_ns();
+        let started_ns = wall_clock_ns();
         let started = Instant::now();
         let end = self.work(call.deadline).await;
         if self.upstream.config.ends_on.as_ref() == Some(&call.key) {
-            self.upstream.record(&RunEntry::EndsUnder { at_ns: wall_ns(), run: self.run });
-            std::process::exit(ENDED_UNDER_A_RUN);
+            self.upstream.record(&RunEntry::EndsUnder { at_ns: wall_clock_ns(), run: self.run });
+            std::process::exit(CRASH_EXIT_CODE);
         }
         // After a freeze nothing more takes effect, so the run ended at its deadline.
         let at_ns = match end {
             RunEnd::DeadlineExceeded => {
                 let until = u64::try_from((call.deadline - started).as_nanos()).unwrap_or(u64::MAX);
-                wall_ns().min(started_ns.saturating_add(until))
+                wall_clock_ns().min(started_ns.saturating_add(until))
             }
-            _ => wall_ns(),
+            _ => wall_clock_ns(),
         };
         self.end(at_ns, end);
         let (status, answer_bytes) = match end {
@@ -196,7 +196,7 @@
 impl Drop for Run<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(wall_ns(), RunEnd::Cancelled);
+            self.end(wall_clock_ns(), RunEnd::Cancelled);
         }
     }
 }
--- a/crates/standins/src/upstream/mod.rs
+++ b/crates/standins/src/upstream/mod.rs
@@ -11,6 +11,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use execution::ENDED_UNDER_A_RUN;
+pub use execution::CRASH_EXIT_CODE;
 pub use options::UpstreamOptions;
 pub use server::run;
--- a/crates/standins/src/upstream/state.rs
+++ b/crates/standins/src/upstream/state.rs
@@ -19,7 +19,7 @@
 };
 
 use super::options::Config;
-use crate::journal::{JournalWriter, RunEntry, wall_ns};
+use crate::journal::{JournalWriter, RunEntry, wall_clock_ns};
 
 /// Service times lie between half and one and a half times their mean.
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
@@ -151,7 +151,7 @@
     /// Begins to leave.
     pub(crate) fn drain(&self) {
         self.inner().draining_since.get_or_insert_with(Instant::now);
-        self.record(&RunEntry::Draining { at_ns: wall_ns() });
+        self.record(&RunEntry::Draining { at_ns: wall_clock_ns() });
     }
 
     /// Whether it has been leaving for so long that it takes no new work.
--- a/xtask/src/bench/config.rs
+++ b/xtask/src/bench/config.rs
@@ -8,7 +8,7 @@
 use http::Method;
 use serde::Serialize;
 use standins::{
-    caller::{AgentClient, CallRules, Caller},
+    caller::{AgentClient, CallPolicy, Caller},
     journal::AttemptResult,
 };
 use tokio::time::{Instant, sleep, timeout};
@@ -126,8 +126,8 @@
 
     /// When an agent first decides by the document.
     async fn wait_in_force(&self, agent: SocketAddr, refuses: bool) -> anyhow::Result<Instant> {
-        let rules = CallRules { resend: false, ..CallRules::default() };
-        let caller = Caller { client: self.client.clone(), targets: vec![agent], rules };
+        let policy = CallPolicy { is_resend_enabled: false, ..CallPolicy::default() };
+        let caller = Caller { client: self.client.clone(), targets: vec![agent], policy };
         let path = format!("/{SERVICE}{PROBE_PATH}");
         for number in 0_u64.. {
             let number = (self.changes as u64) << 40 | u64::from(agent.port()) << 20 | number;
--- a/xtask/src/bench/faults/scenario.rs
+++ b/xtask/src/bench/faults/scenario.rs
@@ -5,7 +5,7 @@
 use anyhow::Context;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use standins::journal::wall_ns;
+use standins::journal::wall_clock_ns;
 use tokio::time::{Instant, sleep};
 
 use crate::{
@@ -127,7 +127,7 @@
         let before = BEFORE + Duration::from_millis(rng.random_range(BEFORE_JITTER_MS));
         let load = before + OUTAGE_LEAD + FREEZE + AFTER;
         let mut evidence = Evidence::default();
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         let load_ns = u64::try_from(load.as_nanos()).unwrap_or(u64::MAX);
         evidence.watched = Window { from_ns, until_ns: from_ns + load_ns };
         evidence.churn = evidence.watched;
--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -10,8 +10,8 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 use standins::{
-    journal::{read_journal, wall_ns},
-    upstream::ENDED_UNDER_A_RUN,
+    journal::{read_journal, wall_clock_ns},
+    upstream::CRASH_EXIT_CODE,
 };
 
 use super::{Binaries, Ports, Process, RunDir, Service};
@@ -151,13 +151,13 @@
     /// Whether a request has ended the upstream.
     pub(crate) fn has_ended_under_a_run(&self) -> anyhow::Result<bool> {
         let status = self.upstream()?.exit_status()?;
-        Ok(status.is_some_and(|it| it.code() == Some(ENDED_UNDER_A_RUN)))
+        Ok(status.is_some_and(|it| it.code() == Some(CRASH_EXIT_CODE)))
     }
 
     /// Starts the upstream again, which has ended by itself beside a live agent.
     pub(crate) fn start_upstream_again(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
         let frozen = std::mem::take(&mut self.frozen);
-        self.past.push(PastLife { life: self.life, gone_ns: wall_ns(), frozen });
+        self.past.push(PastLife { life: self.life, gone_ns: wall_clock_ns(), frozen });
         self.life += 1;
         self.start_upstream(with)
     }
@@ -217,17 +217,17 @@
 
     /// Kills both parts at once.
     pub(crate) async fn kill(&mut self) -> anyhow::Result<SickIngress> {
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         self.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
         self.upstream()?.wait(STOP_TIMEOUT).await?;
-        self.gone_ns = Some(wall_ns());
+        self.gone_ns = Some(wall_clock_ns());
         Ok(self.sick(from_ns, u64::MAX))
     }
 
     /// Kills the agent alone; the upstream lives on.
     pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<SickIngress> {
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         self.agent()?.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
         Ok(self.sick(from_ns, u64::MAX))
@@ -237,26 +237,26 @@
     /// threads stops a moment later.
     pub(crate) fn freeze(&self) -> anyhow::Result<u64> {
         self.signal(Signal::SIGSTOP)?;
-        Ok(wall_ns())
+        Ok(wall_clock_ns())
     }
 
     /// Lets both parts go on.
     pub(crate) fn thaw(&mut self, frozen_ns: u64) -> anyhow::Result<SickIngress> {
-        self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_ns() });
+        self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_clock_ns() });
         self.signal(Signal::SIGCONT)?;
-        Ok(self.sick(frozen_ns, wall_ns()))
+        Ok(self.sick(frozen_ns, wall_clock_ns()))
     }
 
     /// Freezes the agent alone.
     pub(crate) fn pause_agent(&self) -> anyhow::Result<u64> {
         self.agent()?.signal(Signal::SIGSTOP)?;
-        Ok(wall_ns())
+        Ok(wall_clock_ns())
     }
 
     /// Lets the agent go on.
     pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<SickIngress> {
         self.agent()?.signal(Signal::SIGCONT)?;
-        Ok(self.sick(paused_ns, wall_ns()))
+        Ok(self.sick(paused_ns, wall_clock_ns()))
     }
 
     fn sick(&self, from_ns: u64, until_ns: u64) -> SickIngress {
@@ -265,17 +265,17 @@
 
     /// Tells both parts to leave and waits for their ends.
     pub(crate) async fn leave(&mut self) -> anyhow::Result<PlannedStop> {
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         let began = Instant::now();
         self.signal(Signal::SIGTERM)?;
         for process in [self.agent()?, self.upstream()?] {
             let status = process.wait(STOP_TIMEOUT).await?;
-            let in_order = status.success() || status.code() == Some(ENDED_UNDER_A_RUN);
+            let in_order = status.success() || status.code() == Some(CRASH_EXIT_CODE);
             anyhow::ensure!(in_order, "{} ended with {status} when told to", self.name);
         }
         log::info!(target: "demo", "{} left within {:?}.", self.name, began.elapsed());
-        self.gone_ns = Some(wall_ns());
-        let window = Window { from_ns, until_ns: wall_ns() };
+        self.gone_ns = Some(wall_clock_ns());
+        let window = Window { from_ns, until_ns: wall_clock_ns() };
         let instance = self.name.clone();
         Ok(PlannedStop { instance, caller_address: self.caller, window })
     }
@@ -286,7 +286,7 @@
         dir: &RunDir,
         keyed: bool,
     ) -> anyhow::Result<Vec<UpstreamJournal>> {
-        let gone_ns = self.gone_ns.unwrap_or_else(wall_ns);
+        let gone_ns = self.gone_ns.unwrap_or_else(wall_clock_ns);
         let last = PastLife { life: self.life, gone_ns, frozen: self.frozen.clone() };
         let lives = self.past.iter().chain([&last]);
         lives.map(|it| self.journal_of(it, dir, keyed)).collect()
--- a/xtask/src/cluster/mod.rs
+++ b/xtask/src/cluster/mod.rs
@@ -19,7 +19,7 @@
 use anyhow::Context;
 use futures_util::future::try_join_all;
 use http::Method;
-use standins::caller::{AgentClient, CallRules, Caller};
+use standins::caller::{AgentClient, CallPolicy, Caller};
 use tokio::time::timeout;
 use volo_http::{
     body::{Body, BodyConversion},
@@ -124,12 +124,12 @@
     /// Waits until each agent answers for each service of its team.
     pub(crate) async fn wait_serving(&self) -> anyhow::Result<()> {
         let client = AgentClient::new()?;
-        let rules = CallRules { patience: START_TIMEOUT, ..CallRules::default() };
+        let policy = CallPolicy { call_timeout: START_TIMEOUT, ..CallPolicy::default() };
         let mut probes = Vec::new();
         for instance in &self.instances {
             for service in self.services.iter().filter(|it| it.spec.team == instance.team) {
                 let targets = vec![instance.caller];
-                let caller = Caller { client: client.clone(), targets, rules: rules.clone() };
+                let caller = Caller { client: client.clone(), targets, policy: policy.clone() };
                 let request = service.probe(probes.len() as u64);
                 probes.push(async move {
                     let record = caller.call(&request, 0).await;
--- a/xtask/src/cluster/service.rs
+++ b/xtask/src/cluster/service.rs
@@ -8,7 +8,7 @@
 use model::RequestId;
 use serde_json::json;
 use settings::ServiceDocument;
-use standins::caller::{CallRequest, RouteMix};
+use standins::caller::{CallRequest, WeightedRoute};
 
 use super::repository;
 
@@ -32,7 +32,7 @@
     pub(crate) spec: ServiceSpec,
     pub(crate) text: String,
     pub(crate) document: ServiceDocument,
-    pub(crate) routes: Vec<RouteMix>,
+    pub(crate) routes: Vec<WeightedRoute>,
 }
 
 /// The name of a key.
@@ -48,7 +48,7 @@
         let document = ServiceDocument::parse(&text)
             .map_err(|problems| anyhow::anyhow!("{}: {problems}", spec.document))?;
         let routes = spec.routes.iter().map(|it| it.parse());
-        let routes = routes.collect::<anyhow::Result<Vec<RouteMix>>>()?;
+        let routes = routes.collect::<anyhow::Result<Vec<WeightedRoute>>>()?;
         Ok(Service { spec: spec.clone(), text, document, routes })
     }
 
--- a/xtask/src/demo/config_probe.rs
+++ b/xtask/src/demo/config_probe.rs
@@ -4,8 +4,8 @@
 
 use http::Method;
 use standins::{
-    caller::{AgentClient, CallRules, Caller},
-    journal::{AttemptResult, wall_ns},
+    caller::{AgentClient, CallPolicy, Caller},
+    journal::{AttemptResult, wall_clock_ns},
 };
 use tokio::{
     sync::watch,
@@ -34,7 +34,7 @@
 
 impl ConfigChange {
     pub(crate) fn now(service: &str) -> ConfigChange {
-        ConfigChange { service: service.to_owned(), acknowledged_ns: wall_ns() }
+        ConfigChange { service: service.to_owned(), acknowledged_ns: wall_clock_ns() }
     }
 }
 
@@ -61,8 +61,8 @@
         let service = Arc::new(service.clone());
         let mut agents = JoinSet::new();
         for agent in cluster.caller_addresses(service.spec.team) {
-            let rules = CallRules { resend: false, ..CallRules::default() };
-            let caller = Caller { client: client.clone(), targets: vec![agent], rules };
+            let policy = CallPolicy { is_resend_enabled: false, ..CallPolicy::default() };
+            let caller = Caller { client: client.clone(), targets: vec![agent], policy };
             agents.spawn(probe(caller, agent, Arc::clone(&service), stop.subscribe()));
         }
         Ok(Probes { stop, agents })
@@ -92,14 +92,14 @@
         ticks.tick().await;
         let number = (u64::from(agent.port()) << 32) | samples.len() as u64;
         let request = service.request(Method::GET, &path, number);
-        let sent_ns = wall_ns();
+        let sent_ns = wall_clock_ns();
         let record = caller.call(&request, 0).await;
         let changed = match record.attempts.last().map(|it| &it.result) {
             Some(AttemptResult::Answered) => Some(false),
             Some(AttemptResult::NotRun { reason }) if reason == "bad-request" => Some(true),
             _ => None,
         };
-        samples.push(Sample { agent, sent_ns, ended_ns: wall_ns(), changed });
+        samples.push(Sample { agent, sent_ns, ended_ns: wall_clock_ns(), changed });
     }
     samples
 }
--- a/xtask/src/demo/load.rs
+++ b/xtask/src/demo/load.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use standins::caller::{CallRules, Load, Pace, run_load};
+use standins::caller::{CallPolicy, Load, SendMode, run_load};
 use standins::journal::CallRecord;
 use tokio::{task::JoinSet, time::Instant};
 
@@ -74,12 +74,17 @@
 fn loads_of(cluster: &Cluster, service: &Service, duration: Duration) -> Vec<Load> {
     let steady = steady(cluster, service, duration);
     let broad = Load {
-        pace: Pace::Rate { requests_per_s: BROAD_REQUESTS_PER_S },
+        send_mode: SendMode::FixedRate { requests_per_s: BROAD_REQUESTS_PER_S },
         keys: (0..BROAD_KEYS).map(key).collect(),
         hot_share: 0.0,
         ..steady.clone()
     };
-    let rush = Load { callers: RUSH_CALLERS, duration: RUSH, pace: Pace::Closed, ..broad.clone() };
+    let rush = Load {
+        callers: RUSH_CALLERS,
+        duration: RUSH,
+        send_mode: SendMode::ClosedLoop,
+        ..broad.clone()
+    };
     match service.document.keyed {
         true => vec![rush, steady, broad],
         false => vec![rush, steady],
@@ -96,14 +101,14 @@
         service: service.name().to_owned(),
         targets: cluster.caller_addresses(service.spec.team),
         callers: STEADY_CALLERS,
-        pace: Pace::Rate { requests_per_s },
+        send_mode: SendMode::FixedRate { requests_per_s },
         duration,
         routes: service.routes.clone(),
         keys: probed_keys().collect(),
         hot_share: HOT_SHARE,
         answer_bytes: ANSWER_BYTES,
         deadline: DEADLINE,
-        rules: CallRules { patience: PATIENCE, ..CallRules::default() },
+        policy: CallPolicy { call_timeout: PATIENCE, ..CallPolicy::default() },
         seed: 0,
         journal: String::new(),
     }
--- a/xtask/src/demo/mod.rs
+++ b/xtask/src/demo/mod.rs
@@ -14,7 +14,7 @@
 
 use std::{process::ExitCode, time::Duration};
 
-use standins::journal::wall_ns;
+use standins::journal::wall_clock_ns;
 use tokio::time::{Instant, sleep_until};
 
 pub(crate) use self::{
@@ -94,7 +94,7 @@
     let load = if with_faults { LOAD } else { LOAD_WITHOUT_FAULTS };
     let mut evidence = Evidence::default();
     let start = Instant::now() + Duration::from_millis(100);
-    let start_ns = wall_ns() + 100_000_000;
+    let start_ns = wall_clock_ns() + 100_000_000;
     let at = |after: Duration| start_ns + u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
     evidence.probed_keys = load::probed_keys().collect();
     evidence.quiet = Window { from_ns: at(QUIET_FROM), until_ns: at(FIRST_FAULT) };
--- a/xtask/src/soak/harmful.rs
+++ b/xtask/src/soak/harmful.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use standins::{
-    caller::{CallRules, Load, Pace},
+    caller::{CallPolicy, Load, SendMode},
     journal::RunEntry,
 };
 use tokio::time::Instant;
@@ -56,12 +56,12 @@
         let load = load::steady(cluster, service, duration);
         let harmful = Load {
             callers: rng.random_range(CALLERS),
-            pace: Pace::Rate { requests_per_s: rng.random_range(REQUESTS_PER_S) },
+            send_mode: SendMode::FixedRate { requests_per_s: rng.random_range(REQUESTS_PER_S) },
             // The first route is idempotent.
             routes: load.routes[..1].to_vec(),
             keys: vec![HARMFUL_KEY.to_owned()],
             hot_share: 0.0,
-            rules: CallRules { patience: PATIENCE, ..load.rules.clone() },
+            policy: CallPolicy { call_timeout: PATIENCE, ..load.policy.clone() },
             seed: rng.random(),
             ..load
         };
--- a/xtask/src/soak/lane.rs
+++ b/xtask/src/soak/lane.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use standins::journal::wall_ns;
+use standins::journal::wall_clock_ns;
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{
@@ -112,7 +112,7 @@
         for it in std::mem::take(&mut self.planned) {
             self.revive_until(start + it.after, cluster, binaries).await?;
             log::info!(target: "soak", "{it:?}.");
-            let from_ns = wall_ns();
+            let from_ns = wall_clock_ns();
             let Member { instance, proxy, peers, .. } = &mut self.members[it.instance];
             match it.fault {
                 Fault::Store(fault) => strike_store(cluster, fault, it.lasts).await?,
@@ -128,7 +128,7 @@
                 }
             }
             let is_for_all = matches!(it.fault, Fault::Store(_));
-            let window = Window { from_ns, until_ns: wall_ns() };
+            let window = Window { from_ns, until_ns: wall_clock_ns() };
             let instance = (!is_for_all).then(|| instance.name.clone());
             struck.disturbed.push(Disturbed { instance, window });
         }
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -17,7 +17,7 @@
 use std::{collections::BTreeMap, process::ExitCode, time::Duration};
 
 use serde::Serialize;
-use standins::journal::wall_ns;
+use standins::journal::wall_clock_ns;
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
@@ -137,9 +137,9 @@
     }
     let proxies = lane::merge(cluster, lanes);
     sleep_until(start + FIRST_FAULT + struck + RECOVERY).await;
-    let checked_from_ns = wall_ns();
+    let checked_from_ns = wall_clock_ns();
     sleep_until(start + load).await;
-    let checked_until_ns = wall_ns();
+    let checked_until_ns = wall_clock_ns();
     evidence.calls = callers.finish().await?;
     crate::demo::stop_rest(cluster, &mut evidence).await?;
     drop(proxies);
