--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -10,8 +10,8 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 use standins::{
-    journal::{read_journal, wall_ns},
-    upstream::ENDED_UNDER_A_RUN,
+    journal::{read_journal, wall_clock_ns},
+    upstream::CRASH_EXIT_CODE,
 };
 
 use super::{Binaries, PortAllocator, Process, RunDir, Service};
@@ -161,7 +161,7 @@
     /// Returns whether a request has crashed the upstream.
     pub(crate) fn has_crashed_in_request(&self) -> anyhow::Result<bool> {
         let status = self.upstream()?.exit_status()?;
-        Ok(status.is_some_and(|it| it.code() == Some(ENDED_UNDER_A_RUN)))
+        Ok(status.is_some_and(|it| it.code() == Some(CRASH_EXIT_CODE)))
     }
 
     /// Restarts the upstream after it has crashed while its agent keeps running.
@@ -172,7 +172,7 @@
         let frozen = std::mem::take(&mut self.frozen);
         self.past_incarnations.push(PastIncarnation {
             incarnation: self.incarnation,
-            exited_ns: wall_ns(),
+            exited_ns: wall_clock_ns(),
             frozen,
         });
         self.incarnation += 1;
@@ -240,17 +240,17 @@
 
     /// Kills agent and upstream together.
     pub(crate) async fn kill(&mut self) -> anyhow::Result<IngressOutage> {
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         self.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
         self.upstream()?.wait(STOP_TIMEOUT).await?;
-        self.exited_ns = Some(wall_ns());
+        self.exited_ns = Some(wall_clock_ns());
         Ok(self.outage(from_ns, u64::MAX))
     }
 
     /// Kills the agent alone; the upstream keeps running.
     pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<IngressOutage> {
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         self.agent()?.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
         Ok(self.outage(from_ns, u64::MAX))
@@ -260,26 +260,26 @@
     /// process with several threads stops a moment later.
     pub(crate) fn freeze(&self) -> anyhow::Result<u64> {
         self.signal(Signal::SIGSTOP)?;
-        Ok(wall_ns())
+        Ok(wall_clock_ns())
     }
 
     /// Resumes agent and upstream after [`Instance::freeze`].
     pub(crate) fn resume(&mut self, frozen_ns: u64) -> anyhow::Result<IngressOutage> {
-        self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_ns() });
+        self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_clock_ns() });
         self.signal(Signal::SIGCONT)?;
-        Ok(self.outage(frozen_ns, wall_ns()))
+        Ok(self.outage(frozen_ns, wall_clock_ns()))
     }
 
     /// Suspends the agent alone and returns the time.
     pub(crate) fn pause_agent(&self) -> anyhow::Result<u64> {
         self.agent()?.signal(Signal::SIGSTOP)?;
-        Ok(wall_ns())
+        Ok(wall_clock_ns())
     }
 
     /// Resumes the agent after [`Instance::pause_agent`].
     pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<IngressOutage> {
         self.agent()?.signal(Signal::SIGCONT)?;
-        Ok(self.outage(paused_ns, wall_ns()))
+        Ok(self.outage(paused_ns, wall_clock_ns()))
     }
 
     fn outage(&self, from_ns: u64, until_ns: u64) -> IngressOutage {
@@ -288,17 +288,17 @@
 
     /// Sends SIGTERM to agent and upstream and waits until both have exited.
     pub(crate) async fn leave(&mut self) -> anyhow::Result<PlannedStop> {
-        let from_ns = wall_ns();
+        let from_ns = wall_clock_ns();
         let started = Instant::now();
         self.signal(Signal::SIGTERM)?;
         for process in [self.agent()?, self.upstream()?] {
             let status = process.wait(STOP_TIMEOUT).await?;
-            let is_graceful = status.success() || status.code() == Some(ENDED_UNDER_A_RUN);
+            let is_graceful = status.success() || status.code() == Some(CRASH_EXIT_CODE);
             anyhow::ensure!(is_graceful, "{} exited with {status} after SIGTERM", self.name);
         }
         log::info!(target: "demo", "{} stopped gracefully within {:?}.", self.name, started.elapsed());
-        self.exited_ns = Some(wall_ns());
-        let window = Window { from_ns, until_ns: wall_ns() };
+        self.exited_ns = Some(wall_clock_ns());
+        let window = Window { from_ns, until_ns: wall_clock_ns() };
         let instance = self.name.clone();
         Ok(PlannedStop { instance, caller_address: self.caller, window })
     }
@@ -309,7 +309,7 @@
         dir: &RunDir,
         keyed: bool,
     ) -> anyhow::Result<Vec<UpstreamJournal>> {
-        let exited_ns = self.exited_ns.unwrap_or_else(wall_ns);
+        let exited_ns = self.exited_ns.unwrap_or_else(wall_clock_ns);
         let last = PastIncarnation {
             incarnation: self.incarnation,
             exited_ns,
--- a/xtask/src/demo/load.rs
+++ b/xtask/src/demo/load.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use standins::caller::{CallRules, Load, Pace, run_load};
+use standins::caller::{CallPolicy, Load, SendMode, run_load};
 use standins::journal::CallRecord;
 use tokio::{task::JoinSet, time::Instant};
 
@@ -25,7 +25,7 @@
 const HOT_SHARE: f64 = 0.1;
 const ANSWER_BYTES: usize = 2_000;
 const DEADLINE: Duration = Duration::from_secs(1);
-const WAIT_TIMEOUT: Duration = Duration::from_secs(8);
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Callers at work in the background.
 pub(crate) struct Callers {
@@ -74,7 +74,7 @@
 fn loads_of(cluster: &Cluster, service: &Service, duration: Duration) -> Vec<Load> {
     let steady = steady(cluster, service, duration);
     let broad = Load {
-        pace: Pace::Rate { requests_per_s: BROAD_REQUESTS_PER_S },
+        send_mode: SendMode::FixedRate { requests_per_s: BROAD_REQUESTS_PER_S },
         keys: (0..BROAD_KEYS).map(key).collect(),
         hot_share: 0.0,
         ..steady.clone()
@@ -82,7 +82,7 @@
     let burst = Load {
         callers: BURST_CALLERS,
         duration: BURST_DURATION,
-        pace: Pace::Closed,
+        send_mode: SendMode::ClosedLoop,
         ..broad.clone()
     };
     match service.document.keyed {
@@ -101,14 +101,14 @@
         service: service.name().to_owned(),
         targets: cluster.caller_addresses(service.spec.team),
         callers: STEADY_CALLERS,
-        pace: Pace::Rate { requests_per_s },
+        send_mode: SendMode::FixedRate { requests_per_s },
         duration,
         routes: service.routes.clone(),
         keys: probed_keys().collect(),
         hot_share: HOT_SHARE,
         answer_bytes: ANSWER_BYTES,
         deadline: DEADLINE,
-        rules: CallRules { patience: WAIT_TIMEOUT, ..CallRules::default() },
+        policy: CallPolicy { call_timeout: CALL_TIMEOUT, ..CallPolicy::default() },
         seed: 0,
         journal: String::new(),
     }
--- a/xtask/src/soak/harmful.rs
+++ b/xtask/src/soak/harmful.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use standins::{
-    caller::{CallRules, Load, Pace},
+    caller::{CallPolicy, Load, SendMode},
     journal::RunEntry,
 };
 use tokio::time::Instant;
@@ -33,7 +33,7 @@
 
 const OWN_STREAM: u64 = 1 << 63;
 /// Time after which a caller gives the request up; the next caller sends it again.
-const WAIT_TIMEOUT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const REQUESTS_PER_S: Range<f64> = 0.5..4.0;
 const CALLERS: Range<usize> = 1..4;
 
@@ -59,12 +59,12 @@
         let load = load::steady(cluster, service, duration);
         let harmful = Load {
             callers: rng.random_range(CALLERS),
-            pace: Pace::Rate { requests_per_s: rng.random_range(REQUESTS_PER_S) },
+            send_mode: SendMode::FixedRate { requests_per_s: rng.random_range(REQUESTS_PER_S) },
             // The first route is idempotent.
             routes: load.routes[..1].to_vec(),
             keys: vec![HARMFUL_KEY.to_owned()],
             hot_share: 0.0,
-            rules: CallRules { patience: WAIT_TIMEOUT, ..load.rules.clone() },
+            policy: CallPolicy { call_timeout: CALL_TIMEOUT, ..load.policy.clone() },
             seed: rng.random(),
             ..load
         };
--- a/xtask/src/soak/injector.rs
+++ b/xtask/src/soak/injector.rs
@@ -3,7 +3,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use standins::journal::wall_ns;
+use standins::journal::wall_clock_ns;
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::{
@@ -120,7 +120,7 @@
         for it in std::mem::take(&mut self.planned) {
             self.restart_crashed_until(start + it.after, cluster, binaries).await?;
             log::info!(target: "soak", "Injecting {it:?}.");
-            let from_ns = wall_ns();
+            let from_ns = wall_clock_ns();
             let ProxiedInstance { instance, proxy, peers, .. } = &mut self.instances[it.instance];
             match it.fault {
                 Fault::Store(fault) => inject_store_fault(cluster, fault, it.duration).await?,
@@ -136,7 +136,7 @@
                 }
             }
             let affects_all = matches!(it.fault, Fault::Store(_));
-            let window = Window { from_ns, until_ns: wall_ns() };
+            let window = Window { from_ns, until_ns: wall_clock_ns() };
             let instance = (!affects_all).then(|| instance.name.clone());
             record.disturbances.push(Disturbance { instance, window });
         }
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -18,7 +18,7 @@
 use std::{collections::BTreeMap, process::ExitCode, time::Duration};
 
 use serde::Serialize;
-use standins::journal::wall_ns;
+use standins::journal::wall_clock_ns;
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
@@ -149,9 +149,9 @@
     }
     let proxies = injector::return_instances(cluster, injectors);
     sleep_until(start + FIRST_FAULT_AFTER + fault_period + RECOVERY_PERIOD).await;
-    let checked_from_ns = wall_ns();
+    let checked_from_ns = wall_clock_ns();
     sleep_until(start + load).await;
-    let checked_until_ns = wall_ns();
+    let checked_until_ns = wall_clock_ns();
     evidence.calls = callers.finish().await?;
     crate::demo::stop_rest(cluster, &mut evidence).await?;
     drop(proxies);
