--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -140,9 +140,8 @@
 
     /// Restarts agent and upstream at their former addresses, after both have exited.
     pub(crate) fn restart(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
-        let exited_ns = self.exited_ns.take().with_context(|| {
-            format!("{} cannot be restarted: it has not been stopped", self.name)
-        })?;
+        let exited_ns =
+            self.exited_ns.take().with_context(|| format!("{} still runs", self.name))?;
         let frozen = std::mem::take(&mut self.frozen);
         self.past_incarnations.push(PastIncarnation {
             incarnation: self.incarnation,
--- a/xtask/src/demo/config_probe.rs
+++ b/xtask/src/demo/config_probe.rs
@@ -1,4 +1,4 @@
-//! Whether a change of a document is in force, as callers of each agent see it.
+//! Probes that show when a changed document is in force at each agent, as its callers see it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,13 +19,13 @@
 };
 use crate::cluster::{Cluster, Service};
 
-/// A path that the document refuses once it is changed.
+/// Path that the changed document refuses.
 pub(crate) const PROBE_PATH: &str = "/config-probe";
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
-/// An agent that was struck or left within this time after a change is not waited for.
+/// Agents that were faulty or stopped within this time after a change are left out of the result.
 const WAIT_MAX_NS: u64 = 5_000_000_000;
 
-/// A change that the platform has acknowledged.
+/// Change of a document that the platform has acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ConfigChange {
     pub(crate) service: String,
@@ -38,17 +38,18 @@
     }
 }
 
-/// What one agent said at one time.
+/// Result of one probe of one agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Sample {
     pub(crate) agent: SocketAddr,
     pub(crate) sent_ns: u64,
     pub(crate) ended_ns: u64,
-    /// Whether the changed document decided; none if the agent gave no sign of it.
+    /// Whether the agent applied the changed document; `None` if its reply does not show which
+    /// document it applied.
     pub(crate) changed: Option<bool>,
 }
 
-/// Probes of all agents of a team, in the background.
+/// Background tasks that probe all agents of a team.
 pub(crate) struct Probes {
     stop: watch::Sender<bool>,
     agents: JoinSet<Vec<Sample>>,
@@ -104,7 +105,8 @@
     samples
 }
 
-/// Judges a change: how long until the last agent had it in force, and whether one went back.
+/// Returns the time until the last agent applied a change, and how often agents reverted to the
+/// previous document.
 pub(crate) fn evaluate_change(
     change: Option<&ConfigChange>,
     samples: &[Sample],
@@ -115,30 +117,31 @@
     agents.sort_unstable();
     agents.dedup();
     let from_ns = change.acknowledged_ns;
-    let wait = Window { from_ns, until_ns: from_ns + WAIT_MAX_NS };
-    let waited = agents.iter().filter(|it| !was_faulty(evidence, **it, wait));
-    let in_force_ns = waited.map(|agent| {
+    let period = Window { from_ns, until_ns: from_ns + WAIT_MAX_NS };
+    let considered_agents = agents.iter().filter(|it| !was_faulty(evidence, **it, period));
+    let first_applied_ns = considered_agents.map(|agent| {
         let of_agent = samples.iter().filter(|it| it.agent == *agent);
         of_agent.filter(|it| it.changed == Some(true)).map(|it| it.ended_ns).min()
     });
-    let last_ns: Option<Vec<u64>> = in_force_ns.collect();
+    let last_ns: Option<Vec<u64>> = first_applied_ns.collect();
     let last_ns = last_ns.and_then(|it| it.into_iter().max());
     let reverted = agents.iter().map(|it| reversals(samples, *it)).sum();
     ConfigProbe { in_force_ms: last_ns.map(|it| it.saturating_sub(from_ns) / 1_000_000), reverted }
 }
 
-fn was_faulty(evidence: &Evidence, agent: SocketAddr, wait: Window) -> bool {
+/// Returns whether the agent was faulty or stopped at some time within the window.
+fn was_faulty(evidence: &Evidence, agent: SocketAddr, period: Window) -> bool {
     let outages = evidence.ingress_outages.iter().map(|it| (it.caller_address, it.window));
     let stops = evidence.stops.iter().map(|it| {
-        // An agent that has left does not come back.
+        // A stopped agent is not restarted.
         (it.caller_address, Window { until_ns: u64::MAX, ..it.window })
     });
-    outages
-        .chain(stops)
-        .any(|(address, window)| address == agent && window.overlaps(wait.from_ns, wait.until_ns))
+    outages.chain(stops).any(|(address, window)| {
+        address == agent && window.overlaps(period.from_ns, period.until_ns)
+    })
 }
 
-/// How often an agent decided by the former document after the changed one.
+/// Counts how often an agent applied the previous document after the changed one.
 fn reversals(samples: &[Sample], agent: SocketAddr) -> usize {
     let decided: Vec<bool> =
         samples.iter().filter(|it| it.agent == agent).filter_map(|it| it.changed).collect();
--- a/xtask/src/demo/deployments.rs
+++ b/xtask/src/demo/deployments.rs
@@ -1,4 +1,4 @@
-//! Both deployments of today: the club's and the firm's.
+//! Services of the two example deployments, a club's and a firm's.
 
 use crate::cluster::ServiceSpec;
 
@@ -23,7 +23,7 @@
     service_ms: 8.0,
 };
 
-/// All services; those divided by key are so by their documents.
+/// All services; the documents declare whether a service is sharded by key.
 pub(crate) const SERVICES: &[ServiceSpec] = &[
     ServiceSpec {
         document: "examples/club/lapboard.jsonc",
--- a/xtask/src/demo/evidence.rs
+++ b/xtask/src/demo/evidence.rs
@@ -1,4 +1,4 @@
-//! What callers and upstreams wrote down in one run, and what was done to the processes.
+//! Evidence of one run: journals of callers and upstreams, and the injected faults.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -8,24 +8,25 @@
 use model::{RequestId, Term, Token};
 use standins::journal::{CallRecord, RunEnd, RunEntry};
 
-/// All that a verdict rests on.
+/// Input of a verdict.
 #[derive(Debug, Default)]
 pub(crate) struct Evidence {
     pub(crate) calls: Vec<CallRecord>,
     pub(crate) upstreams: Vec<UpstreamJournal>,
     pub(crate) stops: Vec<PlannedStop>,
     pub(crate) ingress_outages: Vec<IngressOutage>,
-    /// The time in which each key should be served.
+    /// Window in which the availability of keys is checked.
     pub(crate) observed: Window,
-    /// Keys that are asked for all the time. How long another one is not served can't be told.
+    /// Keys that are requested continuously; only their unavailability can be measured.
     pub(crate) probed_keys: HashSet<String>,
-    /// A time without faults, for the imbalance.
+    /// Window without faults, over which the imbalance is measured.
     pub(crate) fault_free: Window,
-    /// The time over which changes of owners are counted: up to the last stops, which move all.
+    /// Window over which changes of owners are counted; it ends before the final stops, which move all
+    /// keys.
     pub(crate) churn_window: Window,
 }
 
-/// Wall-clock nanoseconds from `from_ns` to `until_ns`.
+/// Interval of wall-clock time in nanoseconds, without its end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Window {
     pub(crate) from_ns: u64,
@@ -42,21 +43,21 @@
     }
 }
 
-/// The journal of one upstream.
+/// Journal of one incarnation of an upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamJournal {
     pub(crate) instance: String,
     pub(crate) service: String,
-    /// Whether its service is divided by key.
+    /// Whether the service is sharded by key.
     pub(crate) keyed: bool,
     pub(crate) entries: Vec<RunEntry>,
-    /// When the process had ended; runs without an end count as open until then.
+    /// Time at which the process had exited; runs without an end count as running until then.
     pub(crate) exited_ns: u64,
-    /// When the process was stopped by a signal.
+    /// Windows in which the process was suspended by a signal.
     pub(crate) frozen: Vec<Window>,
 }
 
-/// An instance told to leave.
+/// Graceful stop of an instance.
 #[derive(Debug, Clone)]
 pub(crate) struct PlannedStop {
     pub(crate) instance: String,
@@ -64,14 +65,15 @@
     pub(crate) window: Window,
 }
 
-/// An agent that was killed or frozen: what callers met there says nothing about a key.
+/// Time in which an agent was killed or suspended: failures at this agent do not show that a key is
+/// unavailable.
 #[derive(Debug, Clone)]
 pub(crate) struct IngressOutage {
     pub(crate) caller_address: SocketAddr,
     pub(crate) window: Window,
 }
 
-/// One run of a request on an upstream.
+/// One execution of a request on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Execution {
     pub(crate) instance: String,
@@ -82,11 +84,11 @@
     pub(crate) token: Option<Token>,
     pub(crate) from_ns: u64,
     pub(crate) until_ns: u64,
-    /// None: the process was gone before.
+    /// How the run ended; `None` if the process exited before.
     pub(crate) end: Option<RunEnd>,
 }
 
-/// A key of a service; that of a service not divided by key is the same for all requests.
+/// Shard key of a service; a service that is not sharded has one key for all requests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceKey {
     pub(crate) service: String,
@@ -94,12 +96,12 @@
 }
 
 impl Evidence {
-    /// Whether a service is divided by key.
+    /// Returns whether a service is sharded by key.
     pub(crate) fn is_keyed(&self, service: &str) -> bool {
         self.upstreams.iter().any(|it| it.keyed && it.service == service)
     }
 
-    /// All runs, in the order of their starts.
+    /// Returns all executions, in the order of their starts.
     pub(crate) fn executions(&self) -> Vec<Execution> {
         let mut executions: Vec<Execution> =
             self.upstreams.iter().flat_map(UpstreamJournal::executions).collect();
@@ -145,8 +147,9 @@
         executions
     }
 
-    /// When a run last did something. One whose deadline passed while its process was frozen did
-    /// nothing from the freeze on: the upstream looks at the deadline first when it goes on.
+    /// Returns the time at which a run last did work. If its deadline passed while the process was
+    /// suspended, that is the start of the suspension: the upstream checks the deadline first after
+    /// it resumes.
     fn last_work_ns(&self, ended_ns: u64, end: RunEnd) -> u64 {
         let frozen = self.frozen.iter().find(|it| it.contains(ended_ns));
         match frozen {
@@ -156,7 +159,7 @@
     }
 }
 
-/// Executions by key, each in the order of their starts.
+/// Groups executions by key, each group in the order of the starts.
 pub(crate) fn by_key(executions: &[Execution]) -> BTreeMap<ServiceKey, Vec<&Execution>> {
     let mut keys: BTreeMap<ServiceKey, Vec<&Execution>> = BTreeMap::new();
     for execution in executions.iter().filter(|it| it.keyed) {
--- a/xtask/src/demo/faults.rs
+++ b/xtask/src/demo/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed, and how they are brought about.
+//! Faults of the demo: their schedule, drawn from a seed, and their injection.
 
 use std::time::Duration;
 
@@ -12,43 +12,45 @@
 };
 use crate::cluster::{Cluster, Instance};
 
-/// From one fault to the next.
+/// Time between the starts of two faults, before jitter.
 const FAULT_SPACING: Duration = Duration::from_millis(4_500);
 const JITTER_RANGE_MS: std::ops::Range<u64> = 0..1_000;
 const FREEZE_RANGE_MS: std::ops::Range<u64> = 1_500..3_000;
 const OUTAGE_RANGE_MS: std::ops::Range<u64> = 3_000..6_000;
-/// How long a change of a document is tried again while the platform is down.
+/// Number of attempts to change a document, since the platform may be down.
 const CHANGE_ATTEMPTS_MAX: u32 = 100;
 const CHANGE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// One fault, with what it strikes.
+/// Fault with its target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Index of the instance.
+    /// Kills the instance with this index.
     Kill(usize),
+    /// Suspends the instance for a time.
     Freeze(usize, Duration),
+    /// Stops the instance gracefully.
     Leave(usize),
     PlatformOutage(Duration),
-    /// Name of the service.
+    /// Changes the document of the service with this name.
     ChangeDocument(String),
 }
 
-/// A fault and when it comes, counted from the start of the callers.
+/// Fault with its time, counted from the start of the callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PlannedFault {
     pub(crate) after: Duration,
     pub(crate) fault: Fault,
 }
 
-/// What the planning needs to know of an instance.
+/// Instance as the schedule of faults needs it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate<'a> {
     pub(crate) service: &'a str,
     pub(crate) keyed: bool,
 }
 
-/// Draws all faults. A kill and a freeze strike services divided by key, and no instance is struck
-/// twice.
+/// Draws the schedule of faults. The kill and the freeze affect instances of sharded services, and no
+/// instance is affected by two faults.
 pub(crate) fn plan(candidates: &[Candidate<'_>], first: Duration, seed: u64) -> Vec<PlannedFault> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut keyed = indexes(candidates, |it| it.keyed);
@@ -86,7 +88,7 @@
     Duration::from_millis(rng.random_range(range))
 }
 
-/// Brings the faults about, each at its time, and waits for their ends.
+/// Injects each fault at its time and returns after the last one has ended.
 pub(crate) async fn inject(
     cluster: &mut Cluster,
     faults: &[PlannedFault],
@@ -97,7 +99,7 @@
     let mut outage_until = None;
     for PlannedFault { after, fault } in faults {
         wait_until(cluster, start + *after, &mut outage_until).await?;
-        log::info!(target: "demo", "{fault:?}.");
+        log::info!(target: "demo", "Injecting {fault:?}.");
         match fault {
             Fault::Kill(index) => {
                 let outage = cluster.instances[*index].kill().await?;
@@ -122,7 +124,7 @@
     end_outage(cluster, &mut outage_until).await
 }
 
-/// Waits for a time, and ends an outage on the way when its own time has come.
+/// Waits until the given time, and ends a platform outage that is due before.
 async fn wait_until(
     cluster: &Cluster,
     until: Instant,
@@ -142,7 +144,9 @@
 }
 
 async fn change_document(cluster: &Cluster, name: &str) -> anyhow::Result<ConfigChange> {
-    let service = cluster.service(name).ok_or_else(|| anyhow::anyhow!("no service {name}"))?;
+    let service = cluster
+        .service(name)
+        .ok_or_else(|| anyhow::anyhow!("the cluster has no service {name}"))?;
     let text = service.text_with_refusing_route(PROBE_PATH)?;
     for _ in 0..CHANGE_ATTEMPTS_MAX {
         if cluster.put_document(name, &text).await.is_ok() {
@@ -150,11 +154,11 @@
         }
         sleep(CHANGE_RETRY_DELAY).await;
     }
-    anyhow::bail!("the platform took no change of {name}")
+    anyhow::bail!("the platform accepted no change of {name} in {CHANGE_ATTEMPTS_MAX} attempts")
 }
 
-/// Stops instances while callers go on, until one of each service is left: one after another, two
-/// at once where there are enough.
+/// Stops instances gracefully under load until one of each service is left: one after another, but
+/// the first two together where a service has at least three.
 pub(crate) async fn stop_gracefully(
     cluster: &mut Cluster,
     evidence: &mut Evidence,
@@ -186,7 +190,7 @@
     Ok(stops)
 }
 
-/// Stops all that is left, at once.
+/// Stops all remaining instances together.
 pub(crate) async fn stop_rest(
     cluster: &mut Cluster,
     evidence: &mut Evidence,
--- a/xtask/src/demo/load.rs
+++ b/xtask/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The callers of a demo: all at one instant, then a steady load over all keys.
+//! Load of the demo: a burst of all callers at one instant, and a steady load over all keys.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 
 use crate::cluster::{Cluster, Service, key};
 
-/// Callers of each service in the first second.
+/// Number of callers of each service in the burst.
 const BURST_CALLERS: usize = 100;
 const BURST_DURATION: Duration = Duration::from_secs(1);
 const STEADY_CALLERS: usize = 20;
-/// Often enough that each of the keys is asked for every 60 ms or so.
+/// Rate at which each of the probed keys is requested about every 60 ms.
 const STEADY_REQUESTS_PER_S: f64 = 400.0;
 const STEADY_REQUESTS_PER_S_WITHOUT_KEY: f64 = 100.0;
 const KEYS: usize = 24;
-/// The rush and a second load go to many keys, as the spread over upstreams needs them.
+/// Number of keys of the burst and of the broad load: enough to measure the imbalance of upstreams.
 const BROAD_KEYS: usize = 600;
 const BROAD_REQUESTS_PER_S: f64 = 200.0;
-/// Share of the requests that is for the hottest key.
+/// Share of the requests that go to the hottest key.
 const HOT_SHARE: f64 = 0.1;
 const ANSWER_BYTES: usize = 2_000;
 const DEADLINE: Duration = Duration::from_secs(1);
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Callers at work in the background.
+/// Callers that run in the background.
 pub(crate) struct Callers {
     loads: JoinSet<anyhow::Result<Vec<CallRecord>>>,
 }
 
 impl Callers {
-    /// Starts all callers at one instant; they send for `duration`.
+    /// Starts all callers at the same instant; they send requests for `duration`.
     pub(crate) fn start(
         cluster: &Cluster,
         duration: Duration,
@@ -51,12 +51,12 @@
         Callers { loads }
     }
 
-    /// Starts more callers.
+    /// Starts the callers of an additional load.
     pub(crate) fn add(&mut self, load: Load, start: Instant) {
         self.loads.spawn(async move { Ok(run_load(load, start).await?.records) });
     }
 
-    /// Waits until each request has come to its end.
+    /// Waits until all requests have ended and returns their records.
     pub(crate) async fn finish(mut self) -> anyhow::Result<Vec<CallRecord>> {
         let mut calls = Vec::new();
         while let Some(records) = self.loads.join_next().await {
@@ -66,7 +66,7 @@
     }
 }
 
-/// The keys that the steady load asks for.
+/// Returns the keys that the steady load requests.
 pub(crate) fn probed_keys() -> impl Iterator<Item = String> {
     (0..KEYS).map(key)
 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// A steady load on the probed keys of a service.
+/// Returns a steady load on the probed keys of a service.
 pub(crate) fn steady(cluster: &Cluster, service: &Service, duration: Duration) -> Load {
     let requests_per_s = match service.document.keyed {
         true => STEADY_REQUESTS_PER_S,
--- a/xtask/src/demo/mod.rs
+++ b/xtask/src/demo/mod.rs
@@ -1,5 +1,5 @@
-//! The main job on real processes: both deployments, callers that all start in the same second, and
-//! faults drawn from a seed. Journals decide whether the invariants held.
+//! Demo on real processes: both example deployments, callers that all start in the same second, and
+//! faults drawn from a seed. The journals show whether the invariants held.
 
 mod config_probe;
 mod deployments;
@@ -33,11 +33,11 @@
     run_lock,
 };
 
-/// The first second belongs to the rush; the next ones show the spread without faults.
+/// Start of the window without faults, after the burst of the first second.
 const QUIET_AFTER: Duration = Duration::from_secs(1);
 const FIRST_FAULT_AFTER: Duration = Duration::from_secs(4);
 const FAULTS_END_AFTER: Duration = Duration::from_secs(29);
-/// Callers go on for so long while instances leave one after another.
+/// Duration of the load, longer than the faults: instances are stopped under load after them.
 const LOAD_DURATION: Duration = Duration::from_secs(40);
 const LOAD_DURATION_WITHOUT_FAULTS: Duration = Duration::from_secs(8);
 
@@ -47,7 +47,7 @@
 pub(crate) struct DemoOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "what the faults are drawn from; at random if left out")]
+    #[options(no_short, help = "seed of the faults; random if left out")]
     seed: Option<u64>,
     #[options(no_short, help = "print one JSON object as the last line")]
     json: bool,
@@ -57,16 +57,17 @@
     keep: bool,
 }
 
-/// Runs the demo; the exit code tells whether the invariants held.
+/// Runs the demo; the exit code is a success if all invariants held.
 pub(crate) async fn run(options: DemoOptions) -> anyhow::Result<ExitCode> {
-    // The run of the tests' profile keeps its checks on, and a fresh clone builds it but once.
+    // The dev profile keeps overflow checks and debug assertions enabled, and shares its build with
+    // the tests.
     let binaries = Binaries::build(Profile::Dev)?;
     let _run_lock = run_lock::acquire().await?;
     let seed = options.seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
     report::print_line(&format!("seed {seed}"))?;
     let mut cluster = Cluster::start(deployments::SERVICES, &binaries, seed).await?;
-    let work = run_scenario(&mut cluster, seed, !options.no_faults).await;
-    let (evidence, verdict) = match work {
+    let outcome = run_scenario(&mut cluster, seed, !options.no_faults).await;
+    let (evidence, verdict) = match outcome {
         Ok(done) => done,
         Err(error) => {
             cluster.dir.keep();
--- a/xtask/src/demo/report.rs
+++ b/xtask/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What a demo prints and keeps.
+//! Report of a demo: printed lines and the kept journal of the callers.
 
 use std::io::Write;
 
@@ -9,7 +9,7 @@
 use super::{DemoOptions, evidence::Evidence, verdict::Verdict};
 use crate::cluster::RunDir;
 
-/// How many findings are printed.
+/// Largest number of findings that are printed.
 const FINDINGS_MAX: usize = 20;
 
 /// Prints one line on standard output.
@@ -28,7 +28,7 @@
         print_line(&format!("{name:20} {value}"))?;
     }
     for finding in verdict.findings.iter().take(FINDINGS_MAX) {
-        print_line(&format!("broken: {finding}"))?;
+        print_line(&format!("violated: {finding}"))?;
     }
     if verdict.findings.len() > FINDINGS_MAX {
         print_line(&format!("and {} more", verdict.findings.len() - FINDINGS_MAX))?;
@@ -36,7 +36,7 @@
     if options.keep || !verdict.holds() {
         print_line(&format!("seed {seed}; logs and journals are in {}", dir.path().display()))?;
     }
-    print_line(if verdict.holds() { "all invariants held" } else { "invariants broken" })?;
+    print_line(if verdict.holds() { "all invariants held" } else { "invariants violated" })?;
     if options.json {
         object["seed"] = json!(seed);
         object["holds"] = json!(verdict.holds());
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Keeps the callers' journal beside those of the upstreams.
+/// Writes the callers' journal to the folder with the journals of the upstreams.
 pub(super) fn write_calls(dir: &RunDir, evidence: &Evidence) -> anyhow::Result<()> {
     let path = dir.file("callers.jsonl");
     let journal = JournalWriter::open(&path.display().to_string())?;
--- a/xtask/src/demo/tests.rs
+++ b/xtask/src/demo/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the planning of faults and of the judgement on a change of a document.
+//! Tests of the schedule of faults and of the evaluation of a changed document.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn each_plan_has_all_faults_and_strikes_no_instance_twice() {
+fn each_schedule_has_all_faults_and_affects_no_instance_twice() {
     let candidates: Vec<Candidate<'_>> = (0..21)
         .map(|it| match it {
             0..9 => Candidate { service: "standings", keyed: true },
@@ -21,23 +21,23 @@
         let faults = plan(&candidates, Duration::from_secs(4), seed);
         assert_eq!(faults, plan(&candidates, Duration::from_secs(4), seed));
         assert!(faults.windows(2).all(|it| it[0].after < it[1].after));
-        let mut struck = Vec::new();
+        let mut affected = Vec::new();
         let mut others = Vec::new();
         for planned in &faults {
             match &planned.fault {
                 Fault::Kill(index) | Fault::Freeze(index, _) => {
                     assert!(candidates[*index].keyed);
-                    struck.push(*index);
+                    affected.push(*index);
                 }
-                Fault::Leave(index) => struck.push(*index),
+                Fault::Leave(index) => affected.push(*index),
                 Fault::PlatformOutage(_) => others.push("outage"),
                 Fault::ChangeDocument(_) => others.push("change"),
             }
         }
-        struck.sort_unstable();
-        struck.dedup();
+        affected.sort_unstable();
+        affected.dedup();
         others.sort_unstable();
-        assert_eq!((struck.len(), others.as_slice()), (3, &["change", "outage"][..]));
+        assert_eq!((affected.len(), others.as_slice()), (3, &["change", "outage"][..]));
     }
 }
 
@@ -47,8 +47,12 @@
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// Samples as (agent, time in ms, whether the changed document decided).
-fn check(samples: &[(u16, u64, bool)], faulty_agent: Option<u16>, expected: ConfigProbe) {
+/// Evaluates samples given as (agent, time in ms, whether the changed document applied).
+fn assert_evaluation(
+    samples: &[(u16, u64, bool)],
+    faulty_agent: Option<u16>,
+    expected: ConfigProbe,
+) {
     let samples = samples.iter().map(|(number, at_ms, changed)| Sample {
         agent: agent(*number),
         sent_ns: at_ms * MS,
@@ -66,20 +70,20 @@
 }
 
 #[test]
-fn a_change_is_in_force_when_the_last_agent_has_it() {
+fn a_change_is_in_force_when_the_last_agent_applies_it() {
     let samples = [(1, 900, false), (2, 900, false), (1, 1100, true), (2, 1400, true)];
-    check(&samples, None, ConfigProbe { in_force_ms: Some(400), reverted: 0 });
+    assert_evaluation(&samples, None, ConfigProbe { in_force_ms: Some(400), reverted: 0 });
 }
 
 #[test]
-fn an_agent_that_never_has_it_counts_unless_it_was_struck() {
+fn an_agent_that_never_applies_the_change_fails_the_probe_unless_it_was_faulty() {
     let samples = [(1, 1100, true), (2, 1400, false)];
-    check(&samples, None, ConfigProbe { in_force_ms: None, reverted: 0 });
-    check(&samples, Some(2), ConfigProbe { in_force_ms: Some(100), reverted: 0 });
+    assert_evaluation(&samples, None, ConfigProbe { in_force_ms: None, reverted: 0 });
+    assert_evaluation(&samples, Some(2), ConfigProbe { in_force_ms: Some(100), reverted: 0 });
 }
 
 #[test]
-fn a_reversal_is_seen() {
+fn a_return_to_the_previous_document_is_counted() {
     let samples = [(1, 1100, true), (1, 1200, false), (1, 1300, true)];
-    check(&samples, None, ConfigProbe { in_force_ms: Some(100), reverted: 1 });
+    assert_evaluation(&samples, None, ConfigProbe { in_force_ms: Some(100), reverted: 1 });
 }
--- a/xtask/src/demo/verdict/availability.rs
+++ b/xtask/src/demo/verdict/availability.rs
@@ -1,4 +1,4 @@
-//! How long a key was not served, as callers saw it.
+//! Unavailability of keys, as callers saw it.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 const ANY_KEY: &str = "*";
 
-/// A time in which sendings for a key failed and none was answered.
+/// Interval in which attempts for a key failed and none was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Gap {
     pub(super) key: ServiceKey,
@@ -20,16 +20,18 @@
 impl Gap {
     pub(super) fn finding(self) -> Finding {
         let Gap { key, from_ns, gap_ms } = self;
-        let detail =
-            format!("{}/{} was not served for {gap_ms} ms from {from_ns}", key.service, key.key);
+        let detail = format!(
+            "{}/{} was not served for {gap_ms} ms from {from_ns} ns on",
+            key.service, key.key
+        );
         Finding { invariant: "unavailable_ms_max", detail }
     }
 }
 
-/// What the sendings for one key say.
+/// Answered and failed attempts for one key.
 #[derive(Default)]
 struct KeyHistory {
-    /// Ends of answered sendings, sorted.
+    /// Ends of answered attempts.
     answered_ns: Vec<u64>,
     failed: Vec<FailedAttempt>,
 }
@@ -39,7 +41,7 @@
     ended_ns: u64,
 }
 
-/// The longest gap of all probed keys within the watched window.
+/// Returns the longest gap of all probed keys within the observed window.
 pub(super) fn longest_gap(evidence: &Evidence) -> Option<Gap> {
     let histories = histories(evidence);
     histories
@@ -54,7 +56,7 @@
         let key = match evidence.is_keyed(&call.service) {
             true if evidence.probed_keys.contains(&call.key) => call.key.clone(),
             true => continue,
-            // Any upstream may answer, so only the service as a whole can be unavailable.
+            // Any upstream may answer, so that only the service as a whole can be unavailable.
             false => ANY_KEY.to_owned(),
         };
         let key = ServiceKey { service: call.service.clone(), key };
@@ -75,8 +77,8 @@
     histories
 }
 
-/// Whether a sending says that its key is not served. An overloaded owner is there, and one agent
-/// that takes no connection says nothing about keys.
+/// Returns whether an attempt shows that its key is not served. A refusal of an overloaded owner does
+/// not, nor does an agent that accepts no connection.
 fn is_failure(attempt: &Attempt) -> bool {
     match &attempt.result {
         AttemptResult::Answered | AttemptResult::NotConnected => false,
@@ -85,6 +87,7 @@
     }
 }
 
+/// Returns whether the called agent was killed or suspended during the attempt.
 fn is_during_outage(evidence: &Evidence, attempt: &Attempt) -> bool {
     evidence.ingress_outages.iter().any(|it| {
         it.caller_address == attempt.target && it.window.overlaps(attempt.sent_ns, attempt.ended_ns)
@@ -98,8 +101,9 @@
     Some(Gap { key, from_ns, gap_ms: gap_ns / 1_000_000 })
 }
 
-/// The times without an answer, with their starts, that a failed sending falls into: from when it
-/// was sent, over answers that came while it hung, to the first answer after its end.
+/// Returns the durations and starts of the gaps between answers that a failed attempt falls into:
+/// from its start, divided by the answers that other attempts got during it, to the first answer
+/// after its end.
 fn gaps_of(
     answered_ns: &[u64],
     failure: &FailedAttempt,
--- a/xtask/src/demo/verdict/mod.rs
+++ b/xtask/src/demo/verdict/mod.rs
@@ -1,4 +1,4 @@
-//! Whether the invariants held in one run, from journals alone.
+//! Verdict on the invariants in one run, from journals alone.
 
 mod availability;
 mod ownership;
@@ -16,11 +16,12 @@
 
 use super::evidence::Evidence;
 
-/// Limits on what a run may show.
+/// Longest allowed time for which a key is unavailable.
 const UNAVAILABLE_MS_MAX: u64 = 2_000;
+/// Longest allowed time until all agents apply a changed document.
 const CONFIG_IN_FORCE_MS_MAX: u64 = 5_000;
 
-/// The figures of one run.
+/// Figures of one run, and the violations found in it.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize)]
 pub(crate) struct Verdict {
@@ -35,22 +36,23 @@
     pub(crate) crossed_answers: usize,
     pub(crate) broken_answers: usize,
     pub(crate) cut_off: usize,
-    /// Requests that reached a leaving upstream later than it allows.
+    /// Requests that reached a draining upstream later than it allows.
     pub(crate) late_work: usize,
-    /// None: some agent never took the change over.
+    /// Time until the last agent applied a changed document; `None` if some agent never did.
     pub(crate) config_in_force_ms: Option<u64>,
     pub(crate) config_reverted: usize,
-    /// The longest time for which a key was not served.
+    /// Longest time for which a key was not served.
     pub(crate) unavailable_ms_max: u64,
-    /// Runs on the busiest upstream over the mean, without faults; the worst service divided by key.
+    /// Runs on the busiest upstream over the mean, in the window without faults; the highest value of
+    /// all sharded services.
     pub(crate) imbalance: f64,
-    /// Changes of a key's owner, over the number of keys.
+    /// Number of changes of a key's owner, divided by the number of keys.
     pub(crate) churn: f64,
     #[serde(skip)]
     pub(crate) findings: Vec<Finding>,
 }
 
-/// One breach, for whoever looks into it.
+/// Violation of an invariant, with details for its analysis.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Finding {
     pub(crate) invariant: &'static str,
@@ -63,11 +65,13 @@
     }
 }
 
-/// How a change of a document went, as probes of all agents saw it.
+/// Result of a change of a document, as probes of all agents saw it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ConfigProbe {
+    /// Time from the platform's acknowledgement until the last agent applied the change; `None` if
+    /// some agent never did.
     pub(crate) in_force_ms: Option<u64>,
-    /// How often an agent fell back to the former document.
+    /// How often an agent reverted to the previous document.
     pub(crate) reverted: usize,
 }
 
@@ -75,11 +79,15 @@
     fn findings(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         if self.in_force_ms.is_none_or(|it| it > CONFIG_IN_FORCE_MS_MAX) {
-            let detail = format!("in force after {:?} ms", self.in_force_ms);
+            let detail = format!(
+                "expected the change in force on all agents within {CONFIG_IN_FORCE_MS_MAX} ms, got {:?}",
+                self.in_force_ms
+            );
             findings.push(Finding { invariant: "config_in_force_ms", detail });
         }
         if self.reverted > 0 {
-            let detail = format!("{} times", self.reverted);
+            let detail =
+                format!("agents reverted to the previous document {} times", self.reverted);
             findings.push(Finding { invariant: "config_reverted", detail });
         }
         findings
@@ -87,14 +95,14 @@
 }
 
 impl Verdict {
-    /// Judges a run; `config` is none where no document was changed.
+    /// Evaluates a run; `config` is `None` if no document was changed.
     pub(crate) fn new(evidence: &Evidence, config: Option<ConfigProbe>) -> Verdict {
         let executions = evidence.executions();
         let count = |outcome| evidence.calls.iter().filter(|it| it.outcome == outcome).count();
         let mut findings = Vec::new();
-        let mut found = |some: Vec<Finding>| {
-            let count = some.len();
-            findings.extend(some);
+        let mut found = |new: Vec<Finding>| {
+            let count = new.len();
+            findings.extend(new);
             count
         };
         let unavailable = availability::longest_gap(evidence);
@@ -125,7 +133,7 @@
         verdict
     }
 
-    /// Whether all invariants held.
+    /// Returns whether all invariants held.
     pub(crate) fn holds(&self) -> bool {
         self.findings.is_empty()
     }
--- a/xtask/src/demo/verdict/ownership.rs
+++ b/xtask/src/demo/verdict/ownership.rs
@@ -1,4 +1,4 @@
-//! One owner for each key at any moment.
+//! Check that each key has at most one owner at any time.
 
 use std::collections::HashMap;
 
@@ -7,14 +7,15 @@
 
 const INVARIANT: &str = "double_owned";
 
-/// Runs of one key that overlap on two upstreams, or whose token is below that of an earlier start.
+/// Returns the runs of one key that overlap on two upstreams, or whose fence token is below that of
+/// an earlier run.
 pub(super) fn double_owned(executions: &[Execution]) -> Vec<Finding> {
     by_key(executions).values().flat_map(|it| check_key(it)).collect()
 }
 
 fn check_key(runs: &[&Execution]) -> Vec<Finding> {
     let mut findings = Vec::new();
-    // For each upstream, its run of this key that ends last.
+    // The run of this key that ends last, by upstream.
     let mut last: HashMap<&str, &Execution> = HashMap::new();
     let mut highest = None::<&Execution>;
     for run in runs {
@@ -37,7 +38,7 @@
 fn overlap(first: &Execution, second: &Execution) -> Finding {
     let overlap_us = (first.until_ns.min(second.until_ns) - second.from_ns) / 1000;
     let detail = format!(
-        "{}, overlapped for {overlap_us} us by {}",
+        "{} overlaps for {overlap_us} us with {}",
         describe_run(first),
         describe_run(second)
     );
@@ -47,14 +48,18 @@
 fn token_decrease(first: &Execution, second: &Execution) -> Finding {
     Finding {
         invariant: INVARIANT,
-        detail: format!("{}, later {}", describe_run(first), describe_run(second)),
+        detail: format!(
+            "{} was followed by a lower token: {}",
+            describe_run(first),
+            describe_run(second)
+        ),
     }
 }
 
 fn describe_run(run: &Execution) -> String {
     let token = run.token.map_or("none".to_owned(), |it| it.to_string());
     format!(
-        "{}/{} on {} under token {token} at {} for {} us, {:?}, id {:x}",
+        "{}/{} on {} with token {token} at {} for {} us, {:?}, id {:x}",
         run.service,
         run.key,
         run.instance,
--- a/xtask/src/demo/verdict/requests.rs
+++ b/xtask/src/demo/verdict/requests.rs
@@ -1,4 +1,5 @@
-//! Requests: nothing lost, nothing run twice, "not run" true, answers one's own and whole.
+//! Checks of requests: none is lost, none runs twice unless idempotent, "not run" is true, responses
+//! are complete and belong to their request.
 
 use std::collections::{HashMap, HashSet};
 
@@ -18,7 +19,8 @@
     ids
 }
 
-/// Requests whose caller was told nothing in the end, or that were answered without having run.
+/// Returns requests without a final outcome for their caller, and requests that were answered but
+/// never ran to the end.
 pub(super) fn lost(evidence: &Evidence, executions: &[Execution]) -> Vec<Finding> {
     let ran: HashSet<RequestId> =
         executions.iter().filter(|it| it.end == Some(RunEnd::Ran)).map(|it| it.id).collect();
@@ -30,32 +32,32 @@
     evidence.calls.iter().filter(is_lost).map(|it| finding("lost", it)).collect()
 }
 
-/// Requests that may not be repeated and ran more than once.
+/// Returns requests that are not idempotent and ran more than once.
 pub(super) fn ran_twice(evidence: &Evidence, executions: &[Execution]) -> Vec<Finding> {
     let runs = by_id(executions);
-    let is_repeated =
+    let ran_again =
         |it: &&CallRecord| !it.idempotent && runs.get(&it.id).is_some_and(|runs| runs.len() > 1);
     evidence
         .calls
         .iter()
-        .filter(is_repeated)
+        .filter(ran_again)
         .map(|it| {
             let instances: Vec<&str> = runs[&it.id].iter().map(|it| it.instance.as_str()).collect();
-            let detail = format!("{} on {instances:?}", describe(it));
+            let detail = format!("{} ran on {instances:?}", describe(it));
             Finding { invariant: "ran_twice", detail }
         })
         .collect()
 }
 
-/// Sendings that ended as not run although the request had run by then, or ran later without
-/// having been sent again.
+/// Returns requests with an attempt that ended as not run, although the request had already run or
+/// ran later without a further attempt.
 pub(super) fn not_run_but_ran(evidence: &Evidence, executions: &[Execution]) -> Vec<Finding> {
     let runs = by_id(executions);
     let is_false = |call: &&CallRecord| {
         let runs = runs.get(&call.id).map_or(&[][..], Vec::as_slice);
         (0..call.attempts.len()).any(|index| {
             is_not_run(&call.attempts[index])
-                && runs.iter().any(|it| belongs(&call.attempts, index, it.from_ns))
+                && runs.iter().any(|it| contradicts_not_run(&call.attempts, index, it.from_ns))
         })
     };
     evidence.calls.iter().filter(is_false).map(|it| finding("not_run_but_ran", it)).collect()
@@ -65,19 +67,20 @@
     matches!(attempt.result, AttemptResult::NotRun { .. })
 }
 
-/// Whether a run that started at a time speaks against the sending with this index: it came before
-/// that sending's end, or after it and before the next sending.
-fn belongs(attempts: &[Attempt], index: usize, started_ns: u64) -> bool {
+/// Returns whether a run that started at this time contradicts the "not run" of the attempt with this
+/// index: it started before the next attempt was sent.
+fn contradicts_not_run(attempts: &[Attempt], index: usize, started_ns: u64) -> bool {
     let next_sent_ns = attempts.get(index + 1).map_or(u64::MAX, |it| it.sent_ns);
     started_ns < next_sent_ns
 }
 
-/// Sendings that ended with another request's answer.
+/// Returns requests with an attempt that received the response to another request.
 pub(super) fn crossed_answers(evidence: &Evidence) -> Vec<Finding> {
     with_result(evidence, "crossed_answers", &AttemptResult::Crossed)
 }
 
-/// Sendings that ended in good order with a part of an answer.
+/// Returns requests with an attempt that received an incomplete response, without an error of the
+/// connection.
 pub(super) fn broken_answers(evidence: &Evidence) -> Vec<Finding> {
     with_result(evidence, "broken_answers", &AttemptResult::Broken)
 }
@@ -87,15 +90,15 @@
     invariant: &'static str,
     result: &AttemptResult,
 ) -> Vec<Finding> {
-    let has = |it: &&CallRecord| it.attempts.iter().any(|it| it.result == *result);
-    evidence.calls.iter().filter(has).map(|it| finding(invariant, it)).collect()
+    let has_attempt_with = |it: &&CallRecord| it.attempts.iter().any(|it| it.result == *result);
+    evidence.calls.iter().filter(has_attempt_with).map(|it| finding(invariant, it)).collect()
 }
 
 fn finding(invariant: &'static str, call: &CallRecord) -> Finding {
     Finding { invariant, detail: describe(call) }
 }
 
-/// A request with the ends of its sendings, in milliseconds from the first.
+/// Formats a request with its attempts, whose times are in milliseconds from the first attempt.
 pub(super) fn describe(call: &CallRecord) -> String {
     let first_ns = call.first_sent_ns();
     let ms = |at_ns: u64| at_ns.saturating_sub(first_ns) / 1_000_000;
@@ -105,7 +108,7 @@
         .map(|it| format!("{} {}-{} {:?}", it.target, ms(it.sent_ns), ms(it.ended_ns), it.result))
         .collect();
     format!(
-        "{:x} {}/{} {} first sent {} ended {:?}: {}",
+        "request {:x} for {}/{} of class {}, first sent at {} ns, ended as {:?}, attempts: {}",
         call.id.0,
         call.service,
         call.key,
--- a/xtask/src/demo/verdict/spread.rs
+++ b/xtask/src/demo/verdict/spread.rs
@@ -1,11 +1,11 @@
-//! How evenly upstreams were loaded and how often keys changed owners.
+//! Imbalance of load over upstreams, and churn of key owners.
 
 use std::collections::BTreeMap;
 
 use crate::demo::evidence::{Evidence, Execution, by_key};
 
-/// Runs on the busiest upstream over the mean, in the quiet window; the worst service divided by
-/// key. Upstreams without a run count.
+/// Returns the runs on the busiest upstream over the mean, in the window without faults; the highest
+/// value of all sharded services. Upstreams without a run count in the mean.
 pub(super) fn imbalance(evidence: &Evidence, executions: &[Execution]) -> f64 {
     let mut services: BTreeMap<&str, BTreeMap<&str, usize>> = BTreeMap::new();
     for upstream in evidence.upstreams.iter().filter(|it| it.keyed) {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Changes of owner over the number of keys.
+/// Returns the number of changes of owners divided by the number of keys.
 pub(super) fn churn(evidence: &Evidence, executions: &[Execution]) -> f64 {
     let keys = by_key(executions);
     let is_change = |it: &[&Execution]| {
--- a/xtask/src/demo/verdict/stops.rs
+++ b/xtask/src/demo/verdict/stops.rs
@@ -1,4 +1,5 @@
-//! Planned stops: nothing in flight is cut off, no new work reaches a leaving upstream.
+//! Checks of planned stops: no request in flight is aborted, and no late request reaches a draining
+//! upstream.
 
 use std::collections::HashMap;
 
@@ -9,28 +10,29 @@
 
 const CUT_OFF: &str = "cut_off";
 
-/// Runs on a leaving upstream that were broken off, and sendings through a leaving agent whose
-/// connection broke.
+/// Returns the runs that were aborted on a stopping upstream, and the requests whose connection to a
+/// stopping agent was lost.
 pub(super) fn cut_off(evidence: &Evidence, executions: &[Execution]) -> Vec<Finding> {
     let stops: HashMap<&str, &PlannedStop> =
         evidence.stops.iter().map(|it| (it.instance.as_str(), it)).collect();
-    let broken_runs = executions
+    let aborted_runs = executions
         .iter()
         .filter(|run| {
             let stop = stops.get(run.instance.as_str());
-            let in_stop = stop.is_some_and(|it| it.window.overlaps(run.from_ns, run.until_ns));
-            in_stop && matches!(run.end, None | Some(RunEnd::Cancelled))
+            let is_stopping = stop.is_some_and(|it| it.window.overlaps(run.from_ns, run.until_ns));
+            is_stopping && matches!(run.end, None | Some(RunEnd::Cancelled))
         })
         .map(|run| {
             let Execution { instance, id, end, .. } = run;
-            let detail = format!("run of {:x} on {instance} ended as {end:?}", id.0);
+            let detail =
+                format!("run of request {:x} on the stopping {instance} ended as {end:?}", id.0);
             Finding { invariant: CUT_OFF, detail }
         });
-    broken_runs.chain(broken_sendings(evidence)).collect()
+    aborted_runs.chain(lost_connections(evidence)).collect()
 }
 
-fn broken_sendings(evidence: &Evidence) -> impl Iterator<Item = Finding> {
-    let is_cut = |call: &&standins::journal::CallRecord| {
+fn lost_connections(evidence: &Evidence) -> impl Iterator<Item = Finding> {
+    let has_lost_connection = |call: &&standins::journal::CallRecord| {
         call.attempts.iter().any(|attempt| {
             attempt.result == AttemptResult::ConnectionLost
                 && evidence.stops.iter().any(|stop| {
@@ -42,11 +44,11 @@
     evidence
         .calls
         .iter()
-        .filter(is_cut)
+        .filter(has_lost_connection)
         .map(|it| Finding { invariant: CUT_OFF, detail: describe(it) })
 }
 
-/// Requests that upstreams refused because they had been leaving for too long.
+/// Returns requests that upstreams refused because they had been draining for too long.
 pub(super) fn late_work(evidence: &Evidence) -> Vec<Finding> {
     let is_late = |entry: &&RunEntry| {
         matches!(entry, RunEntry::Refused { reason: RefusedReason::Draining, .. })
--- a/xtask/src/demo/verdict/tests.rs
+++ b/xtask/src/demo/verdict/tests.rs
@@ -1,4 +1,4 @@
-//! Journals with planted faults: each must be found, and nothing else.
+//! Journals that contain given violations: the verdict has to report each of them and nothing else.
 
 use model::RequestId;
 use standins::journal::{
@@ -11,7 +11,7 @@
 const GOOD_CONFIG: ConfigProbe = ConfigProbe { in_force_ms: Some(300), reverted: 0 };
 const MS: u64 = 1_000_000;
 
-/// Builds journals; times are in milliseconds.
+/// Builder of journals; times are in milliseconds.
 #[derive(Default)]
 struct EvidenceBuilder {
     evidence: Evidence,
@@ -19,10 +19,10 @@
 
 impl EvidenceBuilder {
     fn new() -> EvidenceBuilder {
-        let whole = Window { from_ns: 0, until_ns: 10_000 * MS };
+        let full_window = Window { from_ns: 0, until_ns: 10_000 * MS };
         let mut builder = EvidenceBuilder::default();
-        builder.evidence.fault_free = whole;
-        builder.evidence.churn_window = whole;
+        builder.evidence.fault_free = full_window;
+        builder.evidence.churn_window = full_window;
         builder.evidence.probed_keys.insert("k".to_owned());
         for instance in ["a", "b"] {
             builder.evidence.upstreams.push(UpstreamJournal {
@@ -37,8 +37,8 @@
         builder
     }
 
-    /// Judges the time without service, too.
-    fn watched(mut self) -> EvidenceBuilder {
+    /// Includes the unavailability of keys in the verdict.
+    fn check_availability(mut self) -> EvidenceBuilder {
         self.evidence.observed = self.evidence.fault_free;
         self
     }
@@ -82,7 +82,7 @@
         self.run(instance, id, token, times, Some(RunEnd::Ran))
     }
 
-    /// A request that may not be repeated.
+    /// Adds a request that is not idempotent.
     fn call(
         mut self,
         id: u128,
@@ -128,7 +128,7 @@
         self
     }
 
-    /// Checks which invariants are broken, each named as often as it was found.
+    /// Asserts the violated invariants, each listed once per finding.
     fn check(self, expected: &[&str]) -> Verdict {
         let verdict = Verdict::new(&self.evidence, Some(GOOD_CONFIG));
         let found: Vec<&str> = verdict.findings.iter().map(|it| it.invariant).collect();
@@ -142,46 +142,46 @@
 }
 
 #[test]
-fn a_clean_run_holds() {
+fn a_run_without_violations_holds() {
     let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 10..20).ran("b", 2, "1.2", 20..30);
-    let verdict = builder.watched().answered(1, 5..25).answered(2, 15..35).check(&[]);
+    let verdict = builder.check_availability().answered(1, 5..25).answered(2, 15..35).check(&[]);
     assert_eq!((verdict.requests, verdict.answered, verdict.unavailable_ms_max), (2, 2, 0));
     assert_eq!((verdict.imbalance, verdict.churn), (1.0, 1.0));
 }
 
 #[test]
-fn two_owners_at_once_are_found() {
+fn overlapping_runs_on_two_upstreams_are_reported() {
     EvidenceBuilder::new()
         .ran("a", 1, "1.1", 10..20)
         .ran("b", 2, "1.2", 19..30)
         .check(&["double_owned"]);
-    // A run that is hidden by a shorter, later one on the same upstream.
+    // The overlapping run started before a shorter one on the same upstream.
     let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 0..100).ran("a", 2, "1.1", 10..20);
     builder.ran("b", 3, "1.2", 50..60).check(&["double_owned"]);
-    // A run without an end lasts as long as its process.
+    // A run without an end lasts until its process exits.
     let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..10, None);
     builder.ran("b", 2, "1.2", 30..40).check(&["double_owned"]);
-    // One upstream runs several at once.
+    // Concurrent runs on one upstream are allowed.
     EvidenceBuilder::new().ran("a", 1, "1.1", 10..30).ran("a", 2, "1.1", 11..20).check(&[]);
 }
 
 #[test]
-fn a_frozen_process_does_nothing() {
+fn a_run_whose_deadline_passes_during_a_freeze_ends_with_its_start() {
     let check = |end, until_ms, expected: &[&str]| {
         let mut builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..until_ms, Some(end));
         let frozen = Window { from_ns: 20 * MS, until_ns: 500 * MS };
         builder.evidence.upstreams[0].frozen.push(frozen);
         builder.ran("b", 2, "1.2", 300..310).check(expected);
     };
-    // Its deadline passed meanwhile, and it stopped at once when it went on.
+    // The deadline passed during the freeze, and the run stopped as soon as the process resumed.
     check(RunEnd::DeadlineExceeded, 400, &[]);
-    // It went on.
+    // The run continued after the process resumed.
     check(RunEnd::DeadlineExceeded, 600, &["double_owned"]);
     check(RunEnd::Ran, 501, &["double_owned"]);
 }
 
 #[test]
-fn a_token_that_goes_back_is_found() {
+fn a_decreasing_token_is_reported() {
     EvidenceBuilder::new()
         .ran("a", 1, "1.2", 10..20)
         .ran("b", 2, "1.1", 30..40)
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_request_that_ran_twice_is_found() {
+fn a_non_idempotent_request_that_ran_twice_is_reported() {
     let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 10..20).ran("b", 1, "1.2", 30..40);
     builder.answered(1, 5..45).check(&["ran_twice"]);
     let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..20, Some(RunEnd::Cancelled));
@@ -198,29 +198,29 @@
 }
 
 #[test]
-fn a_false_not_run_is_found() {
+fn a_false_not_run_is_reported() {
     let refused = [(5..15, not_run("no-owner"))];
     let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 10..20);
     builder.call(1, FinalOutcome::NotRun, &refused).check(&["not_run_but_ran"]);
-    // It ran after the refusal without having been sent again.
+    // The request ran after the refusal, without a second attempt.
     let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 20..30);
     builder.call(1, FinalOutcome::NotRun, &refused).check(&["not_run_but_ran"]);
-    // It ran after it had been sent again.
+    // The request ran in the second attempt.
     let again = [(5..15, not_run("no-owner")), (40..60, AttemptResult::Answered)];
     let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 45..50);
     builder.call(1, FinalOutcome::Answered, &again).check(&[]);
 }
 
 #[test]
-fn a_lost_request_is_found() {
+fn a_lost_request_is_reported() {
     let cut = [(5..15, AttemptResult::ConnectionLost)];
     EvidenceBuilder::new().call(1, FinalOutcome::Lost, &cut).check(&["lost"]);
-    // Answered, but it never ran to its end.
+    // The request was answered but has no run that ended.
     EvidenceBuilder::new().answered(1, 5..15).check(&["lost"]);
 }
 
 #[test]
-fn crossed_and_broken_answers_are_found() {
+fn crossed_and_incomplete_responses_are_reported() {
     let check = |result, expected| {
         let builder = EvidenceBuilder::new().ran("a", 1, "1.1", 6..9);
         builder.call(1, FinalOutcome::Answered, &[(5..15, result)]).check(&[expected]);
@@ -230,20 +230,20 @@
 }
 
 #[test]
-fn what_a_planned_stop_cuts_off_is_found() {
+fn requests_aborted_by_a_planned_stop_are_reported() {
     let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..20, Some(RunEnd::Cancelled));
     builder.stop("a", 15..30).check(&["cut_off"]);
     EvidenceBuilder::new().run("a", 1, "1.1", 10..10, None).stop("a", 15..30).check(&["cut_off"]);
     let lost = [(20..25, AttemptResult::ConnectionLost), (26..50, AttemptResult::Answered)];
     let builder = EvidenceBuilder::new().ran("b", 1, "1.1", 30..40).stop("a", 15..30);
     builder.call(1, FinalOutcome::Answered, &lost).check(&["cut_off"]);
-    // Before the stop.
+    // The run ended before the stop.
     let builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..12, Some(RunEnd::Cancelled));
     builder.stop("a", 15..30).check(&[]);
 }
 
 #[test]
-fn work_for_an_upstream_that_has_left_is_found() {
+fn late_requests_to_a_draining_upstream_are_reported() {
     let mut builder = EvidenceBuilder::new();
     builder.entries("a").push(RunEntry::Refused {
         at_ns: 20 * MS,
@@ -255,31 +255,31 @@
 }
 
 #[test]
-fn the_longest_gap_of_a_key_is_found() {
+fn the_longest_gap_of_a_key_is_reported() {
     let failed = |from: u64, until: u64| {
         let ends = [(from..until, not_run("no-owner"))];
-        EvidenceBuilder::new().watched().ran("a", 1, "1.1", 6..9).answered(1, 5..10).call(
-            2,
-            FinalOutcome::NotRun,
-            &ends,
-        )
+        EvidenceBuilder::new()
+            .check_availability()
+            .ran("a", 1, "1.1", 6..9)
+            .answered(1, 5..10)
+            .call(2, FinalOutcome::NotRun, &ends)
     };
-    let served_again =
+    let with_later_answer =
         |builder: EvidenceBuilder| builder.ran("a", 3, "1.1", 2990..2995).answered(3, 2900..3000);
-    let verdict = served_again(failed(500, 510)).check(&["unavailable_ms_max"]);
+    let verdict = with_later_answer(failed(500, 510)).check(&["unavailable_ms_max"]);
     assert_eq!(verdict.unavailable_ms_max, 2500);
-    // Never served again.
+    // The key is never served again.
     let verdict = failed(500, 510).check(&["unavailable_ms_max"]);
     assert_eq!(verdict.unavailable_ms_max, 9500);
-    // The agent that was asked was not well itself.
-    let verdict = served_again(failed(500, 510)).outage(400..600).check(&[]);
+    // The called agent was killed or suspended itself.
+    let verdict = with_later_answer(failed(500, 510)).outage(400..600).check(&[]);
     assert_eq!(verdict.unavailable_ms_max, 0);
 }
 
 #[test]
-fn a_sending_that_hangs_counts_from_its_start() {
+fn the_gap_of_a_hanging_attempt_starts_with_the_attempt() {
     let hung = [(100..1100, AttemptResult::TimedOut)];
-    let builder = EvidenceBuilder::new().watched().call(2, FinalOutcome::Unknown, &hung);
+    let builder = EvidenceBuilder::new().check_availability().call(2, FinalOutcome::Unknown, &hung);
     let builder = builder.ran("a", 1, "1.1", 80..85).answered(1, 75..90);
     let builder = builder.ran("b", 3, "1.2", 890..895).answered(3, 850..900);
     let builder = builder.ran("b", 4, "1.2", 990..995).answered(4, 950..1000);
@@ -288,9 +288,10 @@
 }
 
 #[test]
-fn a_service_not_divided_by_key_is_served_by_any_upstream() {
+fn an_unsharded_service_is_available_if_any_upstream_answers() {
     let failed = [(500..510, not_run("draining"))];
-    let mut builder = EvidenceBuilder::new().watched().call(2, FinalOutcome::NotRun, &failed);
+    let mut builder =
+        EvidenceBuilder::new().check_availability().call(2, FinalOutcome::NotRun, &failed);
     builder.evidence.upstreams.iter_mut().for_each(|it| it.keyed = false);
     let mut builder = builder.ran("a", 1, "1.1", 520..525).answered(1, 515..530);
     builder.evidence.calls[1].key = "another".to_owned();
@@ -298,7 +299,7 @@
 }
 
 #[test]
-fn a_slow_or_reverted_change_is_found() {
+fn a_slow_or_reverted_change_is_reported() {
     let check = |config, expected: &[&str]| {
         let verdict = Verdict::new(&EvidenceBuilder::new().evidence, Some(config));
         let found: Vec<&str> = verdict.findings.iter().map(|it| it.invariant).collect();
