--- a/xtask/src/demo/config_probe.rs
+++ b/xtask/src/demo/config_probe.rs
@@ -117,8 +117,8 @@
     agents.sort_unstable();
     agents.dedup();
     let from_ns = change.acknowledged_ns;
-    let period = Window { from_ns, until_ns: from_ns + WAIT_MAX_NS };
-    let considered_agents = agents.iter().filter(|it| !was_faulty(evidence, **it, period));
+    let span = Window { from_ns, until_ns: from_ns + WAIT_MAX_NS };
+    let considered_agents = agents.iter().filter(|it| !was_faulty(evidence, **it, span));
     let first_applied_ns = considered_agents.map(|agent| {
         let of_agent = samples.iter().filter(|it| it.agent == *agent);
         of_agent.filter(|it| it.changed == Some(true)).map(|it| it.ended_ns).min()
@@ -130,15 +130,15 @@
 }
 
 /// Returns whether the agent was faulty or stopped at some time within the window.
-fn was_faulty(evidence: &Evidence, agent: SocketAddr, period: Window) -> bool {
+fn was_faulty(evidence: &Evidence, agent: SocketAddr, span: Window) -> bool {
     let outages = evidence.ingress_outages.iter().map(|it| (it.caller_address, it.window));
     let stops = evidence.stops.iter().map(|it| {
         // A stopped agent is not restarted.
         (it.caller_address, Window { until_ns: u64::MAX, ..it.window })
     });
-    outages.chain(stops).any(|(address, window)| {
-        address == agent && window.overlaps(period.from_ns, period.until_ns)
-    })
+    outages
+        .chain(stops)
+        .any(|(address, window)| address == agent && window.overlaps(span.from_ns, span.until_ns))
 }
 
 /// Counts how often an agent applied the previous document after the changed one.
