--- a/crates/agent/src/ingress/mod.rs
+++ b/crates/agent/src/ingress/mod.rs
@@ -63,7 +63,7 @@
 
 /// Longest wait of a request for the routes of a service that this agent has not seen before.
 const ROUTES_WAIT_MAX: Duration = Duration::from_secs(1);
-/// Retry-after time while the instance stops: about the time for the end of the stop and a start after it.
+/// Retry-after time while the instance stops: about as long as the rest of the stop and a restart take.
 const RETRY_AFTER_STOP: Duration = Duration::from_millis(1_500);
 /// Retry-after time for refusals that specify none.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns how many requests have responses that have not been passed to the connection in full.
+    /// Returns the number of requests whose responses have not been passed to the connection in full.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
@@ -322,7 +322,7 @@
         fingerprint: head.fingerprint,
         class: class.clone(),
         idempotent,
-        remaining: head.deadline.map_or(timeout, |named| named.min(timeout)),
+        remaining: head.deadline.map_or(timeout, |requested| requested.min(timeout)),
         age: head.age,
         time_at_ingress: Duration::ZERO,
         upstream_attempts_max: attempts,
@@ -337,7 +337,7 @@
     })
 }
 
-/// Computes the fingerprint of a request whose body is complete, from that of its headers.
+/// Computes the fingerprint of a request from that of its headers, its method, its path and its complete body.
 fn request_fingerprint(request: &GateRequest) -> Fingerprint {
     Fingerprint::of([
         &request.fingerprint.0.to_le_bytes()[..],
--- a/crates/agent/src/links/handshake.rs
+++ b/crates/agent/src/links/handshake.rs
@@ -164,7 +164,7 @@
 ) -> Result<EstablishedLink, HandshakeError> {
     timeout(HANDSHAKE_TIMEOUT, handshake)
         .await
-        .unwrap_or(Err(HandshakeError::Refused { peer, reason: "it took too long" }))
+        .unwrap_or(Err(HandshakeError::Refused { peer, reason: "the handshake timed out" }))
 }
 
 async fn send(
