--- a/crates/agent/src/metrics/mod.rs
+++ b/crates/agent/src/metrics/mod.rs
@@ -38,28 +38,20 @@
             let opts = HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS_S.to_vec());
             HistogramVec::new(opts, &labels)
         };
-        let request_s = histogram(
-            "pomelohill_request_seconds",
-            "Time from the arrival of a caller's request to its response, in seconds.",
-        )?;
-        let upstream_s = histogram(
-            "pomelohill_upstream_seconds",
-            "Time that a request spent at the upstream, in seconds.",
-        )?;
+        let request_s =
+            histogram("pomelohill_request_seconds", "Time from a caller's request to its answer.")?;
+        let upstream_s =
+            histogram("pomelohill_upstream_seconds", "Time a request spent at the upstream.")?;
         let requests = IntCounterVec::new(
-            Opts::new("pomelohill_requests_total", "Callers' requests by outcome."),
+            Opts::new("pomelohill_requests_total", "Callers' requests by their end."),
             &["tenant", "class", "outcome"],
         )?;
         let retries = IntCounterVec::new(
-            Opts::new(
-                "pomelohill_retries_total",
-                "Further attempts of requests, by kind (redirect or retry).",
-            ),
+            Opts::new("pomelohill_retries_total", "Requests sent on again."),
             &["tenant", "kind"],
         )?;
-        let running =
-            IntGauge::new("pomelohill_gate_running", "Requests running at the upstream.")?;
-        let queued = IntGauge::new("pomelohill_gate_queued", "Requests queued for the upstream.")?;
+        let running = IntGauge::new("pomelohill_gate_running", "Requests at the upstream.")?;
+        let queued = IntGauge::new("pomelohill_gate_queued", "Requests that wait for a slot.")?;
         registry.register(Box::new(request_s.clone()))?;
         registry.register(Box::new(upstream_s.clone()))?;
         registry.register(Box::new(requests.clone()))?;
--- a/crates/agent/src/metrics/platform_calls.rs
+++ b/crates/agent/src/metrics/platform_calls.rs
@@ -22,7 +22,7 @@
 }
 
 fn counters() -> Result<IntCounterVec, prometheus::Error> {
-    let help = "Calls to the platform. A long-polling watch counts as one call.";
+    let help = "Calls to the platform; a waiting watch is one.";
     IntCounterVec::new(Opts::new("pomelohill_platform_calls_total", help), &["kind"])
 }
 
