--- a/crates/agent/src/gate/leases/answers.rs
+++ b/crates/agent/src/gate/leases/answers.rs
@@ -41,7 +41,7 @@
 impl Gate {
     /// Applies the upstream's announcement of its keys and resolves to the keys that it is to hold.
     /// `None` leaves the grants of the upstream unchanged.
-    pub(crate) async fn keys_to_hold(
+    pub(crate) async fn assign_keys(
         self: &Arc<Gate>,
         announcement: &Announcement,
         held: &AnnouncedKeys,
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -233,25 +233,25 @@
 }
 
 impl Handler for Arc<Gate> {
-    fn request(&self, from: &Instance, request: GateRequest) -> ReplyFuture {
+    fn handle_request(&self, from: &Instance, request: GateRequest) -> ReplyFuture {
         self.report_later_config(from, &request);
         let gate = Arc::clone(self);
         Box::pin(async move { gate.serve(request).await })
     }
 
-    fn records(&self, from: &Instance, handover: Handover) -> bool {
+    fn import_records(&self, from: &Instance, handover: Handover) -> bool {
         self.take_records(from, handover)
     }
 }
 
 impl KeyGranter for Arc<Gate> {
-    fn keys_to_hold(
+    fn assign_keys(
         &self,
         announcement: Announcement,
         held: AnnouncedKeys,
         ranges_max: usize,
     ) -> Pin<Box<dyn Future<Output = Option<AssignedKeys>> + Send + '_>> {
-        Box::pin(async move { Gate::keys_to_hold(self, &announcement, &held, ranges_max).await })
+        Box::pin(async move { Gate::assign_keys(self, &announcement, &held, ranges_max).await })
     }
 }
 
--- a/crates/agent/src/ingress/announce.rs
+++ b/crates/agent/src/ingress/announce.rs
@@ -47,10 +47,10 @@
 pub(crate) trait KeyGranter: Send + Sync {
     /// Processes the keys that the upstream reports, and resolves within a second to the keys that it is to
     /// hold. Resolves to `None` if the response is to list no keys.
-    fn keys_to_hold(
+    fn assign_keys(
         &self,
         announcement: Announcement,
-        held: AnnouncedKeys,
+        announced_keys: AnnouncedKeys,
         ranges_max: usize,
     ) -> Pin<Box<dyn Future<Output = Option<AssignedKeys>> + Send + '_>>;
 }
@@ -112,7 +112,7 @@
                 self.upstream_clock.update(clock_ms, self.clock.now());
                 self.reporter.try_report(Report::Announcement(announcement.clone()));
                 let ranges_max = self.protocol.ranges_max();
-                self.granter.keys_to_hold(announcement, keys?, ranges_max).await
+                self.granter.assign_keys(announcement, keys?, ranges_max).await
             }
             UpstreamMessage::Leaving { upstream_id, incarnation_start_ms } => {
                 self.reporter
--- a/crates/agent/src/links/traffic/inbox.rs
+++ b/crates/agent/src/links/traffic/inbox.rs
@@ -134,7 +134,7 @@
             }
             Progress::Complete(Head::Request(it)) => {
                 let request = GateRequest::try_from(*it).context("invalid request frame")?;
-                let reply_future = self.handler.request(&self.link.peer, request);
+                let reply_future = self.handler.handle_request(&self.link.peer, request);
                 self.running.start(&self.link, id, reply_future);
                 Ok(())
             }
@@ -155,7 +155,7 @@
     async fn handle_records(&mut self, records: Records) -> Result<(), anyhow::Error> {
         let Records { id, service, unit, token, body, .. } = records;
         let handover = Handover { service, unit, token, records: body };
-        let taken = self.handler.records(&self.link.peer, handover);
+        let taken = self.handler.import_records(&self.link.peer, handover);
         let frame = Frame::RecordsTaken(RecordsTaken { id, taken });
         self.link
             .send_small(&frame)
--- a/crates/agent/src/links/traffic/mod.rs
+++ b/crates/agent/src/links/traffic/mod.rs
@@ -50,9 +50,9 @@
 /// Handles requests and records received from peers.
 pub(crate) trait Handler: Send + Sync {
     /// Runs a request. Dropping the future cancels it.
-    fn request(&self, from: &Instance, request: GateRequest) -> ReplyFuture;
+    fn handle_request(&self, from: &Instance, request: GateRequest) -> ReplyFuture;
     /// Imports records from a handover. Returns false if they cannot be used.
-    fn records(&self, from: &Instance, handover: Handover) -> bool;
+    fn import_records(&self, from: &Instance, handover: Handover) -> bool;
 }
 
 /// The traffic links of this process. Clones share them.
--- a/crates/agent/src/links/traffic/tests.rs
+++ b/crates/agent/src/links/traffic/tests.rs
@@ -112,11 +112,11 @@
 struct UnusedHandler;
 
 impl Handler for UnusedHandler {
-    fn request(&self, _from: &Instance, _request: GateRequest) -> ReplyFuture {
+    fn handle_request(&self, _from: &Instance, _request: GateRequest) -> ReplyFuture {
         unreachable!("no request is sent")
     }
 
-    fn records(&self, _from: &Instance, _handover: Handover) -> bool {
+    fn import_records(&self, _from: &Instance, _handover: Handover) -> bool {
         false
     }
 }
