--- a/xtask/src/bench/config.rs
+++ b/xtask/src/bench/config.rs
@@ -23,13 +23,13 @@
 const SERVICE: &str = "avaliacao";
 const CHANGES: usize = 20;
 const CHANGES_IN_OUTAGE: usize = 5;
-const PAUSE: Duration = Duration::from_millis(300);
-const ASK_AGAIN: Duration = Duration::from_millis(5);
-const PATIENCE: Duration = Duration::from_secs(20);
-const RUSH: Duration = Duration::from_secs(25);
+const PAUSE_BETWEEN_CHANGES: Duration = Duration::from_millis(300);
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(5);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
+const LOAD_DURATION: Duration = Duration::from_secs(25);
 /// Time after a change at which the platform goes down, and how long it stays so.
 const OUTAGE_AFTER: Duration = Duration::from_millis(20);
-const OUTAGE: Duration = Duration::from_secs(3);
+const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 
 /// One phase of the measurement.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     client: AgentClient,
     service: Service,
     /// The documents in turn; the second one refuses a path that the first one takes.
-    texts: [String; 2],
+    document_texts: [String; 2],
     changes: usize,
 }
 
@@ -59,14 +59,14 @@
     let cluster = Cluster::start(SERVICES, &binaries, seed).await?;
     cluster.wait_until_serving().await?;
     let service = cluster.service(SERVICE).context("a service that changes")?.clone();
-    let texts = [service.text.clone(), service.text_with_refusing_route(PROBE_PATH)?];
+    let document_texts = [service.text.clone(), service.text_with_refusing_route(PROBE_PATH)?];
     let client = AgentClient::new()?;
-    let mut bench = Bench { cluster, client, service, texts, changes: 0 };
+    let mut bench = Bench { cluster, client, service, document_texts, changes: 0 };
     let rest = bench.phase("rest", CHANGES, None).await?;
-    let callers = Callers::start(&bench.cluster, RUSH, Instant::now(), seed);
+    let callers = Callers::start(&bench.cluster, LOAD_DURATION, Instant::now(), seed);
     let rush = bench.phase("rush", CHANGES, None).await?;
     callers.finish().await?;
-    let outage = bench.phase("outage", CHANGES_IN_OUTAGE, Some(OUTAGE)).await?;
+    let outage = bench.phase("outage", CHANGES_IN_OUTAGE, Some(OUTAGE_DURATION)).await?;
     Ok(vec![rest, rush, outage])
 }
 
@@ -78,11 +78,11 @@
         outage: Option<Duration>,
     ) -> anyhow::Result<ConfigRow> {
         let before = self.cluster.platform_counts().await?;
-        let began = Instant::now();
+        let started = Instant::now();
         let mut in_force_ms = Vec::new();
         for _ in 0..changes {
             in_force_ms.push(self.change(outage).await?.as_secs_f64() * 1e3);
-            sleep(PAUSE).await;
+            sleep(PAUSE_BETWEEN_CHANGES).await;
         }
         let after = self.cluster.platform_counts().await?;
         in_force_ms.sort_by(f64::total_cmp);
@@ -91,7 +91,7 @@
             changes,
             in_force_ms: Spread::new(in_force_ms.iter().copied()),
             p99_ms: percentile(&in_force_ms, 0.99),
-            platform_calls_per_s: rates(&before, &after, began.elapsed()),
+            platform_calls_per_s: rates(&before, &after, started.elapsed()),
         };
         print_line(&format!("{:8} in force after {} ms", row.phase, row.in_force_ms))?;
         Ok(row)
@@ -101,12 +101,12 @@
     async fn change(&mut self, outage: Option<Duration>) -> anyhow::Result<Duration> {
         self.changes += 1;
         let refuses = self.changes % 2 == 1;
-        let text = &self.texts[usize::from(refuses)];
+        let text = &self.document_texts[usize::from(refuses)];
         self.cluster.put_document(SERVICE, text).await?;
         let written = Instant::now();
         let agents = self.cluster.caller_addresses(self.service.spec.team);
         let waits = agents.into_iter().map(|it| self.wait_in_force(it, refuses));
-        let all = timeout(PATIENCE, try_join_all(waits));
+        let all = timeout(IN_FORCE_TIMEOUT, try_join_all(waits));
         let (all, ()) = tokio::try_join!(
             async { all.await.context("a document was not in force in time")? },
             self.fail_platform(outage),
@@ -141,7 +141,7 @@
             if refused == Some(refuses) {
                 return Ok(Instant::now());
             }
-            sleep(ASK_AGAIN).await;
+            sleep(PROBE_RETRY_DELAY).await;
         }
         unreachable!("the numbers do not end")
     }
--- a/xtask/src/bench/faults/scenario.rs
+++ b/xtask/src/bench/faults/scenario.rs
@@ -30,19 +30,19 @@
     service_ms: 4.0,
 };
 
-const BEFORE: Duration = Duration::from_millis(1_500);
+const TIME_BEFORE_FAULT: Duration = Duration::from_millis(1_500);
 /// Callers' patience ends after it.
-const AFTER: Duration = Duration::from_secs(5);
-const BEFORE_JITTER_MS: std::ops::Range<u64> = 0..500;
-const FREEZE: Duration = Duration::from_secs(2);
+const TIME_AFTER_FAULT: Duration = Duration::from_secs(5);
+const BEFORE_JITTER_RANGE_MS: std::ops::Range<u64> = 0..500;
+const FREEZE_DURATION: Duration = Duration::from_secs(2);
 /// Just longer than a lease.
-const PAUSE: Duration = Duration::from_millis(900);
-const OUTAGE: Duration = Duration::from_secs(3);
-const OUTAGE_LEAD: Duration = Duration::from_secs(1);
+const PAUSE_DURATION: Duration = Duration::from_millis(900);
+const OUTAGE_DURATION: Duration = Duration::from_secs(3);
+const OUTAGE_BEFORE_FAULT: Duration = Duration::from_secs(1);
 
 /// What is struck.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Victims {
+enum Targets {
     /// An instance that does not coordinate.
     Member,
     Coordinator,
@@ -54,7 +54,7 @@
 
 /// What happens to the victims.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Strike {
+enum InjectedFault {
     Kill,
     /// The upstream and its agent are frozen and come back.
     Freeze,
@@ -80,52 +80,63 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Scenario {
     pub(super) name: &'static str,
-    victims: Victims,
-    strike: Strike,
+    targets: Targets,
+    fault: InjectedFault,
     platform: PlatformState,
 }
 
 const fn scenario(
     name: &'static str,
-    victims: Victims,
-    strike: Strike,
+    targets: Targets,
+    fault: InjectedFault,
     platform: PlatformState,
 ) -> Scenario {
-    Scenario { name, victims, strike, platform }
+    Scenario { name, targets, fault, platform }
 }
 
 pub(super) const SCENARIOS: &[Scenario] = &[
-    scenario("member_killed", Victims::Member, Strike::Kill, PlatformState::Up),
-    scenario("coordinator_killed", Victims::Coordinator, Strike::Kill, PlatformState::Up),
-    scenario("both_killed", Victims::CoordinatorAndMember, Strike::Kill, PlatformState::Up),
-    scenario("two_killed", Victims::TwoMembers, Strike::Kill, PlatformState::Up),
-    scenario("zone_killed", Victims::Zone, Strike::Kill, PlatformState::Up),
-    scenario("member_frozen", Victims::Member, Strike::Freeze, PlatformState::Up),
-    scenario("coordinator_frozen", Victims::Coordinator, Strike::Freeze, PlatformState::Up),
-    scenario("two_frozen", Victims::CoordinatorAndMember, Strike::Freeze, PlatformState::Up),
-    scenario("member_paused", Victims::Member, Strike::PauseAgent, PlatformState::Up),
-    scenario("coordinator_paused", Victims::Coordinator, Strike::PauseAgent, PlatformState::Up),
-    scenario("member_leaves", Victims::Member, Strike::Leave, PlatformState::Up),
-    scenario("coordinator_leaves", Victims::Coordinator, Strike::Leave, PlatformState::Up),
-    scenario("outage_before", Victims::Member, Strike::Kill, PlatformState::OutageBefore),
-    scenario("outage_during", Victims::Member, Strike::Kill, PlatformState::OutageDuring),
-    scenario("outage_after", Victims::Member, Strike::Kill, PlatformState::OutageAfter),
-    scenario("answers_lost", Victims::Coordinator, Strike::Kill, PlatformState::LosesAnswers),
+    scenario("member_killed", Targets::Member, InjectedFault::Kill, PlatformState::Up),
+    scenario("coordinator_killed", Targets::Coordinator, InjectedFault::Kill, PlatformState::Up),
+    scenario("both_killed", Targets::CoordinatorAndMember, InjectedFault::Kill, PlatformState::Up),
+    scenario("two_killed", Targets::TwoMembers, InjectedFault::Kill, PlatformState::Up),
+    scenario("zone_killed", Targets::Zone, InjectedFault::Kill, PlatformState::Up),
+    scenario("member_frozen", Targets::Member, InjectedFault::Freeze, PlatformState::Up),
+    scenario("coordinator_frozen", Targets::Coordinator, InjectedFault::Freeze, PlatformState::Up),
+    scenario("two_frozen", Targets::CoordinatorAndMember, InjectedFault::Freeze, PlatformState::Up),
+    scenario("member_paused", Targets::Member, InjectedFault::PauseAgent, PlatformState::Up),
+    scenario(
+        "coordinator_paused",
+        Targets::Coordinator,
+        InjectedFault::PauseAgent,
+        PlatformState::Up,
+    ),
+    scenario("member_leaves", Targets::Member, InjectedFault::Leave, PlatformState::Up),
+    scenario("coordinator_leaves", Targets::Coordinator, InjectedFault::Leave, PlatformState::Up),
+    scenario("outage_before", Targets::Member, InjectedFault::Kill, PlatformState::OutageBefore),
+    scenario("outage_during", Targets::Member, InjectedFault::Kill, PlatformState::OutageDuring),
+    scenario("outage_after", Targets::Member, InjectedFault::Kill, PlatformState::OutageAfter),
+    scenario(
+        "answers_lost",
+        Targets::Coordinator,
+        InjectedFault::Kill,
+        PlatformState::LosesAnswers,
+    ),
 ];
 
 impl Scenario {
     /// Runs the scenario once on a cluster of its own.
     pub(super) async fn run(&self, binaries: &Binaries, seed: u64) -> anyhow::Result<Verdict> {
         let mut cluster = Cluster::start(&[SERVICE], binaries, seed).await?;
-        let played = self.play(&mut cluster, seed).await;
-        played.with_context(|| format!("scenario {} with seed {seed}", self.name))
+        let result = self.measure(&mut cluster, seed).await;
+        result.with_context(|| format!("scenario {} with seed {seed}", self.name))
     }
 
-    async fn play(&self, cluster: &mut Cluster, seed: u64) -> anyhow::Result<Verdict> {
+    async fn measure(&self, cluster: &mut Cluster, seed: u64) -> anyhow::Result<Verdict> {
         cluster.wait_until_serving().await?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let before = BEFORE + Duration::from_millis(rng.random_range(BEFORE_JITTER_MS));
-        let load = before + OUTAGE_LEAD + FREEZE + AFTER;
+        let before =
+            TIME_BEFORE_FAULT + Duration::from_millis(rng.random_range(BEFORE_JITTER_RANGE_MS));
+        let load = before + OUTAGE_BEFORE_FAULT + FREEZE_DURATION + TIME_AFTER_FAULT;
         let mut evidence = Evidence::default();
         let from_ns = wall_clock_ns();
         let load_ns = u64::try_from(load.as_nanos()).unwrap_or(u64::MAX);
@@ -133,12 +144,12 @@
         evidence.churn_window = evidence.observed;
         evidence.probed_keys = probed_keys().collect();
         evidence.fault_free =
-            Window { from_ns, until_ns: from_ns + u64::try_from(BEFORE.as_nanos())? };
+            Window { from_ns, until_ns: from_ns + u64::try_from(TIME_BEFORE_FAULT.as_nanos())? };
         let callers = Callers::start(cluster, load, Instant::now(), seed);
         sleep(before).await;
         self.prepare_platform(cluster).await?;
-        let victims = self.choose(cluster, &mut rng).await?;
-        self.strike(cluster, &victims, &mut evidence).await?;
+        let targets = self.choose_targets(cluster, &mut rng).await?;
+        self.inject(cluster, &targets, &mut evidence).await?;
         self.restore_platform(cluster).await?;
         evidence.calls = callers.finish().await?;
         evidence.upstreams = cluster.journals()?;
@@ -150,12 +161,12 @@
             PlatformState::Up | PlatformState::OutageAfter => {}
             PlatformState::OutageBefore => {
                 cluster.set_platform_faults(r#"{"down": true}"#).await?;
-                sleep(OUTAGE_LEAD).await;
+                sleep(OUTAGE_BEFORE_FAULT).await;
                 cluster.set_platform_faults(r#"{"down": false}"#).await?;
             }
             PlatformState::OutageDuring => {
                 cluster.set_platform_faults(r#"{"down": true}"#).await?;
-                sleep(OUTAGE_LEAD).await;
+                sleep(OUTAGE_BEFORE_FAULT).await;
             }
             PlatformState::LosesAnswers => {
                 cluster.set_platform_faults(r#"{"lose_answers": 3}"#).await?;
@@ -167,14 +178,18 @@
     async fn restore_platform(&self, cluster: &Cluster) -> anyhow::Result<()> {
         match self.platform {
             PlatformState::OutageDuring | PlatformState::OutageAfter => {
-                sleep(OUTAGE).await;
+                sleep(OUTAGE_DURATION).await;
                 cluster.set_platform_faults(r#"{"down": false}"#).await
             }
             _ => Ok(()),
         }
     }
 
-    async fn choose(&self, cluster: &Cluster, rng: &mut Pcg64Mcg) -> anyhow::Result<Vec<usize>> {
+    async fn choose_targets(
+        &self,
+        cluster: &Cluster,
+        rng: &mut Pcg64Mcg,
+    ) -> anyhow::Result<Vec<usize>> {
         let coordinator = match self.platform {
             // Members are all alike where the coordinator cannot be looked up.
             PlatformState::OutageDuring => 0,
@@ -183,56 +198,56 @@
         let count = cluster.instances.len();
         let member = (coordinator + rng.random_range(1..count)) % count;
         let zone = &cluster.instances[coordinator].zone;
-        Ok(match self.victims {
-            Victims::Member => vec![member],
-            Victims::Coordinator => vec![coordinator],
-            Victims::CoordinatorAndMember => vec![coordinator, member],
-            Victims::TwoMembers => {
+        Ok(match self.targets {
+            Targets::Member => vec![member],
+            Targets::Coordinator => vec![coordinator],
+            Targets::CoordinatorAndMember => vec![coordinator, member],
+            Targets::TwoMembers => {
                 let others = (0..count).filter(|it| *it != coordinator && *it != member);
                 let others: Vec<usize> = others.collect();
                 vec![member, others[rng.random_range(0..others.len())]]
             }
-            Victims::Zone => (0..count).filter(|it| cluster.instances[*it].zone == *zone).collect(),
+            Targets::Zone => (0..count).filter(|it| cluster.instances[*it].zone == *zone).collect(),
         })
     }
 
-    async fn strike(
+    async fn inject(
         &self,
         cluster: &mut Cluster,
-        victims: &[usize],
+        targets: &[usize],
         evidence: &mut Evidence,
     ) -> anyhow::Result<()> {
         let outage_after = self.platform == PlatformState::OutageAfter;
-        match self.strike {
-            Strike::Kill => {
-                for victim in victims {
-                    evidence.ingress_outages.push(cluster.instances[*victim].kill().await?);
+        match self.fault {
+            InjectedFault::Kill => {
+                for target in targets {
+                    evidence.ingress_outages.push(cluster.instances[*target].kill().await?);
                 }
                 if outage_after {
                     cluster.set_platform_faults(r#"{"down": true}"#).await?;
                 }
             }
-            Strike::Freeze => {
-                let frozen = victims.iter().map(|it| cluster.instances[*it].freeze());
+            InjectedFault::Freeze => {
+                let frozen = targets.iter().map(|it| cluster.instances[*it].freeze());
                 let frozen_ns = frozen.collect::<anyhow::Result<Vec<u64>>>()?;
-                sleep(FREEZE).await;
-                for (victim, frozen_ns) in victims.iter().zip(frozen_ns) {
-                    evidence.ingress_outages.push(cluster.instances[*victim].resume(frozen_ns)?);
+                sleep(FREEZE_DURATION).await;
+                for (target, frozen_ns) in targets.iter().zip(frozen_ns) {
+                    evidence.ingress_outages.push(cluster.instances[*target].resume(frozen_ns)?);
                 }
             }
-            Strike::PauseAgent => {
-                let paused = victims.iter().map(|it| cluster.instances[*it].pause_agent());
+            InjectedFault::PauseAgent => {
+                let paused = targets.iter().map(|it| cluster.instances[*it].pause_agent());
                 let paused_ns = paused.collect::<anyhow::Result<Vec<u64>>>()?;
-                sleep(PAUSE).await;
-                for (victim, paused_ns) in victims.iter().zip(paused_ns) {
+                sleep(PAUSE_DURATION).await;
+                for (target, paused_ns) in targets.iter().zip(paused_ns) {
                     evidence
                         .ingress_outages
-                        .push(cluster.instances[*victim].resume_agent(paused_ns)?);
+                        .push(cluster.instances[*target].resume_agent(paused_ns)?);
                 }
             }
-            Strike::Leave => {
-                for victim in victims {
-                    evidence.stops.push(cluster.instances[*victim].leave().await?);
+            InjectedFault::Leave => {
+                for target in targets {
+                    evidence.stops.push(cluster.instances[*target].leave().await?);
                 }
             }
         }
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -49,7 +49,7 @@
 /// A kept result.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Kept<'a> {
+struct SavedResult<'a> {
     name: &'a str,
     machine: &'a Machine,
     result: &'a serde_json::Value,
@@ -97,7 +97,7 @@
 }
 
 /// What people would rather look at.
-const PLOTTED: &[(&str, &str)] = &[
+const PLOTTED_SLOPES: &[(&str, &str)] = &[
     ("coordinator_bytes_per_s", "members"),
     ("coordinator_cpu_us_per_s", "members"),
     ("coordinator_cpu_us_per_s", "slots"),
@@ -106,8 +106,8 @@
 ];
 
 fn plot_slopes(report: &slopes::SlopesReport) -> anyhow::Result<()> {
-    let folder = measurements()?;
-    let is_plotted = |it: &&slopes::Slope| PLOTTED.contains(&(it.quantity, it.against));
+    let folder = measurements_folder()?;
+    let is_plotted = |it: &&slopes::Slope| PLOTTED_SLOPES.contains(&(it.quantity, it.against));
     for slope in report.slopes.iter().filter(is_plotted) {
         let name = format!("{}-against-{}.svg", slope.quantity, slope.against);
         plot::draw_slope(slope, &folder.join(name))?;
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-fn measurements() -> anyhow::Result<PathBuf> {
+fn measurements_folder() -> anyhow::Result<PathBuf> {
     let folder = repository().join("docs/measurements");
     std::fs::create_dir_all(&folder).context("making docs/measurements")?;
     Ok(folder)
@@ -137,10 +137,10 @@
     machine: &Machine,
     result: &serde_json::Value,
 ) -> anyhow::Result<()> {
-    let folder = measurements()?;
+    let folder = measurements_folder()?;
     let name = options.name.clone();
-    let kept = Kept { name: &name, machine, result };
-    let text = serde_json::to_string_pretty(&kept).context("encoding a measurement")?;
+    let saved = SavedResult { name: &name, machine, result };
+    let text = serde_json::to_string_pretty(&saved).context("encoding a measurement")?;
     let path = folder.join(format!("{name}.json"));
     std::fs::write(&path, text + "\n").with_context(|| format!("writing {name}.json"))
 }
--- a/xtask/src/bench/ownership/bound.rs
+++ b/xtask/src/bench/ownership/bound.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{
-    view::{View, fair, member_loads},
+    view::{View, fair_load, member_loads},
     workload::Workload,
 };
 
@@ -12,7 +12,7 @@
 
 /// Lower bounds, as shares of all keys.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Least {
+pub(super) struct MinimalMoves {
     /// Any key may move alone.
     pub(super) by_key: f64,
     /// Keys move by slots, hot ones alone too.
@@ -35,31 +35,32 @@
     level: f64,
     movable: impl Fn(&View<'_>, usize) -> Vec<Movable>,
 ) -> f64 {
-    let fair = fair(view.members, view.loads_us_per_s);
+    let fair_load = fair_load(view.members, view.loads_us_per_s);
     let sums = member_loads(view.members.len(), view.owners, view.loads_us_per_s);
-    let excess = |member: usize| sums[member] - level * view.members[member].weight * fair;
+    let excess = |member: usize| sums[member] - level * view.members[member].weight * fair_load;
     let mut moved = 0.0;
     for member in 0..view.members.len() {
         if view.members[member].weight == 0.0 {
             moved += view.owners.iter().filter(|it| **it == Some(member)).count() as f64;
         } else if excess(member) > 0.0 {
             let room_for = |load: f64| {
-                let others = view.able().filter(|it| *it != member);
+                let others = view.available_members().filter(|it| *it != member);
                 let more = |it: usize| {
                     let movable = movable(view, it);
-                    least_off(&movable, excess(it) + load) - least_off(&movable, excess(it))
+                    min_keys_moved(&movable, excess(it) + load)
+                        - min_keys_moved(&movable, excess(it))
                 };
                 others.map(more).fold(f64::INFINITY, f64::min)
             };
-            moved += least_off_with_room(movable(view, member), excess(member), room_for);
+            moved += min_keys_moved_with_room(movable(view, member), excess(member), room_for);
         }
     }
     moved / view.keys.len() as f64
 }
 
-/// The same as [`least_off`], but the heaviest unit either stays, or goes as a whole and needs
+/// The same as [`min_keys_moved`], but the heaviest unit either stays, or goes as a whole and needs
 /// room elsewhere.
-fn least_off_with_room(
+fn min_keys_moved_with_room(
     mut movable: Vec<Movable>,
     excess: f64,
     room_for: impl Fn(f64) -> f64,
@@ -68,17 +69,17 @@
     let Some((index, _)) = movable.iter().enumerate().max_by(heavier) else { return 0.0 };
     let heaviest = movable.swap_remove(index);
     let rest: f64 = movable.iter().map(|it| it.load).sum();
-    let goes =
-        heaviest.keys + room_for(heaviest.load) + least_off(&movable, excess - heaviest.load);
+    let moved_whole =
+        heaviest.keys + room_for(heaviest.load) + min_keys_moved(&movable, excess - heaviest.load);
     // Sums in another order differ in their last digits.
     match rest >= excess * (1.0 - 1e-9) {
-        true => least_off(&movable, excess).min(goes),
-        false => goes,
+        true => min_keys_moved(&movable, excess).min(moved_whole),
+        false => moved_whole,
     }
 }
 
 /// The least number of keys whose load comes to `excess`.
-fn least_off(movable: &[Movable], mut excess: f64) -> f64 {
+fn min_keys_moved(movable: &[Movable], mut excess: f64) -> f64 {
     let density = |it: &Movable| it.load / it.keys;
     let mut order: Vec<&Movable> = movable.iter().collect();
     order.sort_by(|a, b| density(b).total_cmp(&density(a)));
@@ -104,7 +105,7 @@
     workload: &Workload,
 ) -> impl Fn(&View<'_>, usize) -> Vec<Movable> + '_ {
     |view, member| {
-        let hot = HOT_SHARE * fair(view.members, view.loads_us_per_s);
+        let hot = HOT_SHARE * fair_load(view.members, view.loads_us_per_s);
         let mut slots: BTreeMap<u16, Movable> = BTreeMap::new();
         let mut all = Vec::new();
         for key in (0..view.keys.len()).filter(|it| view.owners[*it] == Some(member)) {
--- a/xtask/src/bench/ownership/measure.rs
+++ b/xtask/src/bench/ownership/measure.rs
@@ -6,11 +6,11 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::{
-    bound::{Least, least_moved, single_keys, slots_and_hot_keys},
+    bound::{MinimalMoves, least_moved, single_keys, slots_and_hot_keys},
     policy::{Policy, UnitId},
-    report::Measured,
+    report::PolicyResult,
     view::{View, ViewMember, imbalance, member_loads},
-    workload::{CAPACITY_US_PER_S, End, Workload},
+    workload::{CAPACITY_US_PER_S, EndReason, Workload},
 };
 
 /// Share of a second's sample in the smoothed load.
@@ -33,16 +33,16 @@
     smoothed: Vec<f64>,
     owners: Vec<Option<usize>>,
     last_loss_s: Option<u32>,
-    measured: Measured,
+    measured: PolicyResult,
 }
 
 impl<'a> Run<'a> {
     pub(super) fn new(workload: &'a Workload, policy: Box<dyn Policy>, seed: u64) -> Run<'a> {
-        let member = |it: &super::workload::MemberLife| ViewMember {
+        let member = |it: &super::workload::MemberLifetime| ViewMember {
             zone: it.zone.clone(),
             weight: it.weight(0),
         };
-        let measured = Measured::new(policy.name());
+        let measured = PolicyResult::new(policy.name());
         Run {
             workload,
             policy,
@@ -57,10 +57,10 @@
         }
     }
 
-    pub(super) fn run(mut self) -> Measured {
+    pub(super) fn run(mut self) -> PolicyResult {
         for second in 0..self.workload.seconds {
             let loads = self.workload.loads_us_per_s(second);
-            self.age(second);
+            self.update_members(second);
             self.measure(&loads);
             self.observe(&loads);
             self.plan(second);
@@ -71,41 +71,44 @@
     }
 
     /// Members come, warm up and go.
-    fn age(&mut self, second: u32) {
-        let lives = self.workload.members.iter();
-        let lost = |it: &&super::workload::MemberLife| it.end == Some((second, End::Loss));
-        let losses = lives.clone().filter(lost).count();
-        for (member, life) in self.members.iter_mut().zip(lives) {
-            member.weight = life.weight(second);
+    fn update_members(&mut self, second: u32) {
+        let lifetimes = self.workload.members.iter();
+        let lost =
+            |it: &&super::workload::MemberLifetime| it.end == Some((second, EndReason::Loss));
+        let losses = lifetimes.clone().filter(lost).count();
+        for (member, lifetime) in self.members.iter_mut().zip(lifetimes) {
+            member.weight = lifetime.weight(second);
         }
         if losses > 0 {
             self.last_loss_s = Some(second);
             self.measured.losses += losses as u32;
-            self.lose(second);
+            self.reassign_lost(second);
         }
     }
 
     fn observe(&mut self, loads: &[f64]) {
         for (smoothed, load) in self.smoothed.iter_mut().zip(loads) {
-            let sample = second_of(&mut self.noise_rng, *load);
+            let sample = sample_load(&mut self.noise_rng, *load);
             *smoothed += SMOOTHING * (sample - *smoothed);
         }
     }
 
     /// The keys of a lost member wait for its lease, and for the policy's write if it needs one.
-    fn lose(&mut self, second: u32) {
+    fn reassign_lost(&mut self, second: u32) {
         let view = View {
             owners: &self.owners,
             ..view_of(self.workload, &self.members, &self.smoothed, second)
         };
-        let next = self.policy.lose(&view);
+        let next = self.policy.reassign_lost(&view);
         let gap_s = self.lease_rng.random_range(LEASE_S) + self.policy.loss_write_s();
         let moved = moved(&self.owners, &next);
-        let lost = moved.iter().filter(|it| is_gone(&self.members, self.owners[**it])).count();
-        self.measured.unavailable(lost as f64 * gap_s, gap_s);
+        let lost =
+            moved.iter().filter(|it| is_unavailable(&self.members, self.owners[**it])).count();
+        self.measured.record_unavailable(lost as f64 * gap_s, gap_s);
         let others = moved.len() - lost;
-        self.measured.loss_moves(moved.len() as f64 / self.owners.len() as f64);
-        self.measured.churn(others as f64 / self.owners.len() as f64, Least::default());
+        self.measured.record_loss_moves(moved.len() as f64 / self.owners.len() as f64);
+        self.measured
+            .record_churn(others as f64 / self.owners.len() as f64, MinimalMoves::default());
         self.owners = next;
     }
 
@@ -124,18 +127,18 @@
             units.entry(self.policy.unit(&view, *key)).or_default().push(*key);
         }
         let level = imbalance(&self.members, &next, &self.smoothed);
-        let least = Least {
+        let least = MinimalMoves {
             by_key: least_moved(&view, level, single_keys),
             by_unit: least_moved(&view, level, slots_and_hot_keys(self.workload)),
         };
         let share = moved.len() as f64 / self.owners.len() as f64;
-        self.measured.churn(share, least);
+        self.measured.record_churn(share, least);
         if self.last_loss_s.is_some_and(|it| second < it + LOSS_WINDOW_S) {
-            self.measured.loss_moves(share);
+            self.measured.record_loss_moves(share);
         }
         for keys in units.values() {
             let gap_s = self.handover_s(keys);
-            self.measured.unavailable(keys.len() as f64 * gap_s, gap_s);
+            self.measured.record_unavailable(keys.len() as f64 * gap_s, gap_s);
         }
         self.owners = next;
     }
@@ -162,7 +165,7 @@
                 overloaded_key_s += keys as f64 * (1.0 - capacity / sum);
             }
         }
-        self.measured.second(
+        self.measured.record_second(
             imbalance(&self.members, &self.owners, loads),
             overloaded_key_s,
             self.policy.entries(),
@@ -179,7 +182,7 @@
     View { second, keys: &workload.keys, members, loads_us_per_s: smoothed, owners: &[] }
 }
 
-fn is_gone(members: &[ViewMember], owner: Option<usize>) -> bool {
+fn is_unavailable(members: &[ViewMember], owner: Option<usize>) -> bool {
     owner.is_some_and(|it| members[it].weight == 0.0)
 }
 
@@ -188,13 +191,13 @@
 }
 
 /// Requests a second up to which they are drawn one by one.
-const DRAWN_MAX: f64 = 30.0;
+const EXACT_REQUESTS_MAX: f64 = 30.0;
 
 /// What one second shows of a load: requests come at random and take random times, so their sum
 /// has twice the variance of their number. On average it shows the load, also of idle keys.
-fn second_of(rng: &mut impl Rng, load_us_per_s: f64) -> f64 {
+fn sample_load(rng: &mut impl Rng, load_us_per_s: f64) -> f64 {
     let requests = load_us_per_s / (SERVICE_S * 1e6);
-    if requests <= DRAWN_MAX {
+    if requests <= EXACT_REQUESTS_MAX {
         let count = poisson(rng, requests);
         return (0..count).map(|_| exponential(rng, SERVICE_S * 1e6)).sum();
     }
--- a/xtask/src/bench/ownership/policy/bounded.rs
+++ b/xtask/src/bench/ownership/policy/bounded.rs
@@ -12,7 +12,7 @@
 
 pub(super) struct BoundedLoad {
     ring: Vec<(KeyHash, usize)>,
-    known: Vec<bool>,
+    was_available: Vec<bool>,
 }
 
 impl BoundedLoad {
@@ -22,18 +22,18 @@
         let hash = |(member, it)| (key_hash(format!("ring-{member}/{it}").as_bytes()), member);
         let mut ring: Vec<(KeyHash, usize)> = points.map(hash).collect();
         ring.sort();
-        BoundedLoad { ring, known: vec![false; members] }
+        BoundedLoad { ring, was_available: vec![false; members] }
     }
 
     /// The members in the order of the ring, from a key on; some more than once.
-    fn walk(&self, key: KeyHash) -> impl Iterator<Item = usize> + '_ {
+    fn ring_order(&self, key: KeyHash) -> impl Iterator<Item = usize> + '_ {
         let from = self.ring.partition_point(|it| it.0 < key);
         self.ring[from..].iter().chain(&self.ring[..from]).map(|it| it.1)
     }
 
     fn joined(&self, view: &View<'_>) -> Vec<bool> {
-        let known = self.known.iter().zip(view.members);
-        known.map(|(known, member)| !known && member.weight > 0.0).collect()
+        let was_available = self.was_available.iter().zip(view.members);
+        was_available.map(|(was_available, member)| !was_available && member.weight > 0.0).collect()
     }
 
     /// Its member is gone or over the bound, or a member that has just joined comes first.
@@ -41,28 +41,29 @@
         &self,
         view: &View<'_>,
         loads: &[f64],
-        fair: f64,
+        fair_load: f64,
         joined: &[bool],
         key: usize,
         owner: Option<usize>,
     ) -> bool {
         let Some(owner) = owner else { return true };
         let weight = view.members[owner].weight;
-        let is_over = loads[owner] > BOUND * weight * fair;
-        let first = self.walk(view.keys[key]).find(|it| view.members[*it].weight > 0.0);
-        weight == 0.0 || is_over || first.is_some_and(|it| joined[it])
+        let is_overloaded = loads[owner] > BOUND * weight * fair_load;
+        let first = self.ring_order(view.keys[key]).find(|it| view.members[*it].weight > 0.0);
+        weight == 0.0 || is_overloaded || first.is_some_and(|it| joined[it])
     }
 
     /// The first member with room; the least loaded if there is none.
-    fn place(&self, view: &View<'_>, loads: &[f64], fair: f64, key: usize) -> Option<usize> {
+    fn place(&self, view: &View<'_>, loads: &[f64], fair_load: f64, key: usize) -> Option<usize> {
         let load = view.loads_us_per_s[key];
         let has_room = |it: &usize| {
             let weight = view.members[*it].weight;
-            weight > 0.0 && loads[*it] + load <= BOUND * weight * fair
+            weight > 0.0 && loads[*it] + load <= BOUND * weight * fair_load
         };
         let relative = |it: &usize| loads[*it] / view.members[*it].weight;
-        let first = self.walk(view.keys[key]).find(has_room);
-        first.or_else(|| view.able().min_by(|a, b| relative(a).total_cmp(&relative(b))))
+        let first = self.ring_order(view.keys[key]).find(has_room);
+        first
+            .or_else(|| view.available_members().min_by(|a, b| relative(a).total_cmp(&relative(b))))
     }
 }
 
@@ -79,29 +80,29 @@
         PLATFORM_WRITE_S
     }
 
-    fn lose(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
+    fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
         self.plan(view)
     }
 
     fn plan(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
         let joined = self.joined(view);
-        let fair = view.fair();
+        let fair_load = view.fair_load();
         let mut loads = view.loads();
         let mut owners = view.owners.to_vec();
         for (key, owner) in owners.iter_mut().enumerate() {
-            if !self.must_move(view, &loads, fair, &joined, key, *owner) {
+            if !self.must_move(view, &loads, fair_load, &joined, key, *owner) {
                 continue;
             }
             if let Some(owner) = *owner {
                 loads[owner] -= view.loads_us_per_s[key];
             }
-            *owner = self.place(view, &loads, fair, key);
+            *owner = self.place(view, &loads, fair_load, key);
             if let Some(owner) = *owner {
                 loads[owner] += view.loads_us_per_s[key];
             }
         }
-        for (known, member) in self.known.iter_mut().zip(view.members) {
-            *known = member.weight > 0.0;
+        for (was_available, member) in self.was_available.iter_mut().zip(view.members) {
+            *was_available = member.weight > 0.0;
         }
         owners
     }
--- a/xtask/src/bench/ownership/policy/eager.rs
+++ b/xtask/src/bench/ownership/policy/eager.rs
@@ -4,7 +4,7 @@
 use super::{PLATFORM_WRITE_S, Policy, UnitId, View, Workload};
 
 /// Members this close together are left alone.
-const EVEN: f64 = 1.02;
+const BALANCED_BELOW: f64 = 1.02;
 
 pub(super) struct Eager {
     /// The slot of each key.
@@ -35,7 +35,7 @@
         PLATFORM_WRITE_S
     }
 
-    fn lose(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
+    fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
         self.plan(view)
     }
 
@@ -54,22 +54,24 @@
                 counts[*owner] += 1.0;
             }
         }
-        let idlest = |loads: &[f64], counts: &[f64]| {
+        let least_loaded = |loads: &[f64], counts: &[f64]| {
             let key = |it: &usize| (loads[*it] / weight(*it), counts[*it] / weight(*it));
-            view.able().min_by(|a, b| key(a).partial_cmp(&key(b)).expect("no load is NaN"))
+            view.available_members()
+                .min_by(|a, b| key(a).partial_cmp(&key(b)).expect("no load is NaN"))
         };
         for (slot, owner) in self.owners.iter_mut().enumerate().filter(|(_, it)| it.is_none()) {
-            let to = idlest(&loads, &counts).expect("a member is able");
+            let to = least_loaded(&loads, &counts).expect("a member is able");
             loads[to] += slot_loads[slot];
             counts[to] += 1.0;
             *owner = Some(to);
         }
-        let fair = view.fair();
+        let fair_load = view.fair_load();
         for _ in 0..self.owners.len() {
             let relative = |it: &usize| loads[*it] / weight(*it);
-            let busiest = view.able().max_by(|a, b| relative(a).total_cmp(&relative(b)));
-            let (Some(from), Some(to)) = (busiest, idlest(&loads, &counts)) else { break };
-            if relative(&from) <= EVEN * fair {
+            let busiest =
+                view.available_members().max_by(|a, b| relative(a).total_cmp(&relative(b)));
+            let (Some(from), Some(to)) = (busiest, least_loaded(&loads, &counts)) else { break };
+            if relative(&from) <= BALANCED_BELOW * fair_load {
                 break;
             }
             let gap = loads[from] - loads[to] * weight(from) / weight(to);
@@ -77,8 +79,8 @@
                 self.owners[*it] == Some(from) && slot_loads[*it] > 0.0 && slot_loads[*it] < gap
             };
             let all = (0..self.owners.len()).filter(fits);
-            let off = |it: &usize| (slot_loads[*it] - gap / 2.0).abs();
-            let Some(slot) = all.min_by(|a, b| off(a).total_cmp(&off(b))) else { break };
+            let distance = |it: &usize| (slot_loads[*it] - gap / 2.0).abs();
+            let Some(slot) = all.min_by(|a, b| distance(a).total_cmp(&distance(b))) else { break };
             loads[from] -= slot_loads[slot];
             loads[to] += slot_loads[slot];
             self.owners[slot] = Some(to);
--- a/xtask/src/bench/ownership/policy/mod.rs
+++ b/xtask/src/bench/ownership/policy/mod.rs
@@ -23,7 +23,7 @@
     fn loss_write_s(&self) -> f64;
 
     /// New owners for the keys of members that were lost.
-    fn lose(&mut self, view: &View<'_>) -> Vec<Option<usize>>;
+    fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>>;
 
     /// The owners from now on; called once a second.
     fn plan(&mut self, view: &View<'_>) -> Vec<Option<usize>>;
--- a/xtask/src/bench/ownership/policy/planned.rs
+++ b/xtask/src/bench/ownership/policy/planned.rs
@@ -14,11 +14,11 @@
 use super::{Policy, UnitId, View, Workload};
 
 /// How long a slot that has moved for the sake of balance stays.
-const SETTLED_S: u64 = 10;
+const MIN_STAY_S: u64 = 10;
 /// Keys that each member reports.
 const REPORTED_KEYS: usize = 16;
 /// What one moved key takes of the budget, in slots; as the planner counts it.
-const KEY_COST: f64 = 0.05;
+const KEY_COST_RATIO: f64 = 0.05;
 
 pub(super) struct Planned {
     name: &'static str,
@@ -115,19 +115,19 @@
         }
     }
 
-    fn take(&mut self, view: &View<'_>, keys: &mut [PlannerKey], it: &Move) {
+    fn apply_move(&mut self, view: &View<'_>, keys: &mut [PlannerKey], it: &Move) {
         let slots = self.slots.len() as f64;
         let cost = match it.unit {
             MoveUnit::Slot(slot) => {
                 let slot = &mut self.slots[usize::from(slot.0)];
                 slot.owner = it.to;
-                slot.movable_from = now(view) + Duration::from_secs(SETTLED_S);
+                slot.movable_from = now(view) + Duration::from_secs(MIN_STAY_S);
                 1.0
             }
             MoveUnit::Key(hash) => {
                 let key = keys.iter_mut().find(|it| it.key_hash == hash);
                 key.expect("only known keys move").owner = it.to;
-                KEY_COST
+                KEY_COST_RATIO
             }
         };
         if it.reason == MoveReason::Rebalance {
@@ -167,7 +167,7 @@
         0.0
     }
 
-    fn lose(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
+    fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
         let is_able = |it: u16| view.members[usize::from(it)].weight > 0.0;
         let slots = self.slots.iter_mut().map(|it| (&mut it.owner, &it.successors));
         let keys = self.entries.iter_mut().map(|it| (&mut it.owner, &it.successors));
@@ -184,10 +184,10 @@
         let proposal = propose(&input);
         let mut keys = input.keys;
         for it in &proposal.moves {
-            self.take(view, &mut keys, it);
+            self.apply_move(view, &mut keys, it);
         }
-        let former = self.slots.iter().map(|it| &it.successors);
-        let changed = former.zip(&proposal.successors).filter(|(a, b)| a != b).count();
+        let previous = self.slots.iter().map(|it| &it.successors);
+        let changed = previous.zip(&proposal.successors).filter(|(a, b)| a != b).count();
         self.plans_written += u32::from(changed > 0 || !proposal.moves.is_empty());
         for (slot, successors) in self.slots.iter_mut().zip(proposal.successors) {
             slot.successors = successors;
--- a/xtask/src/bench/ownership/policy/rendezvous.rs
+++ b/xtask/src/bench/ownership/policy/rendezvous.rs
@@ -32,7 +32,7 @@
         0.0
     }
 
-    fn lose(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
+    fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
         self.plan(view)
     }
 
--- a/xtask/src/bench/ownership/report.rs
+++ b/xtask/src/bench/ownership/report.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::{bound::Least, policy::BASELINES, workload::Workload};
+use super::{bound::MinimalMoves, policy::BASELINES, workload::Workload};
 
 /// Busiest over mean that is aimed at.
 const IMBALANCE_GOAL: f64 = 1.15;
@@ -26,7 +26,7 @@
         let title =
             |it: &WorkloadReport| format!("{}, {} s, {} keys", it.workload, it.seconds, it.keys);
         let workload = |it: &WorkloadReport| {
-            let rows = it.policies.iter().map(Measured::table_row);
+            let rows = it.policies.iter().map(PolicyResult::table_row);
             [title(it), HEADER.to_owned()].into_iter().chain(rows).collect::<Vec<_>>()
         };
         self.workloads.iter().flat_map(workload).collect()
@@ -43,7 +43,7 @@
     pub(crate) slots: u16,
     /// No placement of whole keys reaches the goal in this workload.
     pub(crate) has_key_over_fair_share: bool,
-    pub(crate) policies: Vec<Measured>,
+    pub(crate) policies: Vec<PolicyResult>,
     pub(crate) goals: Goals,
 }
 
@@ -71,7 +71,7 @@
 /// One policy on one workload.
 #[derive(Debug)]
 #[derive(Serialize)]
-pub(crate) struct Measured {
+pub(crate) struct PolicyResult {
     pub(crate) policy: &'static str,
     pub(crate) imbalance_mean: f64,
     pub(crate) imbalance_p99: f64,
@@ -99,9 +99,9 @@
     imbalances: Vec<f64>,
 }
 
-impl Measured {
-    pub(super) fn new(policy: &'static str) -> Measured {
-        Measured {
+impl PolicyResult {
+    pub(super) fn new(policy: &'static str) -> PolicyResult {
+        PolicyResult {
             policy,
             imbalance_mean: 0.0,
             imbalance_p99: 0.0,
@@ -121,24 +121,24 @@
         }
     }
 
-    pub(super) fn second(&mut self, imbalance: f64, overloaded_key_s: f64, entries: usize) {
+    pub(super) fn record_second(&mut self, imbalance: f64, overloaded_key_s: f64, entries: usize) {
         self.imbalances.push(imbalance);
         self.overloaded_key_s += overloaded_key_s;
         self.entries_max = self.entries_max.max(entries);
     }
 
-    pub(super) fn churn(&mut self, share: f64, least: Least) {
+    pub(super) fn record_churn(&mut self, share: f64, least: MinimalMoves) {
         assert!(share >= least.by_key - 1e-9, "{share} moved, below the least: {least:?}");
         self.churn_per_minute += share;
         self.least_churn_per_minute += least.by_key;
         self.least_unit_churn_per_minute += least.by_unit;
     }
 
-    pub(super) fn loss_moves(&mut self, share: f64) {
+    pub(super) fn record_loss_moves(&mut self, share: f64) {
         self.moved_per_loss += share;
     }
 
-    pub(super) fn unavailable(&mut self, key_s: f64, longest_s: f64) {
+    pub(super) fn record_unavailable(&mut self, key_s: f64, longest_s: f64) {
         self.unavailable_key_s += key_s;
         self.unavailable_longest_ms = self.unavailable_longest_ms.max(longest_s * 1000.0);
     }
@@ -177,7 +177,7 @@
 }
 
 impl WorkloadReport {
-    pub(super) fn new(workload: &Workload, policies: Vec<Measured>) -> WorkloadReport {
+    pub(super) fn new(workload: &Workload, policies: Vec<PolicyResult>) -> WorkloadReport {
         let goals = Goals::new(&policies);
         WorkloadReport {
             workload: workload.name,
@@ -192,9 +192,9 @@
 }
 
 impl Goals {
-    fn new(policies: &[Measured]) -> Goals {
+    fn new(policies: &[PolicyResult]) -> Goals {
         let (own, others) = policies.split_first().expect("there are policies");
-        let against = |it: &Measured| Comparison {
+        let against = |it: &PolicyResult| Comparison {
             baseline: it.policy,
             imbalance: own.imbalance_mean <= it.imbalance_mean,
             churn: own.churn_per_minute <= it.churn_per_minute,
--- a/xtask/src/bench/ownership/tests.rs
+++ b/xtask/src/bench/ownership/tests.rs
@@ -6,7 +6,7 @@
     bound::{least_moved, single_keys},
     measure::Run,
     policy,
-    report::Measured,
+    report::PolicyResult,
     view::{View, ViewMember, imbalance},
     workload::{self, Workload},
 };
@@ -18,7 +18,7 @@
     workload
 }
 
-fn run(workload: &Workload) -> Vec<Measured> {
+fn run(workload: &Workload) -> Vec<PolicyResult> {
     policy::all(workload).into_iter().map(|it| Run::new(workload, it, 3).run()).collect()
 }
 
--- a/xtask/src/bench/ownership/view.rs
+++ b/xtask/src/bench/ownership/view.rs
@@ -23,7 +23,7 @@
 }
 
 impl View<'_> {
-    pub(super) fn able(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn available_members(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.members.len()).filter(|it| self.members[*it].weight > 0.0)
     }
 
@@ -32,8 +32,8 @@
     }
 
     /// The load of a member of weight 1 if all were even.
-    pub(super) fn fair(&self) -> f64 {
-        fair(self.members, self.loads_us_per_s)
+    pub(super) fn fair_load(&self) -> f64 {
+        fair_load(self.members, self.loads_us_per_s)
     }
 }
 
@@ -47,14 +47,14 @@
     sums
 }
 
-pub(super) fn fair(members: &[ViewMember], loads: &[f64]) -> f64 {
+pub(super) fn fair_load(members: &[ViewMember], loads: &[f64]) -> f64 {
     loads.iter().sum::<f64>() / members.iter().map(|it| it.weight).sum::<f64>()
 }
 
 /// Busiest over mean, each load over its member's weight.
 pub(super) fn imbalance(members: &[ViewMember], owners: &[Option<usize>], loads: &[f64]) -> f64 {
-    let fair = fair(members, loads);
+    let fair_load = fair_load(members, loads);
     let sums = member_loads(members.len(), owners, loads);
-    let able = members.iter().zip(sums).filter(|(it, _)| it.weight > 0.0);
-    able.map(|(it, sum)| sum / (it.weight * fair)).fold(0.0, f64::max)
+    let available_members = members.iter().zip(sums).filter(|(it, _)| it.weight > 0.0);
+    available_members.map(|(it, sum)| sum / (it.weight * fair_load)).fold(0.0, f64::max)
 }
--- a/xtask/src/bench/ownership/workload.rs
+++ b/xtask/src/bench/ownership/workload.rs
@@ -8,29 +8,29 @@
 /// Upstream time that one member has, in microseconds a second: 12 slots.
 pub(super) const CAPACITY_US_PER_S: f64 = 12e6;
 /// Share of the fleet's capacity that the callers ask for.
-const USED: f64 = 0.65;
+const UTILISATION: f64 = 0.65;
 /// How long a new member takes to get its full weight.
 const WARM_UP_S: u32 = 30;
-const RUN_S: u32 = 900;
+const DURATION_S: u32 = 900;
 
 /// How a member's life ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum EndReason {
     Leave,
     Loss,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct MemberLife {
+pub(super) struct MemberLifetime {
     pub(super) zone: Zone,
     pub(super) from_s: u32,
-    pub(super) end: Option<(u32, End)>,
+    pub(super) end: Option<(u32, EndReason)>,
 }
 
-impl MemberLife {
-    fn new(index: usize, from_s: u32, end: Option<(u32, End)>) -> MemberLife {
+impl MemberLifetime {
+    fn new(index: usize, from_s: u32, end: Option<(u32, EndReason)>) -> MemberLifetime {
         let zone = Zone::new(ZONES[index % ZONES.len()]).expect("zones have proper names");
-        MemberLife { zone, from_s, end }
+        MemberLifetime { zone, from_s, end }
     }
 
     /// Its weight at a second: 0 while it is not there, rising while it warms up.
@@ -47,7 +47,7 @@
 
 /// A share of all load that lies on a few keys for some time.
 #[derive(Debug, Clone)]
-struct Heat {
+struct HotPeriod {
     from_s: u32,
     until_s: u32,
     keys: Vec<usize>,
@@ -62,10 +62,10 @@
     pub(super) seconds: u32,
     pub(super) keys: Vec<KeyHash>,
     pub(super) slot_count: SlotCount,
-    pub(super) members: Vec<MemberLife>,
+    pub(super) members: Vec<MemberLifetime>,
     /// The share of the load that each key has, heat apart.
     base: Vec<f64>,
-    heats: Vec<Heat>,
+    hot_periods: Vec<HotPeriod>,
     /// No load before this second.
     start_s: u32,
     total_us_per_s: f64,
@@ -86,14 +86,14 @@
         base.iter_mut().for_each(|it| *it /= sum);
         Workload {
             name,
-            seconds: RUN_S,
+            seconds: DURATION_S,
             keys: (0..keys).map(|it| key_hash(format!("key-{it}").as_bytes())).collect(),
             slot_count: SlotCount::new(slots).expect("a proper number of slots"),
-            members: (0..members).map(|it| MemberLife::new(it, 0, None)).collect(),
+            members: (0..members).map(|it| MemberLifetime::new(it, 0, None)).collect(),
             base,
-            heats: Vec::new(),
+            hot_periods: Vec::new(),
             start_s: 0,
-            total_us_per_s: USED * CAPACITY_US_PER_S * members as f64,
+            total_us_per_s: UTILISATION * CAPACITY_US_PER_S * members as f64,
         }
     }
 
@@ -102,13 +102,13 @@
         if second < self.start_s {
             return vec![0.0; self.keys.len()];
         }
-        let hot = self.heats.iter().filter(|it| (it.from_s..it.until_s).contains(&second));
-        let hot: Vec<&Heat> = hot.collect();
+        let hot = self.hot_periods.iter().filter(|it| (it.from_s..it.until_s).contains(&second));
+        let hot: Vec<&HotPeriod> = hot.collect();
         let rest = 1.0 - hot.iter().map(|it| it.share).sum::<f64>();
         let mut shares: Vec<f64> = self.base.iter().map(|it| it * rest).collect();
-        for heat in hot {
-            for key in &heat.keys {
-                shares[*key] += heat.share / heat.keys.len() as f64;
+        for add_hot_periods in hot {
+            for key in &add_hot_periods.keys {
+                shares[*key] += add_hot_periods.share / add_hot_periods.keys.len() as f64;
             }
         }
         shares.into_iter().map(|it| it * self.total_us_per_s).collect()
@@ -119,16 +119,16 @@
         (0..self.seconds).any(|second| {
             let loads = self.loads_us_per_s(second);
             let weights: f64 = self.members.iter().map(|it| it.weight(second)).sum();
-            let fair = loads.iter().sum::<f64>() / weights;
-            loads.iter().any(|it| *it > fair)
+            let fair_load = loads.iter().sum::<f64>() / weights;
+            loads.iter().any(|it| *it > fair_load)
         })
     }
 
     /// Heats of equal length, one after another, each on other keys.
-    fn heat(&mut self, rng: &mut impl Rng, each_s: u32, keys: usize, share: f64) {
+    fn add_hot_periods(&mut self, rng: &mut impl Rng, each_s: u32, keys: usize, share: f64) {
         for from_s in (0..self.seconds).step_by(each_s as usize) {
             let keys = (0..keys).map(|_| rng.random_range(0..self.keys.len())).collect();
-            self.heats.push(Heat { from_s, until_s: from_s + each_s, keys, share });
+            self.hot_periods.push(HotPeriod { from_s, until_s: from_s + each_s, keys, share });
         }
     }
 }
@@ -138,18 +138,18 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let rng = &mut rng;
     let mut leader = Workload::new("one car leads a heat", rng, 4, 2000, 96);
-    leader.heat(rng, 180, 1, 0.15);
+    leader.add_hot_periods(rng, 180, 1, 0.15);
     let mut house = Workload::new("one house all afternoon", rng, 5, 4000, 96);
     let keys = vec![rng.random_range(0..house.keys.len())];
-    house.heats.push(Heat { from_s: 60, until_s: RUN_S, keys, share: 0.30 });
+    house.hot_periods.push(HotPeriod { from_s: 60, until_s: DURATION_S, keys, share: 0.30 });
     let mut rush = Workload::new("the whole field starts in one second", rng, 4, 2000, 96);
     rush.start_s = 60;
     let mut fleet = Workload::new("servers join and leave", rng, 6, 4000, 96);
-    fleet.members[1].end = Some((120, End::Loss));
-    fleet.members[4].end = Some((360, End::Leave));
-    fleet.members.push(MemberLife::new(1, 240, Some((720, End::Loss))));
-    fleet.members.push(MemberLife::new(4, 480, None));
+    fleet.members[1].end = Some((120, EndReason::Loss));
+    fleet.members[4].end = Some((360, EndReason::Leave));
+    fleet.members.push(MemberLifetime::new(1, 240, Some((720, EndReason::Loss))));
+    fleet.members.push(MemberLifetime::new(4, 480, None));
     let mut hot = Workload::new("the hot set changes in minutes", rng, 24, 20_000, 480);
-    hot.heat(rng, 180, 32, 0.40);
+    hot.add_hot_periods(rng, 180, 32, 0.40);
     vec![leader, house, rush, fleet, hot]
 }
--- a/xtask/src/bench/path/caller.rs
+++ b/xtask/src/bench/path/caller.rs
@@ -8,7 +8,7 @@
 use crate::cluster::{Binaries, Process, RunDir};
 
 /// Beyond its duration, how long a load may take to end.
-const END_TIMEOUT: Duration = Duration::from_secs(30);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A load of `standin-caller`.
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
     /// 0: each caller waits for its answer.
     pub(super) requests_per_s: f64,
     pub(super) duration: Duration,
-    pub(super) direct: bool,
+    pub(super) is_direct: bool,
     pub(super) seed: u64,
 }
 
@@ -45,11 +45,11 @@
         let mut arguments: Vec<String> =
             flags.into_iter().flat_map(|(name, it)| [name.to_owned(), it]).collect();
         arguments.push("--no-resend".to_owned());
-        if self.direct {
+        if self.is_direct {
             arguments.push("--direct".to_owned());
         }
         let process = Process::spawn(name, &binaries.caller, &arguments, dir)?;
-        let status = process.wait(self.duration + END_TIMEOUT).await?;
+        let status = process.wait(self.duration + EXIT_TIMEOUT).await?;
         anyhow::ensure!(status.success(), "the callers {name} ended with {status}");
         let path = dir.file(&format!("{name}.log"));
         let log = std::fs::read_to_string(path).with_context(|| format!("the log of {name}"))?;
--- a/xtask/src/bench/path/cases.rs
+++ b/xtask/src/bench/path/cases.rs
@@ -15,13 +15,13 @@
 const ROUTE: &str = "GET:/lapboard/results:repeat:1";
 const STEADY_REQUESTS_PER_S: f64 = 2_100.0;
 const STEADY_CALLERS: usize = 50;
-const STEADY: Duration = Duration::from_secs(5);
-const WARM_MARGIN: Duration = Duration::from_millis(500);
-const PEAK: Duration = Duration::from_secs(3);
-const PEAK_CALLERS: [usize; 4] = [16, 32, 64, 100];
+const STEADY_DURATION: Duration = Duration::from_secs(5);
+const WARMUP_MARGIN: Duration = Duration::from_millis(500);
+const PEAK_DURATION: Duration = Duration::from_secs(3);
+const PEAK_CALLER_COUNTS: [usize; 4] = [16, 32, 64, 100];
 const OPEN_CALLERS: usize = 1_000;
-const UPSTREAMS: [usize; 4] = [1, 2, 4, 8];
-const RUSH: Duration = Duration::from_secs(4);
+const UPSTREAM_COUNTS: [usize; 4] = [1, 2, 4, 8];
+const RUSH_DURATION: Duration = Duration::from_secs(4);
 const RUSH_FACTORS: [f64; 3] = [1.0, 2.0, 3.0];
 const RUSH_CALLERS: usize = 500;
 /// Mean time of a request in the rush: with 12 slots, about 2,000 requests a second.
@@ -48,7 +48,7 @@
 /// What one load came to, and what it cost the agent that took it.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
-pub(super) struct Measured {
+pub(super) struct LoadResult {
     summary: LoadSummary,
     answered_per_s: f64,
     agent_cpu_us_each: f64,
@@ -67,20 +67,20 @@
         let cluster = Cluster::start(&specs, binaries, options.seed).await?;
         cluster.wait_until_serving().await?;
         // New upstreams are given their full share after a while only.
-        sleep(cluster.services[0].document.upstream.warmup + WARM_MARGIN).await;
+        sleep(cluster.services[0].document.upstream.warmup + WARMUP_MARGIN).await;
         Ok(Bench { cluster, binaries, seed: options.seed })
     }
 
     async fn measure(
         &self,
         name: &str,
-        direct: bool,
+        is_direct: bool,
         callers: usize,
         requests_per_s: f64,
         duration: Duration,
-    ) -> anyhow::Result<Measured> {
+    ) -> anyhow::Result<LoadResult> {
         let instance = &self.cluster.instances[0];
-        let target = if direct { instance.upstream_address } else { instance.caller };
+        let target = if is_direct { instance.upstream_address } else { instance.caller };
         let load = CallerLoad {
             targets: vec![target],
             service: "lapboard".to_owned(),
@@ -88,7 +88,7 @@
             callers,
             requests_per_s,
             duration,
-            direct,
+            is_direct,
             seed: self.seed,
         };
         let agent = instance.agent()?.pid();
@@ -96,7 +96,7 @@
         let before = (Usage::read(agent)?, Usage::read(upstream)?);
         let summary = load.run(name, self.binaries, &self.cluster.dir).await?;
         let after = (Usage::read(agent)?, Usage::read(upstream)?);
-        Ok(Measured {
+        Ok(LoadResult {
             answered_per_s: summary.answered_per_s(),
             agent_cpu_us_each: after.0.cpu_us_each_since(before.0, summary.requests),
             agent_memory_kb: after.0.memory_kb,
@@ -130,8 +130,9 @@
         for is_direct in [true, false] {
             let name = format!("steady-{turn}-{is_direct}");
             let callers = STEADY_CALLERS;
-            let measured =
-                bench.measure(&name, is_direct, callers, STEADY_REQUESTS_PER_S, STEADY).await?;
+            let measured = bench
+                .measure(&name, is_direct, callers, STEADY_REQUESTS_PER_S, STEADY_DURATION)
+                .await?;
             ensure_all_answered(&measured.summary)?;
             match is_direct {
                 true => direct.push(measured.summary.latency),
@@ -180,16 +181,16 @@
 struct PeakPoint {
     callers: usize,
     #[serde(flatten)]
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn peak(binaries: &Binaries, options: &BenchOptions) -> anyhow::Result<Peak> {
     let bench = Bench::start(binaries, options, 1, 0.0).await?;
     let (mut direct, mut agent) = (Vec::new(), Vec::new());
-    for callers in PEAK_CALLERS {
+    for callers in PEAK_CALLER_COUNTS {
         for is_direct in [true, false] {
             let name = format!("peak-{callers}-{is_direct}");
-            let measured = bench.measure(&name, is_direct, callers, 0.0, PEAK).await?;
+            let measured = bench.measure(&name, is_direct, callers, 0.0, PEAK_DURATION).await?;
             let point = PeakPoint { callers, measured };
             if is_direct { direct.push(point) } else { agent.push(point) }
         }
@@ -203,25 +204,26 @@
 /// What many callers that stay connected cost an agent.
 #[derive(Debug)]
 #[derive(Serialize)]
-pub(super) struct Members {
+pub(super) struct OpenCallers {
     callers: usize,
     memory_before_kb: u64,
     memory_after_kb: u64,
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn open_callers(
     binaries: &Binaries,
     options: &BenchOptions,
-) -> anyhow::Result<Members> {
+) -> anyhow::Result<OpenCallers> {
     let bench = Bench::start(binaries, options, 1, 0.0).await?;
     let agent = bench.cluster.instances[0].agent()?.pid();
     let memory_before_kb = Usage::read(agent)?.memory_kb;
     let callers = OPEN_CALLERS;
-    let measured =
-        bench.measure("open-callers", false, callers, STEADY_REQUESTS_PER_S, STEADY).await?;
+    let measured = bench
+        .measure("open-callers", false, callers, STEADY_REQUESTS_PER_S, STEADY_DURATION)
+        .await?;
     let memory_after_kb = measured.agent_memory_kb;
-    Ok(Members { callers, memory_before_kb, memory_after_kb, measured })
+    Ok(OpenCallers { callers, memory_before_kb, memory_after_kb, measured })
 }
 
 /// The same rate through one agent in front of more and more upstreams.
@@ -229,7 +231,7 @@
 #[derive(Serialize)]
 pub(super) struct Scaling {
     upstreams: usize,
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn scaling(
@@ -237,11 +239,12 @@
     options: &BenchOptions,
 ) -> anyhow::Result<Vec<Scaling>> {
     let mut points = Vec::new();
-    for upstreams in UPSTREAMS {
+    for upstreams in UPSTREAM_COUNTS {
         let bench = Bench::start(binaries, options, upstreams, 1.0).await?;
         let name = format!("scaling-{upstreams}");
-        let measured =
-            bench.measure(&name, false, STEADY_CALLERS, STEADY_REQUESTS_PER_S, STEADY).await?;
+        let measured = bench
+            .measure(&name, false, STEADY_CALLERS, STEADY_REQUESTS_PER_S, STEADY_DURATION)
+            .await?;
         points.push(Scaling { upstreams, measured });
     }
     Ok(points)
@@ -255,19 +258,20 @@
     capacity_per_s: f64,
     /// Answered a second, over the capacity.
     goodput: f64,
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn rush(binaries: &Binaries, options: &BenchOptions) -> anyhow::Result<Vec<Rush>> {
     let bench = Bench::start(binaries, options, 1, RUSH_SERVICE_MS).await?;
     // As many callers as slots, each waiting for its answer, keep the upstream just busy.
     let slots = bench.cluster.services[0].document.upstream.slots as usize;
-    let capacity_per_s = bench.measure("capacity", true, slots, 0.0, PEAK).await?.answered_per_s;
+    let capacity_per_s =
+        bench.measure("capacity", true, slots, 0.0, PEAK_DURATION).await?.answered_per_s;
     let mut points = Vec::new();
     for factor in RUSH_FACTORS {
         let name = format!("rush-{factor}");
         let rate = capacity_per_s * factor;
-        let measured = bench.measure(&name, false, RUSH_CALLERS, rate, RUSH).await?;
+        let measured = bench.measure(&name, false, RUSH_CALLERS, rate, RUSH_DURATION).await?;
         let goodput = measured.answered_per_s / capacity_per_s;
         points.push(Rush { factor, capacity_per_s, goodput, measured });
     }
--- a/xtask/src/bench/path/mod.rs
+++ b/xtask/src/bench/path/mod.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use self::cases::{Latencies, Members, Peak, Rush, Scaling};
+use self::cases::{Latencies, OpenCallers, Peak, Rush, Scaling};
 use super::BenchOptions;
 use crate::{
     cluster::{Binaries, Profile},
@@ -19,7 +19,7 @@
 pub(crate) struct PathReport {
     latency: Option<Latencies>,
     peak: Option<Peak>,
-    open_callers: Option<Members>,
+    open_callers: Option<OpenCallers>,
     scaling: Vec<Scaling>,
     rush: Vec<Rush>,
 }
--- a/xtask/src/bench/process_usage.rs
+++ b/xtask/src/bench/process_usage.rs
@@ -8,7 +8,7 @@
 use super::machine::field_kb;
 
 /// Linux counts the time of processes in hundredths of a second for its users.
-const TICK: Duration = Duration::from_millis(10);
+const CLOCK_TICK: Duration = Duration::from_millis(10);
 
 /// What a process has used since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).with_context(step)?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).with_context(step)?;
         let ticks = cpu_ticks(&stat).with_context(step)?;
-        Ok(Usage { cpu: TICK * ticks, memory_kb: field_kb(&status, "VmRSS:") })
+        Ok(Usage { cpu: CLOCK_TICK * ticks, memory_kb: field_kb(&status, "VmRSS:") })
     }
 
     /// Processor time since an earlier reading, in microseconds for each of `count`.
@@ -51,8 +51,8 @@
 ) -> BTreeMap<String, f64> {
     let counted = after.iter().filter(|(kind, _)| *kind != "watches_waiting");
     let rate = |(kind, count): (&String, &f64)| {
-        let former = before.get(kind).copied().unwrap_or_default();
-        (kind.clone(), (count - former) / passed.as_secs_f64())
+        let previous = before.get(kind).copied().unwrap_or_default();
+        (kind.clone(), (count - previous) / passed.as_secs_f64())
     };
     counted.map(rate).collect()
 }
--- a/xtask/src/bench/rest.rs
+++ b/xtask/src/bench/rest.rs
@@ -16,8 +16,8 @@
 };
 
 /// Time for plans, witnesses and statuses to come to rest.
-const SETTLE: Duration = Duration::from_secs(8);
-const MEASURED: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+const MEASURE_WINDOW: Duration = Duration::from_secs(20);
 
 /// One kind of agent at rest.
 #[derive(Debug)]
@@ -52,23 +52,23 @@
     let binaries = Binaries::build(Profile::Release)?;
     let cluster = Cluster::start(SERVICES, &binaries, seed).await?;
     cluster.wait_until_serving().await?;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let usages: Vec<Usage> = cluster.instances.iter().map(usage).collect::<Result<_, _>>()?;
     let counts = cluster.platform_counts().await?;
-    sleep(MEASURED).await;
+    sleep(MEASURE_WINDOW).await;
     let after = cluster.platform_counts().await?;
     let mut readings = Vec::new();
     for (instance, before) in cluster.instances.iter().zip(usages) {
         let now = usage(instance)?;
         readings.push(Reading {
             role: role(&cluster, instance).await?,
-            cpu_us_per_s: now.cpu_us_each_since(before, 1) / MEASURED.as_secs_f64(),
+            cpu_us_per_s: now.cpu_us_each_since(before, 1) / MEASURE_WINDOW.as_secs_f64(),
             memory_kb: now.memory_kb as f64,
         });
     }
     let report = RestReport {
         roles: ["coordinator", "member"].map(|it| row(it, &readings)).into(),
-        platform_calls_per_s: rates(&counts, &after, MEASURED),
+        platform_calls_per_s: rates(&counts, &after, MEASURE_WINDOW),
         watches_waiting: after.get("watches_waiting").copied().unwrap_or_default(),
         groups: cluster.services.len(),
     };
@@ -88,16 +88,16 @@
 async fn role(cluster: &Cluster, instance: &Instance) -> anyhow::Result<&'static str> {
     let object = cluster.read_object(&format!("coordinators/{}/0", instance.service)).await?;
     let object: serde_json::Value = serde_json::from_str(&object).context("a coordinator")?;
-    let holds = object["holder"]["name"] == instance.name.as_str();
-    Ok(if holds { "coordinator" } else { "member" })
+    let is_holder = object["holder"]["name"] == instance.name.as_str();
+    Ok(if is_holder { "coordinator" } else { "member" })
 }
 
 fn row(role: &'static str, readings: &[Reading]) -> RestRow {
-    let own = || readings.iter().filter(|it| it.role == role);
+    let with_role = || readings.iter().filter(|it| it.role == role);
     RestRow {
         role,
-        agents: own().count(),
-        cpu_us_per_s: Spread::new(own().map(|it| it.cpu_us_per_s)),
-        memory_kb: Spread::new(own().map(|it| it.memory_kb)),
+        agents: with_role().count(),
+        cpu_us_per_s: Spread::new(with_role().map(|it| it.cpu_us_per_s)),
+        memory_kb: Spread::new(with_role().map(|it| it.memory_kb)),
     }
 }
--- a/xtask/src/bench/slopes/cases.rs
+++ b/xtask/src/bench/slopes/cases.rs
@@ -9,10 +9,10 @@
 };
 
 /// Virtual time until a group is at rest, and over which it is measured then.
-const SETTLE: Duration = Duration::from_secs(60);
-const MEASURE: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(60);
+const MEASURE_WINDOW: Duration = Duration::from_secs(20);
 
-const USUAL: GroupSize = GroupSize { members: 8, slots: 96, hot_keys: 0 };
+const DEFAULT_SIZE: GroupSize = GroupSize { members: 8, slots: 96, hot_keys: 0 };
 
 /// Groups that differ in one size.
 pub(super) struct Series {
@@ -25,22 +25,22 @@
     Series {
         against: "members",
         sizes: &[4, 8, 12, 16, 24, 32],
-        group: |members| GroupSize { members, ..USUAL },
+        group: |members| GroupSize { members, ..DEFAULT_SIZE },
     },
     Series {
         against: "slots",
         sizes: &[64, 128, 256, 512, 1024],
-        group: |slots| GroupSize { slots: slots as u16, ..USUAL },
+        group: |slots| GroupSize { slots: slots as u16, ..DEFAULT_SIZE },
     },
     Series {
         against: "hot_keys",
         sizes: &[0, 4, 8, 16, 32],
-        group: |hot_keys| GroupSize { hot_keys, ..USUAL },
+        group: |hot_keys| GroupSize { hot_keys, ..DEFAULT_SIZE },
     },
 ];
 
 /// One group at rest.
-struct AtRest {
+struct IdleGroup {
     coordinator: NodeCost,
     /// The mean of all others.
     member: NodeCost,
@@ -48,7 +48,7 @@
     hot_key_entries: usize,
 }
 
-type Quantity = (&'static str, fn(&AtRest) -> f64);
+type Quantity = (&'static str, fn(&IdleGroup) -> f64);
 
 const QUANTITIES: &[Quantity] = &[
     ("coordinator_cpu_us_per_s", |it| cpu_us_per_s(&it.coordinator)),
@@ -67,28 +67,31 @@
 
 impl Series {
     pub(super) fn measure(&self, seed: u64) -> Vec<Slope> {
-        let groups: Vec<(usize, AtRest)> =
-            self.sizes.iter().map(|it| (*it, at_rest((self.group)(*it), seed))).collect();
+        let groups: Vec<(usize, IdleGroup)> = self
+            .sizes
+            .iter()
+            .map(|it| (*it, measure_idle_group((self.group)(*it), seed)))
+            .collect();
         QUANTITIES
             .iter()
             .map(|(quantity, value)| {
                 let point =
-                    |(size, group): &(usize, AtRest)| Point { x: *size as f64, y: value(group) };
+                    |(size, group): &(usize, IdleGroup)| Point { x: *size as f64, y: value(group) };
                 Slope::new(self.against, quantity, groups.iter().map(point).collect())
             })
             .collect()
     }
 }
 
-fn at_rest(size: GroupSize, seed: u64) -> AtRest {
+fn measure_idle_group(size: GroupSize, seed: u64) -> IdleGroup {
     let mut group = Group::new(size, seed);
-    group.run(SETTLE);
-    group.clear_costs();
-    group.run(MEASURE);
+    group.run(SETTLE_TIME);
+    group.reset_costs();
+    group.run(MEASURE_WINDOW);
     let coordinator = group.coordinator().unwrap_or(0);
     let members: Vec<NodeCost> =
         (0..size.members).filter(|it| *it != coordinator).map(|it| group.cost(it)).collect();
-    AtRest {
+    IdleGroup {
         coordinator: group.cost(coordinator),
         member: mean(&members),
         plan_bytes: group.plan_bytes(),
@@ -111,11 +114,11 @@
 }
 
 fn per_s(count: u64) -> f64 {
-    count as f64 / MEASURE.as_secs_f64()
+    count as f64 / MEASURE_WINDOW.as_secs_f64()
 }
 
 fn cpu_us_per_s(cost: &NodeCost) -> f64 {
-    cost.cpu.as_secs_f64() * 1e6 / MEASURE.as_secs_f64()
+    cost.cpu.as_secs_f64() * 1e6 / MEASURE_WINDOW.as_secs_f64()
 }
 
 fn messages_per_s(cost: &NodeCost) -> f64 {
@@ -127,5 +130,5 @@
 }
 
 fn codec_cpu_us_per_s(cost: &NodeCost) -> f64 {
-    cost.codec_cpu.as_secs_f64() * 1e6 / MEASURE.as_secs_f64()
+    cost.codec_cpu.as_secs_f64() * 1e6 / MEASURE_WINDOW.as_secs_f64()
 }
--- a/xtask/src/bench/slopes/frames.rs
+++ b/xtask/src/bench/slopes/frames.rs
@@ -8,12 +8,13 @@
 
 use super::{Slope, fit::Point, group::thread_cpu, wire_size::HEADER_BYTES};
 
-const SIZES: [usize; 5] = [0, 1 << 10, 4 << 10, 16 << 10, 48 << 10];
-const ROUNDS: u32 = 4_000;
+const BODY_SIZES_BYTES: [usize; 5] = [0, 1 << 10, 4 << 10, 16 << 10, 48 << 10];
+const REPETITIONS: u32 = 4_000;
 
 /// Measures the size of frames and the time to encode and decode one.
 pub(super) fn measure() -> Vec<Slope> {
-    let frames: Vec<(usize, Frame)> = SIZES.iter().map(|it| (*it, request(*it))).collect();
+    let frames: Vec<(usize, Frame)> =
+        BODY_SIZES_BYTES.iter().map(|it| (*it, request(*it))).collect();
     let slope = |quantity, value: fn(&Frame) -> f64| {
         let points = frames.iter().map(|(size, it)| Point { x: *size as f64, y: value(it) });
         Slope::new("body_bytes", quantity, points.collect())
@@ -62,9 +63,9 @@
 
 fn cpu_us_each(mut work: impl FnMut()) -> f64 {
     let before = thread_cpu();
-    for _ in 0..ROUNDS {
+    for _ in 0..REPETITIONS {
         work();
     }
     let spent = thread_cpu().saturating_sub(before);
-    spent.as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    spent.as_secs_f64() * 1e6 / f64::from(REPETITIONS)
 }
--- a/xtask/src/bench/slopes/group.rs
+++ b/xtask/src/bench/slopes/group.rs
@@ -17,10 +17,10 @@
     PlatformReply, PlatformRequest, SlotLoad, UpstreamState,
 };
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const LINK_DELAY: Duration = Duration::from_millis(1);
 const PLATFORM_DELAY: Duration = Duration::from_millis(3);
-const LOAD_EVERY: Duration = Duration::from_millis(250);
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Upstream time spent on an ordinary slot, and on a hot key, in a second.
 const SLOT_LOAD_US_PER_S: u64 = 20_000;
 const HOT_KEY_LOAD_US_PER_S: u64 = 200_000;
@@ -109,9 +109,9 @@
         };
         for host in 0..size.members {
             // Nodes of different processes don't tick together.
-            let offset = TICK.mul_f64(host as f64 / size.members as f64);
+            let offset = TICK_INTERVAL.mul_f64(host as f64 / size.members as f64);
             group.schedule(offset, Event::Tick(host));
-            group.schedule(offset + LOAD_EVERY, Event::Load(host));
+            group.schedule(offset + LOAD_REPORT_INTERVAL, Event::Load(host));
             let input = Box::new(Input::Upstream(UpstreamState::Ready));
             group.schedule(offset, Event::Input { to: host, input });
         }
@@ -124,12 +124,12 @@
         while let Some(entry) = self.events.first_entry().filter(|it| it.key().0 < end) {
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    pub(crate) fn clear_costs(&mut self) {
+    pub(crate) fn reset_costs(&mut self) {
         for host in &mut self.hosts {
             host.cost = NodeCost::default();
         }
@@ -167,15 +167,15 @@
         self.events.insert((self.now + after, self.next_event), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick(host) => {
-                self.schedule(TICK, Event::Tick(host));
+                self.schedule(TICK_INTERVAL, Event::Tick(host));
                 self.step(host, Input::Tick);
             }
             Event::Load(host) => {
-                self.schedule(LOAD_EVERY, Event::Load(host));
-                let report = self.load_of(host);
+                self.schedule(LOAD_REPORT_INTERVAL, Event::Load(host));
+                let report = self.load_report(host);
                 self.step(host, Input::Load(report));
             }
             Event::Deliver { to, from, bytes } => self.receive(to, from, &bytes),
@@ -195,11 +195,11 @@
         let spent = self.spent_since(before);
         self.hosts[host].cost.cpu += spent;
         for output in out {
-            self.carry_out(host, output);
+            self.execute_output(host, output);
         }
     }
 
-    fn carry_out(&mut self, host: usize, output: Output) {
+    fn execute_output(&mut self, host: usize, output: Output) {
         match output {
             Output::Send { to, message } | Output::SendToAddress { to, message } => {
                 self.send(host, &to, message);
@@ -209,7 +209,7 @@
                 let request = Box::new(request);
                 self.schedule(PLATFORM_DELAY, Event::Call { from: host, call, request });
             }
-            Output::Gate(command) => self.obey(host, command),
+            Output::Gate(command) => self.execute_gate_command(host, command),
             Output::Event(_) | Output::Stopped => {}
         }
     }
@@ -221,7 +221,7 @@
         let cost = &mut self.hosts[from].cost;
         cost.codec_cpu += spent;
         cost.sent += 1;
-        cost.sent_bytes += wire_size::on_the_way(&bytes);
+        cost.sent_bytes += wire_size::bytes_on_wire(&bytes);
         if let Some(to) = self.hosts.iter().position(|it| it.instance == *to) {
             self.schedule(LINK_DELAY, Event::Deliver { to, from, bytes });
         }
@@ -234,7 +234,7 @@
         let cost = &mut self.hosts[to].cost;
         cost.codec_cpu += spent;
         cost.received += 1;
-        cost.received_bytes += wire_size::on_the_way(bytes);
+        cost.received_bytes += wire_size::bytes_on_wire(bytes);
         let from = self.hosts[from].instance.clone();
         self.step(to, Input::Message { from, message });
     }
@@ -243,7 +243,7 @@
         thread_cpu().saturating_sub(before).saturating_sub(self.clock_cost)
     }
 
-    fn obey(&mut self, host: usize, command: GateCommand) {
+    fn execute_gate_command(&mut self, host: usize, command: GateCommand) {
         let gate = &mut self.hosts[host];
         let done = match command {
             GateCommand::Lease { .. } | GateCommand::ExcludeKey { .. } => None,
@@ -280,8 +280,8 @@
         }
     }
 
-    fn load_of(&self, host: usize) -> LoadReport {
-        let share = |us_per_s: u64| us_per_s * LOAD_EVERY.as_millis() as u64 / 1_000;
+    fn load_report(&self, host: usize) -> LoadReport {
+        let share = |us_per_s: u64| us_per_s * LOAD_REPORT_INTERVAL.as_millis() as u64 / 1_000;
         let host = &self.hosts[host];
         let slot_count = self.size.slot_count();
         let holds = |key: &&KeyHash| {
@@ -299,7 +299,7 @@
             + keys.iter().map(|it| it.load_us).sum::<u64>();
         let load = |slot: Slot| SlotLoad { slot, load_us: share(SLOT_LOAD_US_PER_S), in_flight: 1 };
         LoadReport {
-            period_ms: LOAD_EVERY.as_millis() as u32,
+            period_ms: LOAD_REPORT_INTERVAL.as_millis() as u32,
             total_us,
             slots: slots.into_iter().take(REPORTED_SLOTS_MAX).map(load).collect(),
             keys,
--- a/xtask/src/bench/slopes/records.rs
+++ b/xtask/src/bench/slopes/records.rs
@@ -9,14 +9,14 @@
 use super::{Slope, fit::Point, group::thread_cpu};
 use crate::bench::process_usage::Usage;
 
-const COUNTS: [usize; 5] = [25_000, 50_000, 100_000, 200_000, 400_000];
+const RECORD_COUNTS: [usize; 5] = [25_000, 50_000, 100_000, 200_000, 400_000];
 const ANSWER_BYTES: usize = 256;
 const UNIT: RecordUnit = RecordUnit::Slot(Slot(0));
 
 #[derive(Debug, Clone)]
-struct KeptAnswer(Bytes);
+struct RecordedAnswer(Bytes);
 
-impl Answer for KeptAnswer {
+impl Answer for RecordedAnswer {
     fn size_bytes(&self) -> usize {
         self.0.len()
     }
@@ -27,8 +27,8 @@
 pub(super) fn measure() -> anyhow::Result<Vec<Slope>> {
     let (mut resident, mut counted, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     // Kept to the end, so that no table takes up memory that an earlier one has left.
-    let mut kept = Vec::new();
-    for count in COUNTS {
+    let mut filled_tables = Vec::new();
+    for count in RECORD_COUNTS {
         let x = count as f64;
         let memory_before_kb = own_memory_kb()?;
         let before = thread_cpu();
@@ -38,7 +38,7 @@
         resident.push(Point { x, y: memory_kb as f64 * 1024.0 });
         counted.push(Point { x, y: records.bytes(UNIT) as f64 });
         cpu.push(Point { x, y: spent.as_secs_f64() * 1e6 });
-        kept.push(records);
+        filled_tables.push(records);
     }
     Ok(vec![
         Slope::new("records", "resident_bytes_with_256_byte_answers", resident),
@@ -47,7 +47,7 @@
     ])
 }
 
-fn fill(count: usize) -> Records<KeptAnswer> {
+fn fill(count: usize) -> Records<RecordedAnswer> {
     let config = RecordsConfig {
         bytes_max: usize::MAX,
         retention: Duration::from_secs(3_600),
@@ -59,7 +59,7 @@
     for number in 0..count as u64 {
         let id = RequestId(u128::from(number) << 64 | u128::from(number.wrapping_mul(0x9e37)));
         records.begin(now, UNIT, KeyHash(number), id, Duration::ZERO);
-        let answer = KeptAnswer(Bytes::from(vec![0; ANSWER_BYTES]));
+        let answer = RecordedAnswer(Bytes::from(vec![0; ANSWER_BYTES]));
         records.finish(now, UNIT, id, answer);
     }
     records
--- a/xtask/src/bench/slopes/routes.rs
+++ b/xtask/src/bench/slopes/routes.rs
@@ -7,12 +7,12 @@
 };
 use wire::exchange::{Envelope, RouteMember, RouteOwner, RouteTable};
 
-use super::{Slope, fit::Point, wire_size::on_the_way};
+use super::{Slope, fit::Point, wire_size::bytes_on_wire};
 
-const MEMBERS: [u16; 5] = [4, 8, 16, 24, 32];
-const SLOTS: [u16; 5] = [64, 128, 256, 512, 1024];
-const USUAL_MEMBERS: u16 = 8;
-const USUAL_SLOTS: u16 = 96;
+const MEMBER_COUNTS: [u16; 5] = [4, 8, 16, 24, 32];
+const SLOT_COUNTS: [u16; 5] = [64, 128, 256, 512, 1024];
+const DEFAULT_MEMBERS: u16 = 8;
+const DEFAULT_SLOTS: u16 = 96;
 
 /// A refresh is one question and its answer; nothing has changed, or all has.
 pub(super) fn measure() -> Vec<Slope> {
@@ -21,32 +21,38 @@
         Slope::new(name, quantity, sizes.map(point).to_vec())
     };
     vec![
-        against("members", "route_refresh_unchanged_bytes", MEMBERS, |_| refresh_unchanged()),
-        against("members", "route_refresh_all_bytes", MEMBERS, |it| refresh_all(it, USUAL_SLOTS)),
-        against("slots", "route_refresh_all_bytes", SLOTS, |it| refresh_all(USUAL_MEMBERS, it)),
+        against("members", "route_refresh_unchanged_bytes", MEMBER_COUNTS, |_| {
+            refresh_unchanged_bytes()
+        }),
+        against("members", "route_refresh_all_bytes", MEMBER_COUNTS, |it| {
+            refresh_all_bytes(it, DEFAULT_SLOTS)
+        }),
+        against("slots", "route_refresh_all_bytes", SLOT_COUNTS, |it| {
+            refresh_all_bytes(DEFAULT_MEMBERS, it)
+        }),
     ]
 }
 
-fn refresh_all(members: u16, slots: u16) -> u64 {
-    refresh(Envelope::Routes(table(members, slots)))
+fn refresh_all_bytes(members: u16, slots: u16) -> u64 {
+    refresh_bytes(Envelope::Routes(route_table(members, slots)))
 }
 
-fn refresh_unchanged() -> u64 {
-    let RouteTable { service, version, config, .. } = table(USUAL_MEMBERS, USUAL_SLOTS);
-    refresh(Envelope::RoutesUnchanged { service, version, config })
+fn refresh_unchanged_bytes() -> u64 {
+    let RouteTable { service, version, config, .. } = route_table(DEFAULT_MEMBERS, DEFAULT_SLOTS);
+    refresh_bytes(Envelope::RoutesUnchanged { service, version, config })
 }
 
 /// Bytes of the question and the answer with all headers.
-fn refresh(answer: Envelope) -> u64 {
-    let question = Envelope::FetchRoutes { service: service(), known_version: 1 << 20 };
-    on_the_way(&question.encode()) + on_the_way(&answer.encode())
+fn refresh_bytes(answer: Envelope) -> u64 {
+    let query = Envelope::FetchRoutes { service: service(), known_version: 1 << 20 };
+    bytes_on_wire(&query.encode()) + bytes_on_wire(&answer.encode())
 }
 
 fn service() -> ServiceName {
     ServiceName::new("standings").expect("a valid name")
 }
 
-fn table(members: u16, slots: u16) -> RouteTable {
+fn route_table(members: u16, slots: u16) -> RouteTable {
     let owner = |slot: u16| RouteOwner {
         slot: Slot(slot),
         last: None,
@@ -58,7 +64,7 @@
         service: service(),
         config: ConfigVersion(1 << 16),
         version: 1 << 20,
-        slot_count: SlotCount::new(USUAL_SLOTS.max(slots)).expect("a valid count"),
+        slot_count: SlotCount::new(DEFAULT_SLOTS.max(slots)).expect("a valid count"),
         members: (0..members).map(member).collect(),
         owners: (0..slots).map(owner).collect(),
     }
--- a/xtask/src/bench/slopes/wire_size.rs
+++ b/xtask/src/bench/slopes/wire_size.rs
@@ -25,6 +25,6 @@
 }
 
 /// Bytes of a frame with all headers.
-pub(super) fn on_the_way(bytes: &[u8]) -> u64 {
+pub(super) fn bytes_on_wire(bytes: &[u8]) -> u64 {
     bytes.len() as u64 + HEADER_BYTES
 }
