--- a/crates/client/src/commands/apply.rs
+++ b/crates/client/src/commands/apply.rs
@@ -7,19 +7,19 @@
 
 use crate::{
     args::ApplyArgs,
-    base::{self, Based},
+    base::{self, SplitFile},
     commands::{read_file, wait},
     conflict::{Conflict, difference},
-    failure::Failure,
-    retry::{Store, Updated, decode},
+    error::CommandError,
+    retry::{RetryingStore, UpdateResult, decode},
     terminal::Terminal,
 };
 
 /// The version of a service that does not exist.
-const ABSENT: ObjectVersion = ObjectVersion(0);
+const ABSENT_VERSION: ObjectVersion = ObjectVersion(0);
 
 /// An edit, and what stands against it in the platform.
-struct Edit<'a> {
+struct EditedDocument<'a> {
     args: &'a ApplyArgs,
     document: ServiceDocument,
     text: &'a str,
@@ -29,68 +29,70 @@
 }
 
 pub(crate) async fn run(
-    store: &Store,
+    store: &RetryingStore,
     args: &ApplyArgs,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let file = read_file(&args.file)?;
-    let edit = Edit::prepare(store, args, &file).await?;
+    let edit = EditedDocument::prepare(store, args, &file).await?;
     let service = &edit.document.service;
     if edit.is_unchanged() {
         let version = edit.current_version();
-        terminal.line(&format!("{service}: version {version} is the same, nothing is written."));
-        return wait::unless(args, store, service, version, terminal).await;
+        terminal
+            .print_line(&format!("{service}: version {version} is the same, nothing is written."));
+        return wait::wait_unless_disabled(args, store, service, version, terminal).await;
     }
     if edit.base != edit.current_version() {
         return Err(edit.conflict());
     }
     let old = format!("{service}, version {}", edit.base);
-    terminal.difference(&difference((&old, &edit.current_text()), (&args.file, edit.text)));
+    terminal.print_diff(&difference((&old, &edit.current_text()), (&args.file, edit.text)));
     if args.dry_run {
-        terminal.line(&format!("{service}: nothing is written, as asked."));
+        terminal.print_line(&format!("{service}: nothing is written, as asked."));
         return Ok(());
     }
     let version = edit.write(store).await?;
-    terminal.line(&format!("{service}: version {version} is written."));
-    edit.remember(version)?;
-    wait::unless(args, store, service, version, terminal).await
+    terminal.print_line(&format!("{service}: version {version} is written."));
+    edit.record_base_version(version)?;
+    wait::wait_unless_disabled(args, store, service, version, terminal).await
 }
 
-impl<'a> Edit<'a> {
+impl<'a> EditedDocument<'a> {
     async fn prepare(
-        store: &Store,
+        store: &RetryingStore,
         args: &'a ApplyArgs,
         file: &'a str,
-    ) -> Result<Edit<'a>, Failure> {
-        let problems = |problems| Failure::Problems { file: args.file.clone(), problems };
+    ) -> Result<EditedDocument<'a>, CommandError> {
+        let problems = |problems| CommandError::InvalidFile { file: args.file.clone(), problems };
         let document = ServiceDocument::parse(file).map_err(problems)?;
-        let Based { document: text, base } = base::split(file);
+        let SplitFile { document: text, base } = base::split_base_line(file);
         let service = &document.service;
         if let Some(base) = base.as_ref().filter(|it| it.service != service.as_str()) {
             let message = format!(
                 "{} is based on {}, but its document is that of {service}",
                 args.file, base.service
             );
-            return Err(Failure::Usage(message));
+            return Err(CommandError::Usage(message));
         }
         let current = store.read(&service_path(service)).await?;
         let accepted = accepted(store, &accepted_path(service)).await?;
-        let former = accepted.as_ref().and_then(|it| ServiceDocument::parse(&it.document).ok());
-        if let Some(former) = &former {
-            ServiceDocument::parse_change(file, former).map_err(problems)?;
+        let previous = accepted.as_ref().and_then(|it| ServiceDocument::parse(&it.document).ok());
+        if let Some(previous) = &previous {
+            ServiceDocument::parse_change(file, previous).map_err(problems)?;
         }
-        let named = args.base.map(ObjectVersion).or(base.map(|it| it.version));
-        let mut edit = Edit { args, document, text, base: ABSENT, current, accepted };
-        edit.base = match named {
+        let requested = args.base.map(ObjectVersion).or(base.map(|it| it.version));
+        let mut edit =
+            EditedDocument { args, document, text, base: ABSENT_VERSION, current, accepted };
+        edit.base = match requested {
             Some(base) => base,
             None if edit.current.is_none() || edit.is_unchanged() => edit.current_version(),
-            None => return Err(edit.no_base()),
+            None => return Err(edit.missing_base_error()),
         };
         Ok(edit)
     }
 
     fn current_version(&self) -> ObjectVersion {
-        self.current.as_ref().map_or(ABSENT, |it| it.version)
+        self.current.as_ref().map_or(ABSENT_VERSION, |it| it.version)
     }
 
     fn current_text(&self) -> String {
@@ -102,39 +104,40 @@
         self.current.as_ref().is_some_and(|it| it.body == self.text.as_bytes())
     }
 
-    async fn write(&self, store: &Store) -> Result<ObjectVersion, Failure> {
+    async fn write(&self, store: &RetryingStore) -> Result<ObjectVersion, CommandError> {
         let path = service_path(&self.document.service);
         let body = Bytes::copy_from_slice(self.text.as_bytes());
         match store.update(&path, self.base, &body).await {
-            Ok(Updated::Done(version)) => Ok(version),
-            Err(Failure::Platform(error @ StoreError::Unavailable { .. })) => {
-                Err(Failure::Unsure(error))
+            Ok(UpdateResult::Written(version)) => Ok(version),
+            Err(CommandError::Platform(error @ StoreError::Unavailable { .. })) => {
+                Err(CommandError::UnknownEffect(error))
             }
             Err(failure) => Err(failure),
-            Ok(Updated::Conflict) => {
+            Ok(UpdateResult::Conflict) => {
                 let current = store.read(&path).await?;
-                let late = Edit {
+                let outdated = EditedDocument {
                     current,
                     document: self.document.clone(),
                     accepted: self.accepted.clone(),
                     ..*self
                 };
-                Err(late.conflict())
+                Err(outdated.conflict())
             }
         }
     }
 
     /// Notes the new version in the file, so that the next edit is based on it.
-    fn remember(&self, version: ObjectVersion) -> Result<(), Failure> {
+    fn record_base_version(&self, version: ObjectVersion) -> Result<(), CommandError> {
         if self.args.base.is_some() {
             return Ok(());
         }
         let path = &self.args.file;
-        let text = base::join(self.text, &self.document.service, version);
-        std::fs::write(path, text).map_err(|source| Failure::File { path: path.clone(), source })
+        let text = base::append_base_line(self.text, &self.document.service, version);
+        std::fs::write(path, text)
+            .map_err(|source| CommandError::FileAccess { path: path.clone(), source })
     }
 
-    fn conflict(&self) -> Failure {
+    fn conflict(&self) -> CommandError {
         let service = &self.document.service;
         if self.current.is_none() {
             let message = format!(
@@ -142,26 +145,26 @@
                  was written. To make it anew: pomelohill apply --base 0 {}",
                 self.base, self.args.file
             );
-            return Failure::Conflict(message);
+            return CommandError::Conflict(message);
         }
-        let of_base = |it: &&AcceptedDocument| it.version.0 == self.base.0;
+        let is_base = |it: &&AcceptedDocument| it.version.0 == self.base.0;
         let conflict = Conflict {
             service,
             file: &self.args.file,
-            mine: self.text,
+            edited_text: self.text,
             base: self.base,
-            base_text: self.accepted.as_ref().filter(of_base).map(|it| it.document.as_str()),
-            theirs: &self.current_text(),
+            base_text: self.accepted.as_ref().filter(is_base).map(|it| it.document.as_str()),
+            current_text: &self.current_text(),
             current: self.current_version(),
         };
-        Failure::Conflict(conflict.explain())
+        CommandError::Conflict(conflict.explain())
     }
 
-    fn no_base(&self) -> Failure {
+    fn missing_base_error(&self) -> CommandError {
         let service = &self.document.service;
         let current = self.current_version();
         let file = &self.args.file;
-        Failure::Conflict(format!(
+        CommandError::Conflict(format!(
             "{file} does not say on which version of {service} it is based, and the service has \
              version {current}. Nothing was written. Begin from the output of\n  pomelohill get \
              {service}\nor, if the file was made from version {current}, use\n  pomelohill apply \
@@ -170,7 +173,10 @@
     }
 }
 
-async fn accepted(store: &Store, path: &str) -> Result<Option<AcceptedDocument>, Failure> {
+async fn accepted(
+    store: &RetryingStore,
+    path: &str,
+) -> Result<Option<AcceptedDocument>, CommandError> {
     let object = store.read(path).await?;
     object.map(|it| decode(path, &it.body)).transpose()
 }
--- a/crates/client/src/commands/check.rs
+++ b/crates/client/src/commands/check.rs
@@ -2,12 +2,12 @@
 
 use settings::{AgentSettings, Problems, ServiceDocument};
 
-use crate::{args::CheckArgs, commands::read_file, failure::Failure, terminal::Terminal};
+use crate::{args::CheckArgs, commands::read_file, error::CommandError, terminal::Terminal};
 
-pub(crate) fn run(args: &CheckArgs, terminal: &Terminal) -> Result<(), Failure> {
+pub(crate) fn run(args: &CheckArgs, terminal: &Terminal) -> Result<(), CommandError> {
     let file = &args.file;
     let text = read_file(file)?;
-    let problems = |problems: Problems| Failure::Problems { file: file.clone(), problems };
+    let problems = |problems: Problems| CommandError::InvalidFile { file: file.clone(), problems };
     let summary = if args.agent {
         let settings = AgentSettings::parse(&text).map_err(problems)?;
         format!("agent {} of service {}", settings.instance, settings.service)
@@ -17,6 +17,6 @@
         let routes = document.routes.len();
         format!("service {} of team {}, {kind}, {routes} routes", document.service, document.team)
     };
-    terminal.line(&format!("{file}: {summary}: no problems."));
+    terminal.print_line(&format!("{file}: {summary}: no problems."));
     Ok(())
 }
--- a/crates/client/src/commands/explain.rs
+++ b/crates/client/src/commands/explain.rs
@@ -11,14 +11,14 @@
 use crate::{
     args::ExplainArgs,
     commands::service_name,
-    failure::Failure,
-    retry::{Store, decode},
-    table::{ago, now_unix_ms},
+    error::CommandError,
+    retry::{RetryingStore, decode},
+    table::{format_age, now_unix_ms},
     terminal::Terminal,
 };
 
 /// All that the platform holds on a key.
-struct Findings {
+struct KeyReport {
     service: ServiceName,
     key: String,
     hash: KeyHash,
@@ -29,39 +29,39 @@
 }
 
 pub(crate) async fn run(
-    store: &Store,
+    store: &RetryingStore,
     args: &ExplainArgs,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let service = service_name(&args.service)?;
     let document = document(store, &service).await?;
     if document.as_ref().is_some_and(|it| !it.1.keyed) {
-        terminal.line(&format!(
+        terminal.print_line(&format!(
             "{service} is not divided by key: any ready instance answers for {:?}.",
             args.key
         ));
         return Ok(());
     }
     let findings = findings(store, service, &args.key, document).await?;
-    findings.lines().iter().for_each(|it| terminal.line(it));
+    findings.lines().iter().for_each(|it| terminal.print_line(it));
     Ok(())
 }
 
 async fn document(
-    store: &Store,
+    store: &RetryingStore,
     service: &ServiceName,
-) -> Result<Option<(u64, ServiceDocument)>, Failure> {
+) -> Result<Option<(u64, ServiceDocument)>, CommandError> {
     let accepted: Option<AcceptedDocument> = object(store, &accepted_path(service)).await?;
     let parsed = accepted.map(|it| (it.version.0, ServiceDocument::parse(&it.document)));
     Ok(parsed.and_then(|(version, it)| Some((version, it.ok()?))))
 }
 
 async fn findings(
-    store: &Store,
+    store: &RetryingStore,
     service: ServiceName,
     key: &str,
     document: Option<(u64, ServiceDocument)>,
-) -> Result<Findings, Failure> {
+) -> Result<KeyReport, CommandError> {
     let plans = store.list(&format!("plans/{service}/")).await?;
     let mut found = None;
     for change in &plans.changes {
@@ -70,10 +70,10 @@
     }
     let Some(plan) = found else {
         let message = format!("no coordinator has written a plan of {service}");
-        return Err(Failure::NotFound(message));
+        return Err(CommandError::NotFound(message));
     };
     let group = plan.group;
-    Ok(Findings {
+    Ok(KeyReport {
         coordinator: object(store, &format!("coordinators/{service}/{group}")).await?,
         status: object(store, &status_path(&service, group)).await?,
         key: key.to_owned(),
@@ -84,12 +84,15 @@
     })
 }
 
-async fn object<T: DeserializeOwned>(store: &Store, path: &str) -> Result<Option<T>, Failure> {
+async fn object<T: DeserializeOwned>(
+    store: &RetryingStore,
+    path: &str,
+) -> Result<Option<T>, CommandError> {
     let object = store.read(path).await?;
     object.map(|it| decode(path, &it.body)).transpose()
 }
 
-impl Findings {
+impl KeyReport {
     fn slot(&self) -> Slot {
         self.plan.slot_count.slot_of(self.hash)
     }
@@ -113,8 +116,9 @@
         let (owner, successors, is_hot) = self.owners();
         let hot = if is_hot { ", a hot key with an entry of its own" } else { "" };
         let (plan, slot) = (&self.plan, self.slot());
-        let owner = owner.and_then(|it| self.member(it)).map_or("none".to_owned(), named);
-        let successors = successors.iter().filter_map(|it| self.member(*it)).map(named);
+        let owner =
+            owner.and_then(|it| self.member(it)).map_or("none".to_owned(), describe_instance);
+        let successors = successors.iter().filter_map(|it| self.member(*it)).map(describe_instance);
         let successors: Vec<String> = successors.collect();
         vec![
             format!("key          {:?}, hash {:016x}{hot}", self.key, self.hash.0),
@@ -124,13 +128,13 @@
                 self.service,
                 plan.group
             ),
-            format!("owner        {}", self.granted().unwrap_or("not known".to_owned())),
+            format!("owner        {}", self.granted_owner().unwrap_or("not known".to_owned())),
             format!("planned      {owner}, by plan {} of term {}", plan.version, plan.term),
             format!("successors   {}", join_or_none(&successors)),
             format!("lease        {}", self.lease()),
             format!("token        {}", self.token()),
             format!("why          {}", self.reason()),
-            format!("coordinator  {}", self.coordination()),
+            format!("coordinator  {}", self.describe_coordinator()),
         ]
     }
 
@@ -155,7 +159,7 @@
     }
 
     /// Who holds the slot, or the hot key, by the status.
-    fn granted(&self) -> Option<String> {
+    fn granted_owner(&self) -> Option<String> {
         let status = self.status.as_ref()?;
         let hot = status.hot_keys.iter().find(|it| it.key_hash == self.hash);
         if let Some(owner) = hot.and_then(|it| it.owner.as_ref()) {
@@ -176,8 +180,13 @@
     fn reason(&self) -> String {
         match (self.last_move(), &self.status) {
             (Some(it), _) => {
-                let when = ago(it.at_unix_ms, now_unix_ms());
-                format!("slot {} went to {} {when}: {}", it.slot, it.to, meaning(&it.reason))
+                let when = format_age(it.at_unix_ms, now_unix_ms());
+                format!(
+                    "slot {} went to {} {when}: {}",
+                    it.slot,
+                    it.to,
+                    describe_move_reason(&it.reason)
+                )
             }
             (None, Some(status)) => {
                 format!("slot {} is not among the last {} moves", self.slot(), status.moves.len())
@@ -186,19 +195,19 @@
         }
     }
 
-    fn coordination(&self) -> String {
+    fn describe_coordinator(&self) -> String {
         let Some(it) = &self.coordinator else { return "none".to_owned() };
         let settled = if it.settled { "settled" } else { "not settled yet" };
         let confirmed = match it.confirmation {
             Confirmation::Witnesses => format!("{} witnesses", it.witnesses.len()),
             Confirmation::Platform => "the platform".to_owned(),
         };
-        let holder = it.holder.as_ref().map_or("none".to_owned(), named);
+        let holder = it.holder.as_ref().map_or("none".to_owned(), describe_instance);
         format!("{holder}, term {}, {settled}, confirmed by {confirmed}", it.term)
     }
 }
 
-fn named(instance: &Instance) -> String {
+fn describe_instance(instance: &Instance) -> String {
     format!("{} ({})", instance.name, instance.zone)
 }
 
@@ -210,7 +219,7 @@
 }
 
 /// What a reason of a move says.
-fn meaning(reason: &str) -> &str {
+fn describe_move_reason(reason: &str) -> &str {
     match reason {
         "first" => "nobody had owned it",
         "loss" => "the former owner was lost",
--- a/crates/client/src/commands/explain_request.rs
+++ b/crates/client/src/commands/explain_request.rs
@@ -7,63 +7,67 @@
 
 use crate::{
     args::ExplainRequestArgs,
-    failure::Failure,
-    log_lines::{Found, LogLine, read_log},
+    error::CommandError,
+    log_lines::{LogLine, ScanResult, read_log},
     terminal::Terminal,
 };
 
 /// The target of lines about requests.
-const REQUESTS: &str = "requests";
+const REQUESTS_TARGET: &str = "requests";
 /// The final answer, as the instance writes it that the caller is connected to.
-const ENDED: &str = "Ended.";
+const ENDED_MESSAGE: &str = "Ended.";
 /// What the gate beside the upstream replied.
-const AT_GATE: &str = "The gate replied.";
+const GATE_REPLIED_MESSAGE: &str = "The gate replied.";
 /// The caller went away.
-const LEFT: &str = "The caller left.";
+const CALLER_LEFT_MESSAGE: &str = "The caller left.";
 /// The request went nowhere.
-const REFUSED: &str = "Refused.";
+const REFUSED_MESSAGE: &str = "Refused.";
 /// The most lines about the instances themselves: more than fit on a screen tell no story.
-const CONTEXT_MAX: usize = 40;
+const CONTEXT_LINES_MAX: usize = 40;
 
-pub(crate) fn run(args: &ExplainRequestArgs, terminal: &Terminal) -> Result<(), Failure> {
+pub(crate) fn run(args: &ExplainRequestArgs, terminal: &Terminal) -> Result<(), CommandError> {
     if args.files.is_empty() {
-        return Err(Failure::Usage("no log is named; see pomelohill --help".to_owned()));
+        return Err(CommandError::Usage("no log is named; see pomelohill --help".to_owned()));
     }
     let id = id(&args.id)?;
-    let found = read_all(&args.files, |it| it.target == REQUESTS && it.text("id") == id)?;
+    let found = read_all(&args.files, |it| it.target == REQUESTS_TARGET && it.text("id") == id)?;
     if found.unreadable > 0 {
-        terminal.progress(&format!("{} lines are no lines of an agent's log", found.unreadable));
+        terminal
+            .print_progress(&format!("{} lines are no lines of an agent's log", found.unreadable));
     }
     let (Some(first), Some(last)) = (found.lines.first(), found.lines.last()) else {
         let message = format!(
             "no line about request {id}: it went well (such are told at log level \
              \"info,requests=debug\"), was left out by the rate bound, or went to other instances"
         );
-        return Err(Failure::NotFound(message));
+        return Err(CommandError::NotFound(message));
     };
-    found.lines.iter().for_each(|it| terminal.line(&line(it)));
-    terminal.line(&format!("\nCause: {}", cause(&found.lines)));
+    found.lines.iter().for_each(|it| terminal.print_line(&line(it)));
+    terminal.print_line(&format!("\nCause: {}", cause(&found.lines)));
     let context = context(args, &found.lines, first.at, last.at)?;
     if context.is_empty() {
         return Ok(());
     }
-    terminal.line(&format!("\nWithin {} s, on the instances concerned:", args.around_s));
-    context.iter().take(CONTEXT_MAX).for_each(|it| terminal.line(&line(it)));
-    if context.len() > CONTEXT_MAX {
-        terminal.line(&format!("and {} more", context.len() - CONTEXT_MAX));
+    terminal.print_line(&format!("\nWithin {} s, on the instances concerned:", args.around_s));
+    context.iter().take(CONTEXT_LINES_MAX).for_each(|it| terminal.print_line(&line(it)));
+    if context.len() > CONTEXT_LINES_MAX {
+        terminal.print_line(&format!("and {} more", context.len() - CONTEXT_LINES_MAX));
     }
     Ok(())
 }
 
 /// The id as logs have it: lower case, with leading zeros.
-fn id(text: &str) -> Result<String, Failure> {
+fn id(text: &str) -> Result<String, CommandError> {
     let number = u128::from_str_radix(text, 16);
-    let number = number.map_err(|_| Failure::Usage(format!("{text:?} is not hexadecimal")))?;
+    let number = number.map_err(|_| CommandError::Usage(format!("{text:?} is not hexadecimal")))?;
     Ok(format!("{number:016x}"))
 }
 
-fn read_all(files: &[String], wanted: impl Fn(&LogLine) -> bool) -> Result<Found, Failure> {
-    let mut all = Found::default();
+fn read_all(
+    files: &[String],
+    wanted: impl Fn(&LogLine) -> bool,
+) -> Result<ScanResult, CommandError> {
+    let mut all = ScanResult::default();
     for file in files {
         all.extend(read_log(file, &wanted)?);
     }
@@ -73,18 +77,20 @@
 /// What the instances that had to do with the request decided about the same time.
 fn context(
     args: &ExplainRequestArgs,
-    about: &[LogLine],
+    request_lines: &[LogLine],
     first: Timestamp,
     last: Timestamp,
-) -> Result<Vec<LogLine>, Failure> {
+) -> Result<Vec<LogLine>, CommandError> {
     let around = SignedDuration::from_secs(i64::try_from(args.around_s).unwrap_or(i64::MAX));
     let (from, to) = (first.saturating_sub(around), last.saturating_add(around));
     let (Ok(from), Ok(to)) = (from, to) else { return Ok(Vec::new()) };
     let mut instances: BTreeSet<Arc<str>> =
-        about.iter().map(|it| Arc::clone(&it.instance)).collect();
-    instances.extend(about.iter().map(|it| Arc::from(instance_of(it))));
+        request_lines.iter().map(|it| Arc::clone(&it.instance)).collect();
+    instances.extend(request_lines.iter().map(|it| Arc::from(instance_of(it))));
     let wanted = |it: &LogLine| {
-        it.target != REQUESTS && instances.contains(&it.instance) && (from..=to).contains(&it.at)
+        it.target != REQUESTS_TARGET
+            && instances.contains(&it.instance)
+            && (from..=to).contains(&it.at)
     };
     Ok(read_all(&args.files, wanted)?.lines)
 }
@@ -112,17 +118,18 @@
 
 /// What the lines come to, in a sentence or two.
 fn cause(lines: &[LogLine]) -> String {
-    let last_with = |message: &str| lines.iter().rev().find(|it| it.message == message);
-    let gate = last_with(AT_GATE);
-    if let Some(ended) = last_with(ENDED) {
-        let asked_last =
-            |it: &&LogLine| it.message == AT_GATE && *it.instance == *instance_of(ended);
-        return cause_of_end(ended, lines.iter().rev().find(asked_last));
+    let last_line_with = |message: &str| lines.iter().rev().find(|it| it.message == message);
+    let gate = last_line_with(GATE_REPLIED_MESSAGE);
+    if let Some(ended) = last_line_with(ENDED_MESSAGE) {
+        let is_last_gate_reply = |it: &&LogLine| {
+            it.message == GATE_REPLIED_MESSAGE && *it.instance == *instance_of(ended)
+        };
+        return cause_of_final_answer(ended, lines.iter().rev().find(is_last_gate_reply));
     }
-    if let Some(refused) = last_with(REFUSED) {
+    if let Some(refused) = last_line_with(REFUSED_MESSAGE) {
         return format!("it was sent nowhere: {}.", refused.text("reason"));
     }
-    match (last_with(LEFT), gate) {
+    match (last_line_with(CALLER_LEFT_MESSAGE), gate) {
         (Some(left), _) => format!(
             "the caller went away after {} ms; it had last been sent to {}.",
             left.number("spent_ms"),
@@ -137,7 +144,7 @@
     }
 }
 
-fn cause_of_end(ended: &LogLine, gate: Option<&LogLine>) -> String {
+fn cause_of_final_answer(ended: &LogLine, gate: Option<&LogLine>) -> String {
     let (outcome, reason) = match ended.text("outcome").split_once("; reason=") {
         Some((outcome, reason)) => (outcome, reason),
         None => (ended.text("outcome"), ""),
@@ -146,7 +153,7 @@
     let spent_ms = ended.number("spent_ms");
     match (outcome, reason) {
         ("answered", _) if ended.fields.get("is_late") == Some(&Value::Bool(true)) => {
-            late(ended, gate)
+            cause_of_late_answer(ended, gate)
         }
         ("answered", _) => {
             format!("it was answered, status {}, after {spent_ms} ms.", ended.text("status"))
@@ -202,7 +209,7 @@
     }
 }
 
-fn late(ended: &LogLine, gate: Option<&LogLine>) -> String {
+fn cause_of_late_answer(ended: &LogLine, gate: Option<&LogLine>) -> String {
     let spent_ms = ended.number("spent_ms");
     let tries = ended.number("tries");
     let sent_to = ended.text("sent_to");
--- a/crates/client/src/commands/get.rs
+++ b/crates/client/src/commands/get.rs
@@ -3,21 +3,21 @@
 use settings::service_path;
 
 use crate::{
-    args::ServiceArgs, base, commands::service_name, failure::Failure, retry::Store,
+    args::ServiceArgs, base, commands::service_name, error::CommandError, retry::RetryingStore,
     terminal::Terminal,
 };
 
 pub(crate) async fn run(
-    store: &Store,
+    store: &RetryingStore,
     args: &ServiceArgs,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let service = service_name(&args.service)?;
     let path = service_path(&service);
     let Some(object) = store.read(&path).await? else {
-        return Err(Failure::NotFound(format!("there is no service {service}")));
+        return Err(CommandError::NotFound(format!("there is no service {service}")));
     };
     let text = String::from_utf8_lossy(&object.body);
-    terminal.raw(&base::join(&text, &service, object.version));
+    terminal.print_raw(&base::append_base_line(&text, &service, object.version));
     Ok(())
 }
--- a/crates/client/src/commands/mod.rs
+++ b/crates/client/src/commands/mod.rs
@@ -14,7 +14,7 @@
 
 use model::ServiceName;
 
-use crate::{args::Command, failure::Failure, retry::Store, terminal::Terminal};
+use crate::{args::Command, error::CommandError, retry::RetryingStore, terminal::Terminal};
 
 /// Names the platform's address if the command line does not.
 const PLATFORM_VARIABLE: &str = "POMELOHILL_PLATFORM";
@@ -23,7 +23,7 @@
     platform: Option<String>,
     command: Command,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     match command {
         Command::Check(args) => check::run(&args, terminal),
         Command::Apply(args) => apply::run(&store(platform)?, &args, terminal).await,
@@ -36,24 +36,25 @@
     }
 }
 
-fn store(platform: Option<String>) -> Result<Store, Failure> {
+fn store(platform: Option<String>) -> Result<RetryingStore, CommandError> {
     let given = platform.or_else(|| env::var(PLATFORM_VARIABLE).ok());
     let Some(text) = given else {
         let message =
             format!("no platform is named: use --platform IP:PORT or {PLATFORM_VARIABLE}");
-        return Err(Failure::Usage(message));
+        return Err(CommandError::Usage(message));
     };
-    let address: SocketAddr = text
-        .parse()
-        .map_err(|_| Failure::Usage(format!("{text:?} is no IP:PORT; names are not looked up")))?;
-    Store::new(address)
+    let address: SocketAddr = text.parse().map_err(|_| {
+        CommandError::Usage(format!("{text:?} is no IP:PORT; names are not looked up"))
+    })?;
+    RetryingStore::new(address)
 }
 
-fn service_name(text: &str) -> Result<ServiceName, Failure> {
+fn service_name(text: &str) -> Result<ServiceName, CommandError> {
     ServiceName::new(text)
-        .map_err(|error| Failure::Usage(format!("{text:?} is no name of a service: {error}")))
+        .map_err(|error| CommandError::Usage(format!("{text:?} is no name of a service: {error}")))
 }
 
-fn read_file(path: &str) -> Result<String, Failure> {
-    std::fs::read_to_string(path).map_err(|source| Failure::File { path: path.to_owned(), source })
+fn read_file(path: &str) -> Result<String, CommandError> {
+    std::fs::read_to_string(path)
+        .map_err(|source| CommandError::FileAccess { path: path.to_owned(), source })
 }
--- a/crates/client/src/commands/status.rs
+++ b/crates/client/src/commands/status.rs
@@ -5,17 +5,17 @@
 
 use crate::{
     args::StatusArgs,
-    commands::{service_name, wait::merge},
-    failure::Failure,
-    retry::Store,
-    table::{Table, ago, now_unix_ms},
+    commands::{service_name, wait::apply_changes},
+    error::CommandError,
+    retry::RetryingStore,
+    table::{Table, format_age, now_unix_ms},
     terminal::Terminal,
 };
 
 /// How many moves a table shows; `--json` prints all that the status holds.
-const MOVES_SHOWN: usize = 10;
+const MOVES_SHOWN_MAX: usize = 10;
 
-const ALL_PREFIX: &str = "status/";
+const STATUS_PREFIX: &str = "status/";
 
 /// What `--json` prints.
 #[derive(Serialize)]
@@ -24,32 +24,32 @@
 }
 
 pub(crate) async fn run(
-    store: &Store,
+    store: &RetryingStore,
     args: &StatusArgs,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let prefix = match &args.service {
         Some(service) => status_prefix(&service_name(service)?),
-        None => ALL_PREFIX.to_owned(),
+        None => STATUS_PREFIX.to_owned(),
     };
     let mut statuses = Vec::new();
-    merge(&mut statuses, store.list(&prefix).await?.changes)?;
+    apply_changes(&mut statuses, store.list(&prefix).await?.changes)?;
     statuses.sort_by(|a, b| a.0.cmp(&b.0));
     let groups: Vec<&GroupStatus> = statuses.iter().map(|it| &it.1).collect();
     match &args.service {
         Some(service) if groups.is_empty() => {
             let message = format!("no coordinator has written a status of {service}");
-            return Err(Failure::NotFound(message));
+            return Err(CommandError::NotFound(message));
         }
         _ if args.json => {
             let report = serde_json::to_string(&Report { groups }).unwrap_or_default();
-            terminal.line(&report);
+            terminal.print_line(&report);
         }
         Some(_) => {
-            terminal.line(&overview(&groups));
-            groups.iter().for_each(|it| terminal.line(&details(it)));
+            terminal.print_line(&overview(&groups));
+            groups.iter().for_each(|it| terminal.print_line(&details(it)));
         }
-        None => terminal.line(&overview(&groups)),
+        None => terminal.print_line(&overview(&groups)),
     }
     Ok(())
 }
@@ -69,7 +69,7 @@
     let now = now_unix_ms();
     for status in groups {
         let coordinator = &status.coordinator;
-        table.row(&[
+        table.add_row(&[
             status.service.to_string(),
             status.group.to_string(),
             accepted(status),
@@ -78,7 +78,7 @@
             format!("{:.2}", status.measures.imbalance),
             format!("{:.1} %", status.measures.churn_per_minute * 100.0),
             format!("{} ms", status.measures.unavailable_ms_max),
-            ago(status.written_at_unix_ms, now),
+            format_age(status.written_at_unix_ms, now),
         ]);
     }
     table.render()
@@ -91,7 +91,9 @@
 fn in_force(status: &GroupStatus) -> String {
     let it = status.in_force;
     match it.since_unix_ms {
-        Some(since) => format!("{} of {}, {}", it.instances, it.of, ago(since, now_unix_ms())),
+        Some(since) => {
+            format!("{} of {}, {}", it.instances, it.of, format_age(since, now_unix_ms()))
+        }
         None => format!("{} of {}", it.instances, it.of),
     }
 }
@@ -121,7 +123,7 @@
     let mut table = Table::new(&["INSTANCE", "ZONE", "UPSTREAM", "SLOTS", "LOAD", "VERSION"]);
     for upstream in &status.upstreams {
         let owner = status.owners.iter().find(|it| it.instance == upstream.instance);
-        table.row(&[
+        table.add_row(&[
             upstream.instance.to_string(),
             upstream.zone.to_string(),
             state(upstream.state).to_owned(),
@@ -137,7 +139,7 @@
     let mut table = Table::new(&["HOT KEY", "OWNER"]);
     for key in &status.hot_keys {
         let owner = key.owner.as_ref();
-        table.row(&[
+        table.add_row(&[
             format!("{:016x}", key.key_hash.0),
             owner.map_or("that of its slot".to_owned(), |it| it.to_string()),
         ]);
@@ -148,9 +150,9 @@
 fn moves(status: &GroupStatus) -> String {
     let mut table = Table::new(&["MOVED", "SLOT", "TO", "TOKEN", "WHY"]);
     let now = now_unix_ms();
-    for it in status.moves.iter().take(MOVES_SHOWN) {
-        table.row(&[
-            ago(it.at_unix_ms, now),
+    for it in status.moves.iter().take(MOVES_SHOWN_MAX) {
+        table.add_row(&[
+            format_age(it.at_unix_ms, now),
             it.slot.to_string(),
             it.to.to_string(),
             it.token.to_string(),
--- a/crates/client/src/commands/wait.rs
+++ b/crates/client/src/commands/wait.rs
@@ -9,24 +9,24 @@
 
 use crate::{
     args::ApplyArgs,
-    failure::Failure,
-    retry::{Store, decode},
+    error::CommandError,
+    retry::{RetryingStore, decode},
     terminal::Terminal,
 };
 
 /// How far a version has come.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Reached {
+pub(crate) enum Progress {
     /// The status has not been looked at yet.
-    Unseen,
+    StatusUnread,
     /// Nothing is known: no coordinator has written a status.
     NoStatus,
     NotAccepted,
-    Partly {
+    InForceOnSome {
         instances: u32,
         of: u32,
     },
-    Everywhere {
+    InForceOnAll {
         of: u32,
     },
     Refused {
@@ -35,75 +35,80 @@
 }
 
 /// Waits, unless the command line says not to.
-pub(crate) async fn unless(
+pub(crate) async fn wait_unless_disabled(
     args: &ApplyArgs,
-    store: &Store,
+    store: &RetryingStore,
     service: &ServiceName,
     version: ObjectVersion,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     if args.no_wait || args.dry_run {
         return Ok(());
     }
-    let limit = Duration::from_secs(args.timeout_s);
-    in_force(store, service, version, limit, terminal).await
+    let wait_max = Duration::from_secs(args.timeout_s);
+    wait_until_in_force(store, service, version, wait_max, terminal).await
 }
 
-async fn in_force(
-    store: &Store,
+async fn wait_until_in_force(
+    store: &RetryingStore,
     service: &ServiceName,
     version: ObjectVersion,
-    limit: Duration,
+    wait_max: Duration,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let started = Instant::now();
     let mut follower = store.follow(&status_prefix(service));
     let mut statuses = Vec::new();
-    let mut state = Reached::Unseen;
-    // The first look is taken whatever the limit.
-    let mut news = Ok(follower.next().await);
+    let mut state = Progress::StatusUnread;
+    // The first look is taken whatever the wait_max.
+    let mut update = Ok(follower.next().await);
     loop {
-        match news {
-            Ok(Ok(changes)) => merge(&mut statuses, changes)?,
+        match update {
+            Ok(Ok(changes)) => apply_changes(&mut statuses, changes)?,
             Ok(Err(error @ StoreError::Refused { .. })) => return Err(error.into()),
             Ok(Err(error)) => {
-                terminal.progress(&format!("{service}: {error}"));
-                news = timeout_at(started + limit, follower.next()).await;
+                terminal.print_progress(&format!("{service}: {error}"));
+                update = timeout_at(started + wait_max, follower.next()).await;
                 continue;
             }
             Err(_) => {
-                let waited_s = limit.as_secs();
-                return Err(Failure::NotInForce { version, waited_s, state: describe(&state) });
+                let waited_s = wait_max.as_secs();
+                return Err(CommandError::NotInForce {
+                    version,
+                    waited_s,
+                    state: describe(&state),
+                });
             }
         }
-        let former = state;
-        state = reached(statuses.iter().map(|it| &it.1), ConfigVersion(version.0));
+        let previous = state;
+        state = progress_of(statuses.iter().map(|it| &it.1), ConfigVersion(version.0));
         match &state {
-            same if *same == former => {}
-            Reached::Refused { reasons } => {
-                return Err(Failure::Refused { version, reasons: reasons.clone() });
+            same if *same == previous => {}
+            Progress::Refused { reasons } => {
+                return Err(CommandError::Refused { version, reasons: reasons.clone() });
             }
-            Reached::Everywhere { of } => {
+            Progress::InForceOnAll { of } => {
                 let waited_ms = started.elapsed().as_millis();
-                terminal.line(&format!(
+                terminal.print_line(&format!(
                     "{service}: version {version} is in force on {of} of {of} instances, seen \
                      after {waited_ms} ms."
                 ));
                 return Ok(());
             }
             other => {
-                terminal.progress(&format!("{service}: version {version}: {}", describe(other)));
+                terminal
+                    .print_progress(&format!("{service}: version {version}: {}", describe(other)));
             }
         }
-        news = timeout_at(started + limit, follower.next()).await;
+        update = timeout_at(started + wait_max, follower.next()).await;
     }
 }
 
 /// Takes what has changed into the statuses that are known.
-pub(crate) fn merge(
+pub(crate) fn apply_changes(
     statuses: &mut Vec<(String, GroupStatus)>,
     changes: Vec<Change>,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     for change in changes {
         statuses.retain(|it| it.0 != change.path);
         if let Some(body) = change.body {
@@ -115,37 +120,39 @@
 }
 
 /// How far a version has come, by the statuses of all groups.
-pub(crate) fn reached<'a>(
+pub(crate) fn progress_of<'a>(
     statuses: impl Iterator<Item = &'a GroupStatus>,
     version: ConfigVersion,
-) -> Reached {
+) -> Progress {
     let statuses: Vec<&GroupStatus> = statuses.collect();
     let refused = statuses.iter().filter_map(|it| it.refused.as_ref());
     if let Some(refused) = refused.clone().find(|it| it.version == version) {
-        return Reached::Refused { reasons: refused.reasons.clone() };
+        return Progress::Refused { reasons: refused.reasons.clone() };
     }
     if statuses.is_empty() {
-        return Reached::NoStatus;
+        return Progress::NoStatus;
     }
     if statuses.iter().all(|it| it.accepted.is_none_or(|it| it < version)) {
-        return Reached::NotAccepted;
+        return Progress::NotAccepted;
     }
     let of = statuses.iter().map(|it| it.in_force.of).sum();
-    let has_it = |it: &&&GroupStatus| it.accepted.is_some_and(|it| it >= version);
-    let instances = statuses.iter().filter(has_it).map(|it| it.in_force.instances).sum();
+    let has_accepted = |it: &&&GroupStatus| it.accepted.is_some_and(|it| it >= version);
+    let instances = statuses.iter().filter(has_accepted).map(|it| it.in_force.instances).sum();
     match of > 0 && instances == of {
-        true => Reached::Everywhere { of },
-        false => Reached::Partly { instances, of },
+        true => Progress::InForceOnAll { of },
+        false => Progress::InForceOnSome { instances, of },
     }
 }
 
-fn describe(state: &Reached) -> String {
+fn describe(state: &Progress) -> String {
     match state {
-        Reached::Unseen => "the status could not be read".to_owned(),
-        Reached::NoStatus => "no coordinator has written a status".to_owned(),
-        Reached::NotAccepted => "not accepted yet".to_owned(),
-        Reached::Partly { instances, of } => format!("in force on {instances} of {of} instances"),
-        Reached::Everywhere { of } => format!("in force on all {of} instances"),
-        Reached::Refused { reasons } => format!("refused: {}", reasons.join(" ")),
+        Progress::StatusUnread => "the status could not be read".to_owned(),
+        Progress::NoStatus => "no coordinator has written a status".to_owned(),
+        Progress::NotAccepted => "not accepted yet".to_owned(),
+        Progress::InForceOnSome { instances, of } => {
+            format!("in force on {instances} of {of} instances")
+        }
+        Progress::InForceOnAll { of } => format!("in force on all {of} instances"),
+        Progress::Refused { reasons } => format!("refused: {}", reasons.join(" ")),
     }
 }
--- a/crates/client/src/commands/watch.rs
+++ b/crates/client/src/commands/watch.rs
@@ -6,16 +6,16 @@
 use crate::{
     args::WatchArgs,
     commands::service_name,
-    failure::Failure,
-    retry::{Store, decode},
+    error::CommandError,
+    retry::{RetryingStore, decode},
     terminal::Terminal,
 };
 
 pub(crate) async fn run(
-    store: &Store,
+    store: &RetryingStore,
     args: &WatchArgs,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let service = service_name(&args.service)?;
     let mut follower = store.follow(&status_prefix(&service));
     let mut lines_left = args.count.unwrap_or(u64::MAX);
@@ -24,13 +24,13 @@
             Ok(changes) => changes,
             Err(error @ StoreError::Refused { .. }) => return Err(error.into()),
             Err(error) => {
-                terminal.progress(&error.to_string());
+                terminal.print_progress(&error.to_string());
                 continue;
             }
         };
         for change in changes.into_iter().take(usize::try_from(lines_left).unwrap_or(usize::MAX)) {
             let Some(body) = change.body else { continue };
-            terminal.line(&line(&decode(&change.path, &body)?));
+            terminal.print_line(&line(&decode(&change.path, &body)?));
             lines_left -= 1;
         }
     }
--- a/crates/client/src/conflict.rs
+++ b/crates/client/src/conflict.rs
@@ -16,11 +16,11 @@
 pub(crate) struct Conflict<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) file: &'a str,
-    pub(crate) mine: &'a str,
+    pub(crate) edited_text: &'a str,
     pub(crate) base: ObjectVersion,
     /// The text of the base, if it is still to be had.
     pub(crate) base_text: Option<&'a str>,
-    pub(crate) theirs: &'a str,
+    pub(crate) current_text: &'a str,
     pub(crate) current: ObjectVersion,
 }
 
@@ -36,12 +36,12 @@
             let old = format!("version {base}, yours began here");
             let new = format!("version {current}, theirs");
             text += "What they changed:\n";
-            text += &difference((&old, base_text), (&new, self.theirs));
+            text += &difference((&old, base_text), (&new, self.current_text));
             text.push('\n');
         }
         let old = format!("version {current}, theirs");
-        text += "How your file differs from theirs:\n";
-        text += &difference((&old, self.theirs), (file, self.mine));
+        text += "How your file differs from current_text:\n";
+        text += &difference((&old, self.current_text), (file, self.edited_text));
         text += &format!(
             "\nTo go on, put your change into theirs and apply that:\n  \
              pomelohill get {service} > {service}-{current}.jsonc"
--- a/crates/client/src/failure.rs
+++ b/crates/client/src/error.rs
@@ -9,9 +9,9 @@
 /// Why a command has not done what was asked; shown as one message.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
-pub(crate) enum Failure {
-    #[error("{}", describe(.file, .problems))]
-    Problems { file: String, problems: Problems },
+pub(crate) enum CommandError {
+    #[error("{}", describe_problems(.file, .problems))]
+    InvalidFile { file: String, problems: Problems },
     #[error("version {version} was refused, the former one stays in force:\n{}", .reasons.join("\n"))]
     Refused { version: ObjectVersion, reasons: Vec<String> },
     #[error("{0}")]
@@ -21,38 +21,38 @@
     #[error("{0}")]
     Platform(#[from] StoreError),
     #[error("{0}; the document may or may not be written: apply it again to find out")]
-    Unsure(StoreError),
+    UnknownEffect(StoreError),
     #[error("version {version} is written, but not in force after {waited_s} s: {state}")]
     NotInForce { version: ObjectVersion, waited_s: u64, state: String },
     #[error("{0}")]
     NotFound(String),
     #[error("{path}: {source}")]
-    File { path: String, source: io::Error },
+    FileAccess { path: String, source: io::Error },
     #[error("{path} of the platform cannot be read: {reason}")]
-    BadObject { path: String, reason: String },
+    InvalidObject { path: String, reason: String },
     #[error("cannot start: {0}")]
-    Start(String),
+    Startup(String),
 }
 
-impl Failure {
+impl CommandError {
     /// The exit code of the process; the help and the operators' pages list them.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            Failure::Problems { .. } | Failure::Refused { .. } => 1,
-            Failure::Usage(_) => 2,
-            Failure::Conflict(_) => 3,
-            Failure::Platform(_)
-            | Failure::Unsure(_)
-            | Failure::BadObject { .. }
-            | Failure::Start(_) => 4,
-            Failure::NotInForce { .. } => 5,
-            Failure::NotFound(_) => 6,
-            Failure::File { .. } => 7,
+            CommandError::InvalidFile { .. } | CommandError::Refused { .. } => 1,
+            CommandError::Usage(_) => 2,
+            CommandError::Conflict(_) => 3,
+            CommandError::Platform(_)
+            | CommandError::UnknownEffect(_)
+            | CommandError::InvalidObject { .. }
+            | CommandError::Startup(_) => 4,
+            CommandError::NotInForce { .. } => 5,
+            CommandError::NotFound(_) => 6,
+            CommandError::FileAccess { .. } => 7,
         }
     }
 }
 
-fn describe(file: &str, problems: &Problems) -> String {
+fn describe_problems(file: &str, problems: &Problems) -> String {
     let mut lines: Vec<String> = problems
         .iter()
         .map(|it| {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,13 +1,13 @@
 //! The operators' command-line client.
 //!
 //! It speaks to the platform alone: it writes `services/S` and reads what agents write; only
-//! `explain-request` reads logs instead. Every command ends with one of the exit codes of `failure::Failure`.
+//! `explain-request` reads logs instead. Every command ends with one of the exit codes of `error::CommandError`.
 
 mod args;
 mod base;
 mod commands;
 mod conflict;
-mod failure;
+mod error;
 mod log_lines;
 mod retry;
 mod table;
@@ -20,7 +20,7 @@
 
 use gumdrop::Options;
 
-use crate::{args::Args, failure::Failure, terminal::Terminal};
+use crate::{args::Args, error::CommandError, terminal::Terminal};
 
 /// Runs the program with the arguments of the process.
 pub fn main() -> ExitCode {
@@ -30,25 +30,25 @@
     match run(&arguments, &terminal) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            terminal.error(&failure.to_string());
+            terminal.print_error(&failure.to_string());
             ExitCode::from(failure.exit_code())
         }
     }
 }
 
-fn run(arguments: &[String], terminal: &Terminal) -> Result<(), Failure> {
+fn run(arguments: &[String], terminal: &Terminal) -> Result<(), CommandError> {
     let args = Args::parse_args_default(arguments)
-        .map_err(|error| Failure::Usage(format!("{error}; see pomelohill --help")))?;
+        .map_err(|error| CommandError::Usage(format!("{error}; see pomelohill --help")))?;
     if args.help_requested() {
-        terminal.line(&args::help(&args));
+        terminal.print_line(&args::help(&args));
         return Ok(());
     }
     let Some(command) = args.command else {
-        return Err(Failure::Usage("no command is given; see pomelohill --help".to_owned()));
+        return Err(CommandError::Usage("no command is given; see pomelohill --help".to_owned()));
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|error| Failure::Start(error.to_string()))?;
+        .map_err(|error| CommandError::Startup(error.to_string()))?;
     runtime.block_on(commands::run(args.platform, command, terminal))
 }
--- a/crates/client/src/log_lines.rs
+++ b/crates/client/src/log_lines.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-use crate::failure::Failure;
+use crate::error::CommandError;
 
 /// One line, and the instance whose log it stands in.
 #[derive(Debug, Clone, PartialEq)]
@@ -47,15 +47,15 @@
 
 /// What was found in a log.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct ScanResult {
     pub(crate) lines: Vec<LogLine>,
     /// Lines that are none of an agent's, such as those of a crash.
     pub(crate) unreadable: u64,
 }
 
-impl Found {
+impl ScanResult {
     /// Takes over what another log had, in the order of time.
-    pub(crate) fn extend(&mut self, other: Found) {
+    pub(crate) fn extend(&mut self, other: ScanResult) {
         self.lines.extend(other.lines);
         self.lines.sort_by_key(|it| it.at);
         self.unreadable += other.unreadable;
@@ -66,12 +66,12 @@
 pub(crate) fn read_log(
     path: &str,
     mut wanted: impl FnMut(&LogLine) -> bool,
-) -> Result<Found, Failure> {
-    let failure = |source| Failure::File { path: path.to_owned(), source };
+) -> Result<ScanResult, CommandError> {
+    let failure = |source| CommandError::FileAccess { path: path.to_owned(), source };
     let file = File::open(path).map_err(failure)?;
     let instance: Arc<str> =
         Path::new(path).file_stem().unwrap_or_default().to_string_lossy().into();
-    let mut found = Found::default();
+    let mut found = ScanResult::default();
     for line in BufReader::new(file).split(b'\n') {
         let line = line.map_err(failure)?;
         let Ok(raw) = serde_json::from_slice::<RawLine>(&line) else {
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -11,11 +11,11 @@
 use serde::de::DeserializeOwned;
 use tokio::time::sleep;
 
-use crate::failure::Failure;
+use crate::error::CommandError;
 
 /// How often a call is made before it is given up.
 const ATTEMPTS_MAX: u32 = 4;
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
 const TIMEOUTS: Timeouts =
     Timeouts { call: Duration::from_secs(2), watch_margin: Duration::from_secs(2) };
 
@@ -27,30 +27,30 @@
 };
 
 /// The platform, with retries.
-pub(crate) struct Store {
+pub(crate) struct RetryingStore {
     platform: Arc<dyn ObjectStore>,
 }
 
 /// The end of a conditional update.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Updated {
-    Done(ObjectVersion),
+pub(crate) enum UpdateResult {
+    Written(ObjectVersion),
     /// Someone else was first.
     Conflict,
 }
 
-impl Store {
-    pub(crate) fn new(address: SocketAddr) -> Result<Store, Failure> {
+impl RetryingStore {
+    pub(crate) fn new(address: SocketAddr) -> Result<RetryingStore, CommandError> {
         let platform = HttpObjectStore::new(address, TIMEOUTS)
-            .map_err(|error| Failure::Start(error.to_string()))?;
-        Ok(Store { platform: Arc::new(platform) })
+            .map_err(|error| CommandError::Startup(error.to_string()))?;
+        Ok(RetryingStore { platform: Arc::new(platform) })
     }
 
-    pub(crate) async fn read(&self, path: &str) -> Result<Option<Object>, Failure> {
+    pub(crate) async fn read(&self, path: &str) -> Result<Option<Object>, CommandError> {
         retry(|| self.platform.read(path)).await
     }
 
-    pub(crate) async fn list(&self, prefix: &str) -> Result<Changes, Failure> {
+    pub(crate) async fn list(&self, prefix: &str) -> Result<Changes, CommandError> {
         retry(|| self.platform.list(prefix)).await
     }
 
@@ -66,66 +66,68 @@
         path: &str,
         expected: ObjectVersion,
         body: &Bytes,
-    ) -> Result<Updated, Failure> {
-        let mut pauses = pauses();
-        let mut unsure = false;
+    ) -> Result<UpdateResult, CommandError> {
+        let mut retry_delays = retry_delays();
+        let mut may_be_written = false;
         loop {
             match self.platform.update(path, expected, body.clone()).await {
-                Ok(version) => return Ok(Updated::Done(version)),
-                Err(StoreError::Conflict { .. }) if unsure => {
-                    return self.settle(path, expected, body).await;
+                Ok(version) => return Ok(UpdateResult::Written(version)),
+                Err(StoreError::Conflict { .. }) if may_be_written => {
+                    return self.resolve_conflict(path, expected, body).await;
                 }
-                Err(StoreError::Conflict { .. }) => return Ok(Updated::Conflict),
-                Err(error) => wait_out(error, &mut pauses).await?,
+                Err(StoreError::Conflict { .. }) => return Ok(UpdateResult::Conflict),
+                Err(error) => pause_or_fail(error, &mut retry_delays).await?,
             }
-            unsure = true;
+            may_be_written = true;
         }
     }
 
     /// Tells whether the version that is in the way is that of an earlier attempt.
-    async fn settle(
+    async fn resolve_conflict(
         &self,
         path: &str,
         expected: ObjectVersion,
         body: &Bytes,
-    ) -> Result<Updated, Failure> {
+    ) -> Result<UpdateResult, CommandError> {
         match self.read(path).await? {
             Some(object) if object.version > expected && object.body == *body => {
-                Ok(Updated::Done(object.version))
+                Ok(UpdateResult::Written(object.version))
             }
-            _ => Ok(Updated::Conflict),
+            _ => Ok(UpdateResult::Conflict),
         }
     }
 }
 
 /// The pauses between the attempts of one call.
-fn pauses() -> impl Iterator<Item = Duration> {
-    (0..ATTEMPTS_MAX - 1).map(|it| FIRST_PAUSE * 2_u32.pow(it))
+fn retry_delays() -> impl Iterator<Item = Duration> {
+    (0..ATTEMPTS_MAX - 1).map(|it| FIRST_RETRY_DELAY * 2_u32.pow(it))
 }
 
 /// Pauses after a failure that may pass; fails with it if it may not, or if it was the last.
-async fn wait_out(
+async fn pause_or_fail(
     error: StoreError,
-    pauses: &mut impl Iterator<Item = Duration>,
-) -> Result<(), Failure> {
+    retry_delays: &mut impl Iterator<Item = Duration>,
+) -> Result<(), CommandError> {
     let StoreError::Unavailable { .. } = error else { return Err(error.into()) };
-    let Some(pause) = pauses.next() else { return Err(error.into()) };
+    let Some(pause) = retry_delays.next() else { return Err(error.into()) };
     sleep(pause).await;
     Ok(())
 }
 
-async fn retry<'a, T>(call: impl Fn() -> StoreResult<'a, T>) -> Result<T, Failure> {
-    let mut pauses = pauses();
+async fn retry<'a, T>(call: impl Fn() -> StoreResult<'a, T>) -> Result<T, CommandError> {
+    let mut retry_delays = retry_delays();
     loop {
         match call().await {
             Ok(value) => return Ok(value),
-            Err(error) => wait_out(error, &mut pauses).await?,
+            Err(error) => pause_or_fail(error, &mut retry_delays).await?,
         }
     }
 }
 
 /// Reads the body of an object of the system's own.
-pub(crate) fn decode<T: DeserializeOwned>(path: &str, body: &[u8]) -> Result<T, Failure> {
-    serde_json::from_slice(body)
-        .map_err(|error| Failure::BadObject { path: path.to_owned(), reason: error.to_string() })
+pub(crate) fn decode<T: DeserializeOwned>(path: &str, body: &[u8]) -> Result<T, CommandError> {
+    serde_json::from_slice(body).map_err(|error| CommandError::InvalidObject {
+        path: path.to_owned(),
+        reason: error.to_string(),
+    })
 }
--- a/crates/client/src/table.rs
+++ b/crates/client/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 /// Rows of as many cells each as there are headings.
 pub(crate) struct Table {
@@ -14,7 +14,7 @@
         Table { rows: vec![headings.iter().map(|it| it.to_string()).collect()] }
     }
 
-    pub(crate) fn row(&mut self, cells: &[String]) {
+    pub(crate) fn add_row(&mut self, cells: &[String]) {
         self.rows.push(cells.to_vec());
     }
 
@@ -26,7 +26,7 @@
         let widths: Vec<usize> = (0..columns).map(width).collect();
         let line = |row: &Vec<String>| {
             let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
-            cells.collect::<Vec<_>>().join(GAP).trim_end().to_owned()
+            cells.collect::<Vec<_>>().join(COLUMN_GAP).trim_end().to_owned()
         };
         self.rows.iter().map(line).collect::<Vec<_>>().join("\n")
     }
@@ -39,7 +39,7 @@
 }
 
 /// How long ago something was; clocks of machines may differ a little.
-pub(crate) fn ago(at_unix_ms: u64, now_unix_ms: u64) -> String {
+pub(crate) fn format_age(at_unix_ms: u64, now_unix_ms: u64) -> String {
     let seconds = now_unix_ms.saturating_sub(at_unix_ms) / 1_000;
     match seconds {
         0..=119 => format!("{seconds} s ago"),
--- a/crates/client/src/tests.rs
+++ b/crates/client/src/tests.rs
@@ -2,14 +2,14 @@
 
 use model::{ObjectVersion, ServiceName};
 
-use crate::base::{self, Base, Based};
+use crate::base::{self, BaseVersion, SplitFile};
 
 fn check_base(file: &str, document: &str, base: Option<(&str, u64)>) {
-    let base = base.map(|(service, version)| Base {
+    let base = base.map(|(service, version)| BaseVersion {
         service: service.to_owned(),
         version: ObjectVersion(version),
     });
-    assert_eq!(base::split(file), Based { document, base });
+    assert_eq!(base::split_base_line(file), SplitFile { document, base });
 }
 
 #[test]
@@ -33,11 +33,11 @@
 fn a_joined_file_splits_again() {
     let service = ServiceName::new("standings").unwrap();
     for document in ["{}\n", "{\n  // ...\n}\n\n", "\n"] {
-        let file = base::join(document, &service, ObjectVersion(3));
+        let file = base::append_base_line(document, &service, ObjectVersion(3));
         check_base(&file, document, Some(("standings", 3)));
     }
     assert_eq!(
-        base::join("{}", &service, ObjectVersion(3)),
+        base::append_base_line("{}", &service, ObjectVersion(3)),
         "{}\n// pomelohill: standings version 3\n"
     );
 }
