--- a/crates/client/src/args.rs
+++ b/crates/client/src/args.rs
@@ -1,4 +1,4 @@
-//! What can be asked for on the command line.
+//! Options and commands of the command line, with their help texts.
 
 use gumdrop::Options;
 
@@ -13,20 +13,20 @@
   pomelohill explain-request a28de7bb21e91d88 logs/*.log
 
 Exit codes:
-  0  done                       4  the platform gave no answer
-  1  the document is at fault   5  written, but not yet in force on all instances
-  2  the command is at fault    6  there is no such service
-  3  someone else was first     7  a file cannot be read or written
+  0  success                    4  the platform did not answer
+  1  the document is invalid    5  written, but not in force on all instances in time
+  2  invalid command line       6  not found: service, plan, status or log line
+  3  conflicting change         7  a file cannot be read or written
 
-The platform's address is taken from POMELOHILL_PLATFORM if --platform is not given.";
+Without --platform, the platform's address is read from the environment variable POMELOHILL_PLATFORM.";
 
-/// Drives pomelohill by the documents of its services.
+/// Reads and changes the configuration documents of services and shows their status.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct Args {
     #[options(help = "show this help")]
     pub(crate) help: bool,
-    #[options(no_short, meta = "IP:PORT", help = "the platform's object API")]
+    #[options(no_short, meta = "IP:PORT", help = "address of the platform's object API")]
     pub(crate) platform: Option<String>,
     #[options(command)]
     pub(crate) command: Option<Command>,
@@ -41,53 +41,53 @@
     Apply(ApplyArgs),
     #[options(help = "print a service's document")]
     Get(ServiceArgs),
-    #[options(help = "show what is in force, who owns what, and how it goes")]
+    #[options(help = "show the accepted version, slot owners and load of services")]
     Status(StatusArgs),
-    #[options(help = "follow a service's status")]
+    #[options(help = "print each new status of a service")]
     Watch(WatchArgs),
-    #[options(help = "say who owns a key, and why")]
+    #[options(help = "show the owner of a key and the reason for it")]
     Explain(ExplainArgs),
-    #[options(help = "show which availability zones are closed; close or open one")]
+    #[options(help = "list closed availability zones; close or open a zone")]
     Zone(ZoneArgs),
-    #[options(help = "tell from logs what became of a request, and why")]
+    #[options(help = "show the outcome of a request and its cause from logs")]
     ExplainRequest(ExplainRequestArgs),
 }
 
-/// Checks a document, or an agent's settings, as a whole and without the platform.
+/// Checks a document, or an agent's settings, without access to the platform.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct CheckArgs {
     #[options(help = "show this help")]
     pub(crate) help: bool,
-    #[options(free, required, help = "the document")]
+    #[options(free, required, help = "file with the document")]
     pub(crate) file: String,
     #[options(help = "the file holds the settings of an agent")]
     pub(crate) agent: bool,
 }
 
-/// Writes a document on condition that nobody else has changed it, and waits until it is in force.
+/// Writes a document unless it was changed since the version it is based on, and waits until it is in force.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct ApplyArgs {
     #[options(help = "show this help")]
     pub(crate) help: bool,
-    #[options(free, required, help = "the document")]
+    #[options(free, required, help = "file with the document")]
     pub(crate) file: String,
     #[options(
         no_short,
         meta = "VERSION",
-        help = "the version it is based on; 0 for a new service"
+        help = "version that the file is based on; 0 for a new service"
     )]
     pub(crate) base: Option<u64>,
-    #[options(no_short, help = "do not wait until it is in force")]
+    #[options(no_short, help = "do not wait until the version is in force")]
     pub(crate) no_wait: bool,
-    #[options(no_short, help = "show the difference and write nothing")]
+    #[options(no_short, help = "show the difference without writing")]
     pub(crate) dry_run: bool,
-    #[options(no_short, meta = "N", default = "60", help = "wait so many seconds at most")]
+    #[options(no_short, meta = "N", default = "60", help = "maximum wait in seconds")]
     pub(crate) timeout_s: u64,
 }
 
-/// Prints a service's document, and in its last line the version that an edit is based on.
+/// Prints a service's document; its last line names the version for a later `apply`.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct ServiceArgs {
@@ -97,19 +97,19 @@
     pub(crate) service: String,
 }
 
-/// Shows what is in force, who owns what, and how it goes.
+/// Shows the accepted version, slot owners and load of services.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct StatusArgs {
     #[options(help = "show this help")]
     pub(crate) help: bool,
-    #[options(free, help = "one service; all of them, if left out")]
+    #[options(free, help = "the service; default: all services")]
     pub(crate) service: Option<String>,
     #[options(no_short, help = "print one JSON object")]
     pub(crate) json: bool,
 }
 
-/// Prints a line for each status that a coordinator writes, until it is interrupted.
+/// Prints a line for each status that a coordinator writes, until interrupted.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct WatchArgs {
@@ -117,11 +117,11 @@
     pub(crate) help: bool,
     #[options(free, required, help = "the service")]
     pub(crate) service: String,
-    #[options(no_short, meta = "N", help = "end after so many lines")]
+    #[options(no_short, meta = "N", help = "exit after this many lines")]
     pub(crate) count: Option<u64>,
 }
 
-/// Says who owns a key, who follows, and why.
+/// Shows the owner and successors of a key, and the reason for the last move.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct ExplainArgs {
@@ -129,45 +129,45 @@
     pub(crate) help: bool,
     #[options(free, required, help = "the service")]
     pub(crate) service: String,
-    #[options(free, required, help = "the key, as a caller writes it")]
+    #[options(free, required, help = "the key, as written by callers")]
     pub(crate) key: String,
 }
 
-/// Shows which availability zones are closed. The upstreams of a closed zone get nothing new, and their keys
-/// go to others; the zone's agents go on serving callers.
+/// Lists closed availability zones; closes or opens a zone. Upstreams of a closed zone get no new requests and
+/// their keys move to other zones; the zone's agents continue to serve callers.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct ZoneArgs {
     #[options(help = "show this help")]
     pub(crate) help: bool,
-    #[options(free, help = "the zone; all that are closed, if left out")]
+    #[options(free, help = "the zone; default: all closed zones")]
     pub(crate) zone: Option<String>,
-    #[options(no_short, help = "close it")]
+    #[options(no_short, help = "close the zone")]
     pub(crate) close: bool,
-    #[options(no_short, help = "open it again")]
+    #[options(no_short, help = "open the zone")]
     pub(crate) open: bool,
 }
 
-/// Tells from the logs of several instances what became of a request.
+/// Shows the outcome of a request and its cause from the logs of several instances.
 #[derive(Debug)]
 #[derive(Options)]
 pub(crate) struct ExplainRequestArgs {
     #[options(help = "show this help")]
     pub(crate) help: bool,
-    #[options(free, required, help = "the request's id, in hexadecimal digits")]
+    #[options(free, required, help = "id of the request, hexadecimal")]
     pub(crate) id: String,
-    #[options(free, help = "logs, a file for each instance, named after it")]
+    #[options(free, help = "log files, one per instance, each named after its instance")]
     pub(crate) files: Vec<String>,
     #[options(
         no_short,
         meta = "N",
         default = "2",
-        help = "show what the instances decided up to so many seconds before and after"
+        help = "also show other log lines within this many seconds before and after"
     )]
     pub(crate) around_s: u64,
 }
 
-/// The help of the program, or of the command that was asked about.
+/// Returns the help of the program, or of the given command.
 pub(crate) fn help(args: &Args) -> String {
     let Some(command) = &args.command else {
         let commands = Args::command_list().unwrap_or_default();
