--- a/crates/client/tests/cli/fake_platform.rs
+++ b/crates/client/tests/cli/fake_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API in memory, for one test.
+//! An in-memory platform that serves the object API over HTTP.
 
 use std::{
     collections::BTreeMap,
@@ -11,9 +11,9 @@
 
 use serde_json::json;
 
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A server on a port of its own, until the process ends.
+/// A server on a free port. It runs until the process exits.
 pub(crate) struct FakePlatform {
     address: SocketAddr,
     store: Arc<Mutex<Store>>,
@@ -23,24 +23,24 @@
 struct Store {
     revision: u64,
     objects: BTreeMap<String, (u64, String)>,
-    /// What the next conditional update of a document meets.
+    /// Fault that the next update meets.
     fault: Option<Fault>,
-    /// Written with the next update of a document, as its coordinator would.
-    answer: Option<Answer>,
+    /// Returns the objects that are written right after the next update, in place of a coordinator.
+    follow_up: Option<FollowUp>,
 }
 
-/// What goes wrong once.
+/// A fault of the next update.
 pub(crate) enum Fault {
-    /// The update takes effect, its answer is lost.
+    /// The update is applied, but its answer is lost.
     LostAnswer,
-    /// Someone else's text is written just before.
-    Overtaken(String),
-    /// This update and every later one fail, with no word of their effect.
+    /// Another writer writes this text just before the update.
+    ConcurrentWrite(String),
+    /// This update and all later ones are answered with status 503.
     Down,
 }
 
-/// Makes the objects that follow on a document of this version.
-type Answer = Box<dyn FnOnce(u64) -> Vec<(String, String)> + Send>;
+/// Returns paths and bodies of the objects to write after an update that got the given version.
+type FollowUp = Box<dyn FnOnce(u64) -> Vec<(String, String)> + Send>;
 
 struct Request {
     method: String,
@@ -59,7 +59,7 @@
             move || {
                 for stream in listener.incoming() {
                     let store = Arc::clone(&store);
-                    thread::spawn(move || converse(stream.unwrap(), &store));
+                    thread::spawn(move || serve_connection(stream.unwrap(), &store));
                 }
             }
         });
@@ -83,11 +83,11 @@
         self.store.lock().unwrap().fault = Some(fault);
     }
 
-    pub(crate) fn answer_next(
+    pub(crate) fn write_after_next_update(
         &self,
-        answer: impl FnOnce(u64) -> Vec<(String, String)> + Send + 'static,
+        follow_up: impl FnOnce(u64) -> Vec<(String, String)> + Send + 'static,
     ) {
-        self.store.lock().unwrap().answer = Some(Box::new(answer));
+        self.store.lock().unwrap().follow_up = Some(Box::new(follow_up));
     }
 }
 
@@ -98,14 +98,14 @@
         self.revision
     }
 
-    /// The answer to an update; none if it is lost.
+    /// Applies an update and returns its answer, or `None` if the answer is to be lost.
     fn update(&mut self, path: &str, condition: Option<u64>, body: &str) -> Option<String> {
         let fault = self.fault.take();
         if let Some(Fault::Down) = fault {
             self.fault = fault;
             return Some(response("503 Service Unavailable", "", "down"));
         }
-        if let Some(Fault::Overtaken(text)) = &fault {
+        if let Some(Fault::ConcurrentWrite(text)) = &fault {
             self.put(path, text);
         }
         let current = self.objects.get(path).map_or(0, |it| it.0);
@@ -113,8 +113,8 @@
             return Some(response("409 Conflict", &format!("x-object-version: {current}\r\n"), ""));
         }
         let version = self.put(path, body);
-        let follow = self.answer.take().map(|it| it(version)).unwrap_or_default();
-        follow.iter().for_each(|it| _ = self.put(&it.0, &it.1));
+        let written = self.follow_up.take().map(|it| it(version)).unwrap_or_default();
+        written.iter().for_each(|it| _ = self.put(&it.0, &it.1));
         match fault {
             Some(Fault::LostAnswer) => None,
             _ => Some(response("200 OK", &format!("x-object-version: {version}\r\n"), "")),
@@ -131,10 +131,10 @@
     }
 }
 
-fn converse(stream: TcpStream, store: &Mutex<Store>) {
+fn serve_connection(stream: TcpStream, store: &Mutex<Store>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut writer = stream;
-    while let Some(request) = read(&mut reader) {
+    while let Some(request) = read_request(&mut reader) {
         let Some(response) = respond(&request, store) else { return };
         if writer.write_all(response.as_bytes()).is_err() {
             return;
@@ -142,7 +142,7 @@
     }
 }
 
-fn read(reader: &mut BufReader<TcpStream>) -> Option<Request> {
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut first = String::new();
     reader.read_line(&mut first).ok().filter(|it| *it > 0)?;
     let mut words = first.split_whitespace().map(str::to_owned);
@@ -196,7 +196,7 @@
         if Instant::now() >= end {
             return "HTTP/1.1 204 No Content\r\n\r\n".to_owned();
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/client/tests/cli/main.rs
+++ b/crates/client/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! Runs the program against a small platform of its own, over real sockets.
+//! Tests that run the program against a small platform in the test process, over real sockets.
 
 mod apply;
 mod check;
@@ -15,7 +15,7 @@
 
 use crate::fake_platform::FakePlatform;
 
-/// A document that is accepted.
+/// A valid document.
 pub(crate) const DOCUMENT: &str = r#"{
   // Laps and penalties.
   "service": "standings",
@@ -26,14 +26,14 @@
 }
 "#;
 
-/// The end of a run.
+/// The exit code and output of a run of the program.
 pub(crate) struct Run {
     pub(crate) code: i32,
     pub(crate) out: String,
     pub(crate) err: String,
 }
 
-/// A folder of a test's own, empty at first.
+/// Creates an empty folder for a test.
 pub(crate) fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     _ = fs::remove_dir_all(&folder);
