--- a/crates/client/src/base.rs
+++ b/crates/client/src/base.rs
@@ -1,28 +1,29 @@
-//! The last line of a file, which says on which version of the document the file is based.
+//! The base line: the last line of a file, which names the version that the file's document is based on.
 //!
-//! It stands last so that the lines above keep their numbers in what coordinators report.
+//! It is the last line so that line numbers in the problems that coordinators report match the file.
 
 use model::{ObjectVersion, ServiceName};
 
 const BASE_LINE_PREFIX: &str = "// pomelohill: ";
 const VERSION_SEPARATOR: &str = " version ";
 
-/// A file, apart into the document and what it is based on.
+/// A file split into its document and its base version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SplitFile<'a> {
-    /// The document, without the line.
+    /// The document without the base line.
     pub(crate) document: &'a str,
+    /// `None` if the file has no valid base line.
     pub(crate) base: Option<BaseVersion>,
 }
 
-/// The version of a service's document from which an edit began.
+/// The service and version that an edited document is based on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct BaseVersion {
     pub(crate) service: String,
     pub(crate) version: ObjectVersion,
 }
 
-/// Takes a file apart.
+/// Splits a file into its document and its base line.
 pub(crate) fn split_base_line(file: &str) -> SplitFile<'_> {
     let text = file.trim_end();
     let start = text.rfind('\n').map_or(0, |it| it + 1);
@@ -32,7 +33,7 @@
     }
 }
 
-/// Puts a file together.
+/// Appends the base line to a document.
 pub(crate) fn append_base_line(
     document: &str,
     service: &ServiceName,
--- a/crates/client/src/tests.rs
+++ b/crates/client/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what needs no process: the base of an edit, and how far a version has come.
+//! Tests of the base line.
 
 use model::{ObjectVersion, ServiceName};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_last_line_names_the_base() {
+fn only_a_valid_last_line_is_the_base_line() {
     check_base("{}\n// pomelohill: standings version 12\n", "{}\n", Some(("standings", 12)));
     check_base("{}\n// pomelohill: standings version 12\n\n", "{}\n", Some(("standings", 12)));
     check_base(
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_joined_file_splits_again() {
+fn an_appended_base_line_is_split_off_again() {
     let service = ServiceName::new("standings").unwrap();
     for document in ["{}\n", "{\n  // ...\n}\n\n", "\n"] {
         let file = base::append_base_line(document, &service, ObjectVersion(3));
