--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command-line client.
 //!
-//! It speaks to the platform alone: it writes `services/S` and reads what agents write; only
-//! `explain-request` reads logs instead. Every command ends with one of the exit codes of `error::CommandError`.
+//! Commands connect only to the platform: they write `services/S` and `zones/Z` and read objects that agents
+//! write. `explain-request` reads log files instead. Each error has an exit code, see `error::CommandError`.
 
 mod args;
 mod base;
@@ -22,7 +22,7 @@
 
 use crate::{args::Args, error::CommandError, terminal::Terminal};
 
-/// Runs the program with the arguments of the process.
+/// Runs the command line of the process and returns its exit code.
 pub fn main() -> ExitCode {
     env_logger::init();
     let terminal = Terminal::detect();
--- a/crates/client/src/log_lines.rs
+++ b/crates/client/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of agents' logs: one JSON object each.
+//! Parsing of agents' logs: one JSON object per line.
 
 use std::{
     fs::File,
@@ -13,15 +13,16 @@
 
 use crate::error::CommandError;
 
-/// One line, and the instance whose log it stands in.
+/// A log line and the instance that wrote it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct LogLine {
-    /// By the clock of the instance.
+    /// Time by the wall clock of the instance.
     pub(crate) at: Timestamp,
+    /// Name of the instance, from the name of the log file.
     pub(crate) instance: Arc<str>,
     pub(crate) target: String,
     pub(crate) message: String,
-    /// What the decision rested on.
+    /// Values that the line carries besides its message.
     pub(crate) fields: Map<String, Value>,
 }
 
@@ -45,16 +46,16 @@
     }
 }
 
-/// What was found in a log.
+/// Selected lines of one or more logs.
 #[derive(Debug, Default)]
 pub(crate) struct ScanResult {
     pub(crate) lines: Vec<LogLine>,
-    /// Lines that are none of an agent's, such as those of a crash.
+    /// Number of non-empty lines that are not log records of an agent, such as a panic message.
     pub(crate) unreadable: u64,
 }
 
 impl ScanResult {
-    /// Takes over what another log had, in the order of time.
+    /// Merges the lines of another log, ordered by time.
     pub(crate) fn extend(&mut self, other: ScanResult) {
         self.lines.extend(other.lines);
         self.lines.sort_by_key(|it| it.at);
@@ -62,27 +63,27 @@
     }
 }
 
-/// Reads a log and keeps the lines that `wanted` takes; the file is read line by line, however long it is.
+/// Reads a log line by line, so that large files need little memory, and returns the lines that `is_wanted` selects.
 pub(crate) fn read_log(
     path: &str,
-    mut wanted: impl FnMut(&LogLine) -> bool,
+    mut is_wanted: impl FnMut(&LogLine) -> bool,
 ) -> Result<ScanResult, CommandError> {
     let failure = |source| CommandError::FileAccess { path: path.to_owned(), source };
     let file = File::open(path).map_err(failure)?;
     let instance: Arc<str> =
         Path::new(path).file_stem().unwrap_or_default().to_string_lossy().into();
-    let mut found = ScanResult::default();
+    let mut result = ScanResult::default();
     for line in BufReader::new(file).split(b'\n') {
         let line = line.map_err(failure)?;
         let Ok(raw) = serde_json::from_slice::<RawLine>(&line) else {
-            found.unreadable += u64::from(!line.trim_ascii().is_empty());
+            result.unreadable += u64::from(!line.trim_ascii().is_empty());
             continue;
         };
         let RawLine { time, target, message, fields } = raw;
         let line = LogLine { at: time, instance: Arc::clone(&instance), target, message, fields };
-        if wanted(&line) {
-            found.lines.push(line);
+        if is_wanted(&line) {
+            result.lines.push(line);
         }
     }
-    Ok(found)
+    Ok(result)
 }
--- a/crates/client/src/main.rs
+++ b/crates/client/src/main.rs
@@ -1,4 +1,4 @@
-//! `pomelohill`: see the crate's documentation.
+//! The `pomelohill` program; see the documentation of the crate.
 
 use std::process::ExitCode;
 
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -1,4 +1,4 @@
-//! The platform as a person at a terminal wants it: short failures are tried again.
+//! The platform's object store with retries, so that a short outage doesn't fail a command.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 
 use crate::error::CommandError;
 
-/// How often a call is made before it is given up.
+/// Number of attempts for each call, the first one included.
 const ATTEMPTS_MAX: u32 = 4;
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
 const TIMEOUTS: Timeouts =
@@ -26,16 +26,16 @@
     retry_delay_max: Duration::from_secs(1),
 };
 
-/// The platform, with retries.
+/// The platform's object store. Its calls are retried while the platform is unavailable.
 pub(crate) struct RetryingStore {
     platform: Arc<dyn ObjectStore>,
 }
 
-/// The end of a conditional update.
+/// Result of a conditional update.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum UpdateResult {
     Written(ObjectVersion),
-    /// Someone else was first.
+    /// The object has another version than expected.
     Conflict,
 }
 
@@ -54,13 +54,13 @@
         retry(|| self.platform.list(prefix)).await
     }
 
-    /// Follows what changes under a prefix, from what is there now.
+    /// Follows changes under a prefix, starting with the current objects.
     pub(crate) fn follow(&self, prefix: &str) -> Follower {
         Follower::new(Arc::clone(&self.platform), prefix, FOLLOWER_TIMES)
     }
 
-    /// Updates on condition of the version. Where an answer is lost, the object is read again: it
-    /// tells whether the update took effect, and sending the same condition again is harmless.
+    /// Updates an object if it has the expected version. A retry after a lost answer is safe: it sends the same
+    /// condition, and on a conflict the object is read to find out whether an earlier attempt was applied.
     pub(crate) async fn update(
         &self,
         path: &str,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tells whether the version that is in the way is that of an earlier attempt.
+    /// Returns `Written` if the conflicting version was written by an earlier attempt of the same update.
     async fn resolve_conflict(
         &self,
         path: &str,
@@ -98,12 +98,12 @@
     }
 }
 
-/// The pauses between the attempts of one call.
+/// Returns the delays between the attempts of one call, doubled each time.
 fn retry_delays() -> impl Iterator<Item = Duration> {
     (0..ATTEMPTS_MAX - 1).map(|it| FIRST_RETRY_DELAY * 2_u32.pow(it))
 }
 
-/// Pauses after a failure that may pass; fails with it if it may not, or if it was the last.
+/// Sleeps before the next attempt. Returns the error if it is permanent or no attempts are left.
 async fn pause_or_fail(
     error: StoreError,
     retry_delays: &mut impl Iterator<Item = Duration>,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Reads the body of an object of the system's own.
+/// Decodes the body of an object that an agent wrote.
 pub(crate) fn decode<T: DeserializeOwned>(path: &str, body: &[u8]) -> Result<T, CommandError> {
     serde_json::from_slice(body).map_err(|error| CommandError::InvalidObject {
         path: path.to_owned(),
--- a/crates/client/src/table.rs
+++ b/crates/client/src/table.rs
@@ -1,10 +1,10 @@
-//! Columns of text, and values for people.
+//! Text tables and human-readable times.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const COLUMN_GAP: &str = "  ";
 
-/// Rows of as many cells each as there are headings.
+/// A text table. Each row has as many cells as there are headings.
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
@@ -32,13 +32,13 @@
     }
 }
 
-/// Milliseconds since 1970, by this machine's clock.
+/// Returns the milliseconds since the Unix epoch, by this machine's clock.
 pub(crate) fn now_unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
 }
 
-/// How long ago something was; clocks of machines may differ a little.
+/// Formats the age of a time. A time in the future, as from a clock that is ahead, has age zero.
 pub(crate) fn format_age(at_unix_ms: u64, now_unix_ms: u64) -> String {
     let seconds = now_unix_ms.saturating_sub(at_unix_ms) / 1_000;
     match seconds {
--- a/crates/client/src/terminal.rs
+++ b/crates/client/src/terminal.rs
@@ -1,4 +1,4 @@
-//! Where lines go: results to standard output, progress and errors to standard error.
+//! Output: results to standard output, progress and errors to standard error.
 
 use std::{
     env,
@@ -10,31 +10,31 @@
 const CYAN: &str = "\x1b[36m";
 const RESET: &str = "\x1b[0m";
 
-/// How the process is connected.
+/// The output streams of the process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Terminal {
     has_colours: bool,
 }
 
 impl Terminal {
-    /// Colours only where a person looks on and has not asked for none.
+    /// Uses colours if standard output is a terminal and `NO_COLOR` is unset or empty.
     pub(crate) fn detect() -> Terminal {
         let wanted = env::var_os("NO_COLOR").is_none_or(|it| it.is_empty());
         Terminal { has_colours: wanted && io::stdout().is_terminal() }
     }
 
-    /// Writes a line of the result. A reader that has gone away is no error.
+    /// Writes a line of the result. A closed standard output is not an error.
     pub(crate) fn print_line(&self, text: &str) {
         _ = writeln!(io::stdout().lock(), "{text}");
     }
 
-    /// Writes the result as it is.
+    /// Writes the result without adding a newline.
     pub(crate) fn print_raw(&self, text: &str) {
         let mut out = io::stdout().lock();
         _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
     }
 
-    /// Writes a line about how it goes.
+    /// Writes a progress line to standard error.
     pub(crate) fn print_progress(&self, text: &str) {
         _ = writeln!(io::stderr().lock(), "{text}");
     }
@@ -43,7 +43,7 @@
         _ = writeln!(io::stderr().lock(), "pomelohill: {text}");
     }
 
-    /// Writes a unified difference, coloured on a terminal.
+    /// Writes a unified diff, coloured on a terminal.
     pub(crate) fn print_diff(&self, text: &str) {
         for line in text.lines() {
             match line.as_bytes().first() {
