--- a/crates/client/src/commands/get.rs
+++ b/crates/client/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! `get`: a service's document, with the version that an edit of it will be based on.
+//! `get`: prints a service's document, followed by the base line with its version.
 
 use settings::service_path;
 
@@ -15,7 +15,7 @@
     let service = service_name(&args.service)?;
     let path = service_path(&service);
     let Some(object) = store.read(&path).await? else {
-        return Err(CommandError::NotFound(format!("there is no service {service}")));
+        return Err(CommandError::NotFound(format!("service {service} does not exist")));
     };
     let text = String::from_utf8_lossy(&object.body);
     terminal.print_raw(&base::append_base_line(&text, &service, object.version));
--- a/crates/client/src/commands/watch.rs
+++ b/crates/client/src/commands/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: one line for each status that a coordinator writes.
+//! `watch`: prints one line for each status that a coordinator writes.
 
 use object_store::StoreError;
 use settings::{GroupStatus, status_prefix};
@@ -30,14 +30,14 @@
         };
         for change in changes.into_iter().take(usize::try_from(lines_left).unwrap_or(usize::MAX)) {
             let Some(body) = change.body else { continue };
-            terminal.print_line(&line(&decode(&change.path, &body)?));
+            terminal.print_line(&format_status(&decode(&change.path, &body)?));
             lines_left -= 1;
         }
     }
     Ok(())
 }
 
-fn line(status: &GroupStatus) -> String {
+fn format_status(status: &GroupStatus) -> String {
     let GroupStatus { service, group, in_force, coordinator, measures, .. } = status;
     let accepted = status.accepted.map_or("none".to_owned(), |it| it.to_string());
     let refused = status.refused.as_ref();
