--- a/crates/client/src/commands/apply.rs
+++ b/crates/client/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: a document is written on condition that nobody else has changed it.
+//! `apply`: writes a document unless it was changed since the version it is based on.
 
 use bytes::Bytes;
 use model::ObjectVersion;
@@ -15,10 +15,10 @@
     terminal::Terminal,
 };
 
-/// The version of a service that does not exist.
+/// The version that stands for a document that does not exist.
 const ABSENT_VERSION: ObjectVersion = ObjectVersion(0);
 
-/// An edit, and what stands against it in the platform.
+/// An edited document, with the platform's current and accepted documents of the service.
 struct EditedDocument<'a> {
     args: &'a ApplyArgs,
     document: ServiceDocument,
@@ -38,8 +38,9 @@
     let service = &edit.document.service;
     if edit.is_unchanged() {
         let version = edit.current_version();
-        terminal
-            .print_line(&format!("{service}: version {version} is the same, nothing is written."));
+        terminal.print_line(&format!(
+            "{service}: version {version} has the same text; nothing was written."
+        ));
         return wait::wait_unless_disabled(args, store, service, version, terminal).await;
     }
     if edit.base != edit.current_version() {
@@ -48,11 +49,11 @@
     let old = format!("{service}, version {}", edit.base);
     terminal.print_diff(&difference((&old, &edit.current_text()), (&args.file, edit.text)));
     if args.dry_run {
-        terminal.print_line(&format!("{service}: nothing is written, as asked."));
+        terminal.print_line(&format!("{service}: dry run; nothing was written."));
         return Ok(());
     }
     let version = edit.write(store).await?;
-    terminal.print_line(&format!("{service}: version {version} is written."));
+    terminal.print_line(&format!("{service}: version {version} was written."));
     edit.record_base_version(version)?;
     wait::wait_unless_disabled(args, store, service, version, terminal).await
 }
@@ -69,7 +70,7 @@
         let service = &document.service;
         if let Some(base) = base.as_ref().filter(|it| it.service != service.as_str()) {
             let message = format!(
-                "{} is based on {}, but its document is that of {service}",
+                "{}: the base line names service {}, but the document is of service {service}",
                 args.file, base.service
             );
             return Err(CommandError::Usage(message));
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Notes the new version in the file, so that the next edit is based on it.
+    /// Writes the new version into the file's base line, so that the next edit is based on it. With `--base` the
+    /// file stays unchanged.
     fn record_base_version(&self, version: ObjectVersion) -> Result<(), CommandError> {
         if self.args.base.is_some() {
             return Ok(());
@@ -141,8 +143,8 @@
         let service = &self.document.service;
         if self.current.is_none() {
             let message = format!(
-                "{service} was removed by someone else: your file is based on version {}. Nothing \
-                 was written. To make it anew: pomelohill apply --base 0 {}",
+                "{service} was removed since: your file is based on version {}. Nothing was \
+                 written. To create the service again: pomelohill apply --base 0 {}",
                 self.base, self.args.file
             );
             return CommandError::Conflict(message);
@@ -165,10 +167,10 @@
         let current = self.current_version();
         let file = &self.args.file;
         CommandError::Conflict(format!(
-            "{file} does not say on which version of {service} it is based, and the service has \
-             version {current}. Nothing was written. Begin from the output of\n  pomelohill get \
-             {service}\nor, if the file was made from version {current}, use\n  pomelohill apply \
-             --base {current} {file}"
+            "{file} has no base line, so the version of {service} that it is based on is unknown; \
+             the current version is {current}. Nothing was written. Start from the output of\n  \
+             pomelohill get {service}\nor, if the file is based on version {current}, use\n  \
+             pomelohill apply --base {current} {file}"
         ))
     }
 }
--- a/crates/client/src/commands/wait.rs
+++ b/crates/client/src/commands/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a version is in force on all instances.
+//! Waits until a version is in force on all instances.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
     terminal::Terminal,
 };
 
-/// How far a version has come.
+/// Rollout progress of a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// The status has not been looked at yet.
+    /// The status has not been read yet.
     StatusUnread,
-    /// Nothing is known: no coordinator has written a status.
+    /// No coordinator has written a status.
     NoStatus,
     NotAccepted,
     InForceOnSome {
@@ -34,7 +34,7 @@
     },
 }
 
-/// Waits, unless the command line says not to.
+/// Waits until the version is in force, unless `--no-wait` or `--dry-run` is given.
 pub(crate) async fn wait_unless_disabled(
     args: &ApplyArgs,
     store: &RetryingStore,
@@ -60,7 +60,7 @@
     let mut follower = store.follow(&status_prefix(service));
     let mut statuses = Vec::new();
     let mut state = Progress::StatusUnread;
-    // The first look is taken whatever the wait_max.
+    // The first read is not subject to the time limit, so that `--timeout-s 0` reports the current state.
     let mut update = Ok(follower.next().await);
     loop {
         match update {
@@ -90,8 +90,8 @@
             Progress::InForceOnAll { of } => {
                 let waited_ms = started.elapsed().as_millis();
                 terminal.print_line(&format!(
-                    "{service}: version {version} is in force on {of} of {of} instances, seen \
-                     after {waited_ms} ms."
+                    "{service}: version {version} is in force on {of} of {of} instances after \
+                     {waited_ms} ms."
                 ));
                 return Ok(());
             }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Takes what has changed into the statuses that are known.
+/// Applies changes of status objects to the list of statuses by path.
 pub(crate) fn apply_changes(
     statuses: &mut Vec<(String, GroupStatus)>,
     changes: Vec<Change>,
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-/// How far a version has come, by the statuses of all groups.
+/// Returns the progress of a version from the statuses of all groups.
 pub(crate) fn progress_of<'a>(
     statuses: impl Iterator<Item = &'a GroupStatus>,
     version: ConfigVersion,
@@ -146,9 +146,9 @@
 
 fn describe(state: &Progress) -> String {
     match state {
-        Progress::StatusUnread => "the status could not be read".to_owned(),
+        Progress::StatusUnread => "status could not be read".to_owned(),
         Progress::NoStatus => "no coordinator has written a status".to_owned(),
-        Progress::NotAccepted => "not accepted yet".to_owned(),
+        Progress::NotAccepted => "not accepted by any coordinator yet".to_owned(),
         Progress::InForceOnSome { instances, of } => {
             format!("in force on {instances} of {of} instances")
         }
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,4 +1,4 @@
-//! How a command can fail, each way with its exit code.
+//! Errors of commands and their exit codes.
 
 use std::io;
 
@@ -6,13 +6,13 @@
 use object_store::StoreError;
 use settings::Problems;
 
-/// Why a command has not done what was asked; shown as one message.
+/// The error of a failed command; its text is printed as one message.
 #[derive(Debug)]
 #[derive(thiserror::Error)]
 pub(crate) enum CommandError {
     #[error("{}", describe_problems(.file, .problems))]
     InvalidFile { file: String, problems: Problems },
-    #[error("version {version} was refused, the former one stays in force:\n{}", .reasons.join("\n"))]
+    #[error("version {version} was refused, the previous version stays in force:\n{}", .reasons.join("\n"))]
     Refused { version: ObjectVersion, reasons: Vec<String> },
     #[error("{0}")]
     Usage(String),
@@ -20,22 +20,24 @@
     Conflict(String),
     #[error("{0}")]
     Platform(#[from] StoreError),
-    #[error("{0}; the document may or may not be written: apply it again to find out")]
+    #[error("{0}; the document may or may not have been written: run apply again to find out")]
     UnknownEffect(StoreError),
-    #[error("version {version} is written, but not in force after {waited_s} s: {state}")]
+    #[error(
+        "version {version} was written, but is not in force everywhere after {waited_s} s: {state}"
+    )]
     NotInForce { version: ObjectVersion, waited_s: u64, state: String },
     #[error("{0}")]
     NotFound(String),
     #[error("{path}: {source}")]
     FileAccess { path: String, source: io::Error },
-    #[error("{path} of the platform cannot be read: {reason}")]
+    #[error("invalid object {path} in the platform: {reason}")]
     InvalidObject { path: String, reason: String },
-    #[error("cannot start: {0}")]
+    #[error("initialization failed: {0}")]
     Startup(String),
 }
 
 impl CommandError {
-    /// The exit code of the process; the help and the operators' pages list them.
+    /// Returns the exit code of the process; the help lists the codes.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::InvalidFile { .. } | CommandError::Refused { .. } => 1,
--- a/crates/client/tests/cli/apply.rs
+++ b/crates/client/tests/cli/apply.rs
@@ -1,4 +1,4 @@
-//! `get` and `apply`: edits, conflicts, lost answers, and the way until a version is in force.
+//! `get` and `apply`: edits, conflicts, lost answers, and the wait until a version is in force.
 
 use std::{fs, path::PathBuf};
 
@@ -12,15 +12,15 @@
 
 const SERVICE: &str = "services/standings";
 
-/// An operator's folder and the platform.
-struct Desk {
+/// A platform, and a folder with the operator's file.
+struct Fixture {
     platform: FakePlatform,
     folder: PathBuf,
 }
 
-impl Desk {
-    fn new(name: &str) -> Desk {
-        Desk { platform: FakePlatform::start(), folder: folder(name) }
+impl Fixture {
+    fn new(name: &str) -> Fixture {
+        Fixture { platform: FakePlatform::start(), folder: folder(name) }
     }
 
     fn write(&self, text: &str) {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The status that a coordinator writes when this version is in force on `instances` of 4.
+/// Returns the status that a coordinator writes when the version is in force on `instances` of 4 instances.
 pub(crate) fn status(accepted: u64, instances: u32, refused: Option<(u64, &str)>) -> String {
     let refused = refused.map(|(version, it)| json!({ "version": version, "reasons": [it] }));
     json!({
@@ -70,150 +70,157 @@
 }
 
 #[test]
-fn a_new_service_is_written_and_waited_for() {
-    let desk = Desk::new("new-service");
-    desk.write(DOCUMENT);
-    desk.platform.answer_next(|version| vec![status_object(version, 4)]);
-    desk.check(
+fn apply_writes_a_new_service_and_waits_until_it_is_in_force() {
+    let fixture = Fixture::new("new-service");
+    fixture.write(DOCUMENT);
+    fixture.platform.write_after_next_update(|version| vec![status_object(version, 4)]);
+    fixture.check(
         &["apply", "file.jsonc"],
         (
             0,
             &[
                 "+  \"service\": \"standings\"",
-                "standings: version 1 is written.",
+                "standings: version 1 was written.",
                 "version 1 is in force on 4 of 4 instances",
             ],
             &[],
         ),
     );
-    assert_eq!(desk.platform.body(SERVICE).as_deref(), Some(DOCUMENT));
-    assert_eq!(desk.text(), format!("{DOCUMENT}// pomelohill: standings version 1\n"));
+    assert_eq!(fixture.platform.body(SERVICE).as_deref(), Some(DOCUMENT));
+    assert_eq!(fixture.text(), format!("{DOCUMENT}// pomelohill: standings version 1\n"));
 }
 
 #[test]
-fn an_edit_begins_from_what_get_prints() {
-    let desk = Desk::new("edit");
-    desk.platform.put(SERVICE, DOCUMENT);
-    let got = desk.run(&["get", "standings"]).out;
+fn apply_accepts_an_edited_output_of_get() {
+    let fixture = Fixture::new("edit");
+    fixture.platform.put(SERVICE, DOCUMENT);
+    let got = fixture.run(&["get", "standings"]).out;
     assert_eq!(got, format!("{DOCUMENT}// pomelohill: standings version 1\n"));
     let edited = DOCUMENT.replace("\"keyed\": true", "\"keyed\": true, \"slot_count\": 12");
-    desk.write(&got.replace(DOCUMENT, &edited));
+    fixture.write(&got.replace(DOCUMENT, &edited));
     let expected = ["-  \"keyed\": true,", "+  \"keyed\": true, \"slot_count\": 12,"];
-    desk.check(&["apply", "--dry-run", "file.jsonc"], (0, &expected, &[]));
-    assert_eq!(desk.platform.body(SERVICE).as_deref(), Some(DOCUMENT), "a dry run writes nothing");
-    desk.check(&["apply", "--no-wait", "file.jsonc"], (0, &["version 2 is written"], &[]));
-    assert_eq!(desk.platform.body(SERVICE), Some(edited));
-    desk.check(&["apply", "--no-wait", "file.jsonc"], (0, &["version 2 is the same"], &[]));
+    fixture.check(&["apply", "--dry-run", "file.jsonc"], (0, &expected, &[]));
+    assert_eq!(
+        fixture.platform.body(SERVICE).as_deref(),
+        Some(DOCUMENT),
+        "a dry run writes nothing"
+    );
+    fixture.check(&["apply", "--no-wait", "file.jsonc"], (0, &["version 2 was written"], &[]));
+    assert_eq!(fixture.platform.body(SERVICE), Some(edited));
+    fixture
+        .check(&["apply", "--no-wait", "file.jsonc"], (0, &["version 2 has the same text"], &[]));
 }
 
 #[test]
-fn the_second_of_two_editors_is_told_everything() {
-    let desk = Desk::new("conflict");
-    desk.platform.put(SERVICE, DOCUMENT);
+fn a_conflict_shows_both_versions_and_both_diffs() {
+    let fixture = Fixture::new("conflict");
+    fixture.platform.put(SERVICE, DOCUMENT);
     let accepted = json!({ "service": "standings", "version": 1, "document": DOCUMENT });
-    desk.platform.put("accepted/standings", &accepted.to_string());
+    fixture.platform.put("accepted/standings", &accepted.to_string());
     let mine = DOCUMENT.replace("karerang", "mine");
-    desk.write(&format!("{mine}// pomelohill: standings version 1\n"));
+    fixture.write(&format!("{mine}// pomelohill: standings version 1\n"));
     let theirs = DOCUMENT.replace("Laps and penalties", "Theirs");
-    desk.platform.put(SERVICE, &theirs);
-    desk.check(
+    fixture.platform.put(SERVICE, &theirs);
+    fixture.check(
         &["apply", "--no-wait", "file.jsonc"],
         (
             3,
             &[],
             &[
-                "your file is based on version 1, the service has version 3. Nothing was written.",
-                "What they changed:",
+                "your file is based on version 1, the current version is 3. Nothing was written.",
+                "Changes since the base version of your file:",
                 "-  // Laps and penalties.\n+  // Theirs.",
-                "How your file differs from theirs:",
+                "Changes from the current version to your file:",
                 "+  \"team\": \"mine\",",
                 "pomelohill get standings > standings-3.jsonc",
             ],
         ),
     );
-    assert_eq!(desk.platform.body(SERVICE), Some(theirs));
+    assert_eq!(fixture.platform.body(SERVICE), Some(theirs));
 }
 
 #[test]
-fn an_editor_who_is_overtaken_at_the_last_moment_is_told_too() {
-    let desk = Desk::new("overtaken");
-    desk.platform.put(SERVICE, DOCUMENT);
+fn a_change_just_before_the_write_is_a_conflict() {
+    let fixture = Fixture::new("overtaken");
+    fixture.platform.put(SERVICE, DOCUMENT);
     let mine = DOCUMENT.replace("karerang", "mine");
-    desk.write(&mine);
+    fixture.write(&mine);
     let theirs = DOCUMENT.replace("Laps", "Theirs");
-    desk.platform.fail_next(Fault::Overtaken(theirs.clone()));
-    let expected = ["based on version 1, the service has version 2", "+  \"team\": \"mine\","];
-    desk.check(&["apply", "--base", "1", "--no-wait", "file.jsonc"], (3, &[], &expected));
-    assert_eq!(desk.platform.body(SERVICE), Some(theirs));
-    assert_eq!(desk.text(), mine, "the file stays as it was");
+    fixture.platform.fail_next(Fault::ConcurrentWrite(theirs.clone()));
+    let expected = ["based on version 1, the current version is 2", "+  \"team\": \"mine\","];
+    fixture.check(&["apply", "--base", "1", "--no-wait", "file.jsonc"], (3, &[], &expected));
+    assert_eq!(fixture.platform.body(SERVICE), Some(theirs));
+    assert_eq!(fixture.text(), mine, "the file stays as it was");
 }
 
 #[test]
-fn an_answer_lost_after_the_write_is_settled_by_reading() {
-    let desk = Desk::new("lost-answer");
-    desk.write(DOCUMENT);
-    desk.platform.fail_next(Fault::LostAnswer);
-    desk.check(&["apply", "--no-wait", "file.jsonc"], (0, &["version 1 is written"], &[]));
-    assert_eq!(desk.text(), format!("{DOCUMENT}// pomelohill: standings version 1\n"));
+fn a_write_whose_answer_was_lost_counts_as_written() {
+    let fixture = Fixture::new("lost-answer");
+    fixture.write(DOCUMENT);
+    fixture.platform.fail_next(Fault::LostAnswer);
+    fixture.check(&["apply", "--no-wait", "file.jsonc"], (0, &["version 1 was written"], &[]));
+    assert_eq!(fixture.text(), format!("{DOCUMENT}// pomelohill: standings version 1\n"));
 }
 
 #[test]
-fn an_effect_that_stays_unknown_is_said_so() {
-    let desk = Desk::new("unsure");
-    desk.write(DOCUMENT);
-    desk.platform.fail_next(Fault::Down);
+fn an_unavailable_platform_leaves_the_outcome_of_the_write_unknown() {
+    let fixture = Fixture::new("unsure");
+    fixture.write(DOCUMENT);
+    fixture.platform.fail_next(Fault::Down);
     let expected = [
         "update services/standings: no answer from platform",
-        "the document may or may not be written: apply it again to find out",
+        "the document may or may not have been written: run apply again to find out",
     ];
-    desk.check(&["apply", "--no-wait", "file.jsonc"], (4, &[], &expected));
-    assert_eq!(desk.text(), DOCUMENT, "the file stays as it was");
+    fixture.check(&["apply", "--no-wait", "file.jsonc"], (4, &[], &expected));
+    assert_eq!(fixture.text(), DOCUMENT, "the file stays as it was");
 }
 
 #[test]
-fn a_file_without_a_base_overwrites_nothing() {
-    let desk = Desk::new("no-base");
-    desk.platform.put(SERVICE, &DOCUMENT.replace("Laps", "Theirs"));
-    desk.write(DOCUMENT);
-    let expected =
-        ["does not say on which version of standings it is based", "--base 1 file.jsonc"];
-    desk.check(&["apply", "--no-wait", "file.jsonc"], (3, &[], &expected));
-    desk.write(&format!("{DOCUMENT}// pomelohill: lapboard version 1\n"));
-    desk.check(&["apply", "file.jsonc"], (2, &[], &["is based on lapboard"]));
+fn a_file_without_its_own_base_line_is_refused() {
+    let fixture = Fixture::new("no-base");
+    fixture.platform.put(SERVICE, &DOCUMENT.replace("Laps", "Theirs"));
+    fixture.write(DOCUMENT);
+    let expected = [
+        "has no base line, so the version of standings that it is based on is unknown",
+        "--base 1 file.jsonc",
+    ];
+    fixture.check(&["apply", "--no-wait", "file.jsonc"], (3, &[], &expected));
+    fixture.write(&format!("{DOCUMENT}// pomelohill: lapboard version 1\n"));
+    fixture.check(&["apply", "file.jsonc"], (2, &[], &["the base line names service lapboard"]));
 }
 
 #[test]
-fn what_may_not_change_is_found_before_the_write() {
-    let desk = Desk::new("no-change");
-    desk.platform.put(SERVICE, DOCUMENT);
+fn a_change_of_a_fixed_field_is_refused_before_the_write() {
+    let fixture = Fixture::new("no-change");
+    fixture.platform.put(SERVICE, DOCUMENT);
     let accepted = json!({ "service": "standings", "version": 1, "document": DOCUMENT });
-    desk.platform.put("accepted/standings", &accepted.to_string());
-    desk.write(&DOCUMENT.replace("\"keyed\": true", "\"keyed\": false"));
+    fixture.platform.put("accepted/standings", &accepted.to_string());
+    fixture.write(&DOCUMENT.replace("\"keyed\": true", "\"keyed\": false"));
     let expected = "file.jsonc:5:3: keyed: cannot be changed while the service is running; the current value is true.";
-    desk.check(&["apply", "--base", "1", "file.jsonc"], (1, &[], &[expected]));
+    fixture.check(&["apply", "--base", "1", "file.jsonc"], (1, &[], &[expected]));
 }
 
 #[test]
-fn a_refusal_names_its_reasons() {
-    let desk = Desk::new("refused");
-    desk.write(DOCUMENT);
-    desk.platform.answer_next(|version| {
+fn apply_prints_the_reasons_of_a_refused_version() {
+    let fixture = Fixture::new("refused");
+    fixture.write(DOCUMENT);
+    fixture.platform.write_after_next_update(|version| {
         let refused = Some((version, "line 5, column 3: keyed: may not change."));
         vec![("status/standings/0".to_owned(), status(0, 4, refused))]
     });
     let expected =
-        ["version 1 was refused, the former one stays in force:\nline 5, column 3: keyed"];
-    desk.check(&["apply", "file.jsonc"], (1, &["version 1 is written"], &expected));
+        ["version 1 was refused, the previous version stays in force:\nline 5, column 3: keyed"];
+    fixture.check(&["apply", "file.jsonc"], (1, &["version 1 was written"], &expected));
 }
 
 #[test]
-fn a_version_that_is_not_in_force_in_time_is_no_success() {
-    let desk = Desk::new("not-in-force");
-    desk.write(DOCUMENT);
-    desk.platform.answer_next(|version| vec![status_object(version, 3)]);
+fn a_version_not_in_force_within_the_timeout_is_an_error() {
+    let fixture = Fixture::new("not-in-force");
+    fixture.write(DOCUMENT);
+    fixture.platform.write_after_next_update(|version| vec![status_object(version, 3)]);
     let expected = [
         "standings: version 1: in force on 3 of 4 instances",
-        "version 1 is written, but not in force after 0 s: in force on 3 of 4 instances",
+        "version 1 was written, but is not in force everywhere after 0 s: in force on 3 of 4 instances",
     ];
-    desk.check(&["apply", "--timeout-s", "0", "file.jsonc"], (5, &[], &expected));
+    fixture.check(&["apply", "--timeout-s", "0", "file.jsonc"], (5, &[], &expected));
 }
