--- a/crates/client/src/commands/explain.rs
+++ b/crates/client/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: who owns a key, who follows, and why.
+//! `explain`: shows the owner and successors of a key and the reason for the last move.
 
 use model::{Instance, KeyHash, ServiceName, Slot, key_hash};
 use ownership::{Confirmation, Coordinator, Plan};
@@ -17,14 +17,15 @@
     terminal::Terminal,
 };
 
-/// All that the platform holds on a key.
+/// Objects of the platform that concern one key.
 struct KeyReport {
     service: ServiceName,
     key: String,
-    hash: KeyHash,
+    key_hash: KeyHash,
     plan: Plan,
     coordinator: Option<Coordinator>,
     status: Option<GroupStatus>,
+    /// The accepted document and its version.
     document: Option<(u64, ServiceDocument)>,
 }
 
@@ -37,7 +38,7 @@
     let document = document(store, &service).await?;
     if document.as_ref().is_some_and(|it| !it.1.keyed) {
         terminal.print_line(&format!(
-            "{service} is not divided by key: any ready instance answers for {:?}.",
+            "{service} is not sharded by key: any ready instance can serve {:?}.",
             args.key
         ));
         return Ok(());
@@ -69,7 +70,7 @@
         found = Some(decode::<Plan>(&change.path, body)?);
     }
     let Some(plan) = found else {
-        let message = format!("no coordinator has written a plan of {service}");
+        let message = format!("no coordinator has written a plan for service {service}");
         return Err(CommandError::NotFound(message));
     };
     let group = plan.group;
@@ -77,7 +78,7 @@
         coordinator: object(store, &format!("coordinators/{service}/{group}")).await?,
         status: object(store, &status_path(&service, group)).await?,
         key: key.to_owned(),
-        hash: key_hash(key.as_bytes()),
+        key_hash: key_hash(key.as_bytes()),
         service,
         plan,
         document,
@@ -94,12 +95,13 @@
 
 impl KeyReport {
     fn slot(&self) -> Slot {
-        self.plan.slot_count.slot_of(self.hash)
+        self.plan.slot_count.slot_of(self.key_hash)
     }
 
-    /// The planned owner and successors of the key: its own, if it is a hot one.
+    /// Returns the planned owner and successors, and whether the key is a hot key with an entry of its own.
+    /// Other keys share the entry of their slot.
     fn owners(&self) -> (Option<u16>, &[u16], bool) {
-        if let Some(hot) = self.plan.hot_keys.iter().find(|it| it.key_hash == self.hash) {
+        if let Some(hot) = self.plan.hot_keys.iter().find(|it| it.key_hash == self.key_hash) {
             return (hot.owner, &hot.successors, true);
         }
         match self.plan.slots.iter().find(|it| it.slot == self.slot()) {
@@ -114,22 +116,22 @@
 
     fn lines(&self) -> Vec<String> {
         let (owner, successors, is_hot) = self.owners();
-        let hot = if is_hot { ", a hot key with an entry of its own" } else { "" };
+        let hot = if is_hot { ", hot key with its own owner" } else { "" };
         let (plan, slot) = (&self.plan, self.slot());
         let owner =
             owner.and_then(|it| self.member(it)).map_or("none".to_owned(), describe_instance);
         let successors = successors.iter().filter_map(|it| self.member(*it)).map(describe_instance);
         let successors: Vec<String> = successors.collect();
         vec![
-            format!("key          {:?}, hash {:016x}{hot}", self.key, self.hash.0),
+            format!("key          {:?}, hash {:016x}{hot}", self.key, self.key_hash.0),
             format!(
                 "slot         {slot} of {} of {}, group {}",
                 plan.slot_count.count(),
                 self.service,
                 plan.group
             ),
-            format!("owner        {}", self.granted_owner().unwrap_or("not known".to_owned())),
-            format!("planned      {owner}, by plan {} of term {}", plan.version, plan.term),
+            format!("owner        {}", self.granted_owner().unwrap_or("unknown".to_owned())),
+            format!("planned      {owner}, in plan {} of term {}", plan.version, plan.term),
             format!("successors   {}", join_or_none(&successors)),
             format!("lease        {}", self.lease()),
             format!("token        {}", self.token()),
@@ -140,11 +142,11 @@
 
     fn lease(&self) -> String {
         let Some((version, document)) = &self.document else {
-            return "unknown, no document is accepted".to_owned();
+            return "unknown, no document has been accepted".to_owned();
         };
         let limits = &document.ownership;
         format!(
-            "{} ms, renewed each {} ms, by version {version} of the document",
+            "{} ms, renewed every {} ms, from version {version} of the document",
             limits.lease.as_millis(),
             limits.renew_every.as_millis()
         )
@@ -158,10 +160,10 @@
         self.status.as_ref()?.grants.get(usize::from(self.slot().0))
     }
 
-    /// Who holds the slot, or the hot key, by the status.
+    /// Returns the owner of the hot key or of the slot according to the status.
     fn granted_owner(&self) -> Option<String> {
         let status = self.status.as_ref()?;
-        let hot = status.hot_keys.iter().find(|it| it.key_hash == self.hash);
+        let hot = status.hot_keys.iter().find(|it| it.key_hash == self.key_hash);
         if let Some(owner) = hot.and_then(|it| it.owner.as_ref()) {
             return Some(owner.to_string());
         }
@@ -172,8 +174,8 @@
 
     fn token(&self) -> String {
         match self.grant() {
-            Some(it) => format!("{} of the slot's grant", it.token),
-            None => format!("not below {}, by the plan", self.plan.token_floor),
+            Some(it) => format!("{} from the grant of the slot", it.token),
+            None => format!("at least {}, from the plan", self.plan.token_floor),
         }
     }
 
@@ -182,7 +184,7 @@
             (Some(it), _) => {
                 let when = format_age(it.at_unix_ms, now_unix_ms());
                 format!(
-                    "slot {} went to {} {when}: {}",
+                    "slot {} moved to {} {when}: {}",
                     it.slot,
                     it.to,
                     describe_move_reason(&it.reason)
@@ -197,7 +199,7 @@
 
     fn describe_coordinator(&self) -> String {
         let Some(it) = &self.coordinator else { return "none".to_owned() };
-        let settled = if it.settled { "settled" } else { "not settled yet" };
+        let settled = if it.settled { "settled" } else { "not settled" };
         let confirmed = match it.confirmation {
             Confirmation::Witnesses => format!("{} witnesses", it.witnesses.len()),
             Confirmation::Platform => "the platform".to_owned(),
@@ -218,13 +220,13 @@
     }
 }
 
-/// What a reason of a move says.
+/// Describes the reason of a move.
 fn describe_move_reason(reason: &str) -> &str {
     match reason {
-        "first" => "nobody had owned it",
-        "loss" => "the former owner was lost",
-        "leave" => "the former owner was leaving",
-        "rebalance" => "to even out the load",
+        "first" => "it had no owner",
+        "loss" => "the previous owner was lost",
+        "leave" => "the previous owner was leaving",
+        "rebalance" => "load balancing",
         other => other,
     }
 }
--- a/crates/client/src/commands/status.rs
+++ b/crates/client/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what is in force, who owns what, and how it goes.
+//! `status`: shows the accepted version, slot owners and load of services.
 
 use serde::Serialize;
 use settings::{GroupStatus, UpstreamStateName, status_prefix};
@@ -12,12 +12,12 @@
     terminal::Terminal,
 };
 
-/// How many moves a table shows; `--json` prints all that the status holds.
+/// Number of moves shown in the table; `--json` prints all moves of the status.
 const MOVES_SHOWN_MAX: usize = 10;
 
 const STATUS_PREFIX: &str = "status/";
 
-/// What `--json` prints.
+/// The output of `--json`.
 #[derive(Serialize)]
 struct Report<'a> {
     groups: Vec<&'a GroupStatus>,
@@ -38,7 +38,7 @@
     let groups: Vec<&GroupStatus> = statuses.iter().map(|it| &it.1).collect();
     match &args.service {
         Some(service) if groups.is_empty() => {
-            let message = format!("no coordinator has written a status of {service}");
+            let message = format!("no coordinator has written a status for service {service}");
             return Err(CommandError::NotFound(message));
         }
         _ if args.json => {
@@ -100,7 +100,7 @@
 
 fn details(status: &GroupStatus) -> String {
     let coordinator = &status.coordinator;
-    let settled = if coordinator.settled { "settled" } else { "not settled yet" };
+    let settled = if coordinator.settled { "settled" } else { "not settled" };
     let mut parts = vec![format!(
         "\ngroup {}: coordinator {} ({}), term {}, {settled}",
         status.group, coordinator.instance, coordinator.zone, coordinator.term
@@ -141,7 +141,7 @@
         let owner = key.owner.as_ref();
         table.add_row(&[
             format!("{:016x}", key.key_hash.0),
-            owner.map_or("that of its slot".to_owned(), |it| it.to_string()),
+            owner.map_or("owner of its slot".to_owned(), |it| it.to_string()),
         ]);
     }
     table.render()
@@ -162,7 +162,7 @@
     table.render()
 }
 
-/// Load in busy upstream slots: a second of upstream time a second is one.
+/// Formats a load as the mean number of busy upstream slots: 1,000,000 µs per second is one slot.
 fn load(us_per_s: u64) -> String {
     format!("{:.2}", us_per_s as f64 / 1e6)
 }
--- a/crates/client/tests/cli/look.rs
+++ b/crates/client/tests/cli/look.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn status_shows_what_the_coordinator_reports() {
+fn status_prints_the_status_of_each_group() {
     let platform = platform();
     check(
         &platform,
@@ -47,12 +47,12 @@
         &platform,
         &["status", "lapboard"],
         6,
-        &["no coordinator has written a status of lapboard"],
+        &["no coordinator has written a status for service lapboard"],
     );
 }
 
 #[test]
-fn status_is_one_json_object_on_request() {
+fn status_with_json_flag_prints_one_json_object() {
     let out = check(&platform(), &["status", "--json"], 0, &[]);
     let report: Value = serde_json::from_str(&out).unwrap();
     assert_eq!(report["groups"][0]["coordinator"]["term"], 3);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_key_is_explained_from_plan_status_and_document() {
+fn explain_combines_plan_status_and_document() {
     let platform = platform();
     let member = |name: &str, zone: &str, port: u16| {
         let address = |port: u16| format!("127.0.0.1:{port}");
@@ -84,12 +84,12 @@
         &platform,
         &["explain", "standings", "car-7"],
         6,
-        &["no coordinator has written a plan of standings"],
+        &["no coordinator has written a plan for service standings"],
     );
     platform.put("plans/standings/0", &plan.to_string());
     let accepted = json!({ "service": "standings", "version": 12, "document": DOCUMENT });
     platform.put("accepted/standings", &accepted.to_string());
-    // The hash of car-7 lies in slot 3 of 12; slot 5 was moved.
+    // car-7 is in slot 3 of 12; the status lists a move of slot 5 only.
     check(
         &platform,
         &["explain", "standings", "car-7"],
@@ -97,10 +97,10 @@
         &[
             "slot         3 of 12 of standings, group 0",
             "owner        s-1 (pitlane)\n",
-            "planned      s-1 (pitlane), by plan 9 of term 3",
+            "planned      s-1 (pitlane), in plan 9 of term 3",
             "successors   s-2 (scoring-hall)",
-            "lease        750 ms, renewed each 250 ms, by version 12 of the document",
-            "token        3.104 of the slot's grant",
+            "lease        750 ms, renewed every 250 ms, from version 12 of the document",
+            "token        3.104 from the grant of the slot",
             "why          slot 3 is not among the last 1 moves",
             "coordinator  none",
         ],
@@ -108,11 +108,11 @@
 }
 
 #[test]
-fn a_service_that_is_not_divided_has_no_owners() {
+fn explain_of_an_unsharded_service_names_no_owner() {
     let platform = platform();
     let text = DOCUMENT.replace("\"keyed\": true", "\"keyed\": false");
     let accepted = json!({ "service": "standings", "version": 12, "document": text });
     platform.put("accepted/standings", &accepted.to_string());
-    let expected = "standings is not divided by key: any ready instance answers for \"car-7\".";
+    let expected = "standings is not sharded by key: any ready instance can serve \"car-7\".";
     check(&platform, &["explain", "standings", "car-7"], 0, &[expected]);
 }
