--- a/crates/client/src/commands/explain_request.rs
+++ b/crates/client/src/commands/explain_request.rs
@@ -1,4 +1,4 @@
-//! `explain-request`: what became of a request, from the logs of the instances that saw it.
+//! `explain-request`: shows the outcome of a request and its cause, from the logs of the instances that handled it.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -12,33 +12,35 @@
     terminal::Terminal,
 };
 
-/// The target of lines about requests.
+/// Log target of lines about requests.
 const REQUESTS_TARGET: &str = "requests";
-/// The final answer, as the instance writes it that the caller is connected to.
+/// Message for the final answer, logged by the instance that the caller is connected to.
 const ENDED_MESSAGE: &str = "Ended.";
-/// What the gate beside the upstream replied.
+/// Message for the reply of the gate beside the upstream.
 const GATE_REPLIED_MESSAGE: &str = "The gate replied.";
-/// The caller went away.
+/// Message for a request whose caller disconnected.
 const CALLER_LEFT_MESSAGE: &str = "The caller left.";
-/// The request went nowhere.
+/// Message for a request that was invalid and not forwarded.
 const REFUSED_MESSAGE: &str = "Refused.";
-/// The most lines about the instances themselves: more than fit on a screen tell no story.
+/// Maximum number of lines about the instances themselves, so that the output fits on a screen.
 const CONTEXT_LINES_MAX: usize = 40;
 
 pub(crate) fn run(args: &ExplainRequestArgs, terminal: &Terminal) -> Result<(), CommandError> {
     if args.files.is_empty() {
-        return Err(CommandError::Usage("no log is named; see pomelohill --help".to_owned()));
+        return Err(CommandError::Usage("no log file is given; see pomelohill --help".to_owned()));
     }
     let id = id(&args.id)?;
     let found = read_all(&args.files, |it| it.target == REQUESTS_TARGET && it.text("id") == id)?;
     if found.unreadable > 0 {
-        terminal
-            .print_progress(&format!("{} lines are no lines of an agent's log", found.unreadable));
+        terminal.print_progress(&format!(
+            "{} lines are not log records of an agent and were skipped",
+            found.unreadable
+        ));
     }
     let (Some(first), Some(last)) = (found.lines.first(), found.lines.last()) else {
         let message = format!(
-            "no line about request {id}: it went well (such are told at log level \
-             \"info,requests=debug\"), was left out by the rate bound, or went to other instances"
+            "no log line about request {id}: it succeeded (logged only with the log filter \
+             \"info,requests=debug\"), its lines were dropped by the rate limit, or other instances handled it"
         );
         return Err(CommandError::NotFound(message));
     };
@@ -48,7 +50,8 @@
     if context.is_empty() {
         return Ok(());
     }
-    terminal.print_line(&format!("\nWithin {} s, on the instances concerned:", args.around_s));
+    terminal
+        .print_line(&format!("\nOther log lines of these instances within {} s:", args.around_s));
     context.iter().take(CONTEXT_LINES_MAX).for_each(|it| terminal.print_line(&line(it)));
     if context.len() > CONTEXT_LINES_MAX {
         terminal.print_line(&format!("and {} more", context.len() - CONTEXT_LINES_MAX));
@@ -56,25 +59,27 @@
     Ok(())
 }
 
-/// The id as logs have it: lower case, with leading zeros.
+/// Returns the id in the form of the logs: lower case, padded with zeros to 16 digits.
 fn id(text: &str) -> Result<String, CommandError> {
     let number = u128::from_str_radix(text, 16);
-    let number = number.map_err(|_| CommandError::Usage(format!("{text:?} is not hexadecimal")))?;
+    let number = number.map_err(|_| {
+        CommandError::Usage(format!("invalid request id {text:?}: not hexadecimal"))
+    })?;
     Ok(format!("{number:016x}"))
 }
 
 fn read_all(
     files: &[String],
-    wanted: impl Fn(&LogLine) -> bool,
+    is_wanted: impl Fn(&LogLine) -> bool,
 ) -> Result<ScanResult, CommandError> {
     let mut all = ScanResult::default();
     for file in files {
-        all.extend(read_log(file, &wanted)?);
+        all.extend(read_log(file, &is_wanted)?);
     }
     Ok(all)
 }
 
-/// What the instances that had to do with the request decided about the same time.
+/// Returns the other lines of the instances that handled the request, `--around-s` before and after it.
 fn context(
     args: &ExplainRequestArgs,
     request_lines: &[LogLine],
@@ -87,15 +92,15 @@
     let mut instances: BTreeSet<Arc<str>> =
         request_lines.iter().map(|it| Arc::clone(&it.instance)).collect();
     instances.extend(request_lines.iter().map(|it| Arc::from(instance_of(it))));
-    let wanted = |it: &LogLine| {
+    let is_wanted = |it: &LogLine| {
         it.target != REQUESTS_TARGET
             && instances.contains(&it.instance)
             && (from..=to).contains(&it.at)
     };
-    Ok(read_all(&args.files, wanted)?.lines)
+    Ok(read_all(&args.files, is_wanted)?.lines)
 }
 
-/// Time of day, instance, message, fields.
+/// Formats a log line: time of day, instance, message, fields.
 fn line(it: &LogLine) -> String {
     let time = it.at.strftime("%H:%M:%S%.3f");
     let mut line = format!("{time}  {:<24} {}", it.instance, it.message);
@@ -111,12 +116,12 @@
     line
 }
 
-/// The instance whose gate was asked last; logs name it with its incarnation, `name#incarnation`.
+/// Returns the instance that the request was last sent to. Logs name it as `name#incarnation`.
 fn instance_of(it: &LogLine) -> &str {
     it.text("sent_to").split('#').next().unwrap_or_default()
 }
 
-/// What the lines come to, in a sentence or two.
+/// Describes the outcome of the request and its cause in one or two sentences.
 fn cause(lines: &[LogLine]) -> String {
     let last_line_with = |message: &str| lines.iter().rev().find(|it| it.message == message);
     let gate = last_line_with(GATE_REPLIED_MESSAGE);
@@ -127,20 +132,23 @@
         return cause_of_final_answer(ended, lines.iter().rev().find(is_last_gate_reply));
     }
     if let Some(refused) = last_line_with(REFUSED_MESSAGE) {
-        return format!("it was sent nowhere: {}.", refused.text("reason"));
+        return format!(
+            "the request was invalid and not sent to an upstream: {}.",
+            refused.text("reason")
+        );
     }
     match (last_line_with(CALLER_LEFT_MESSAGE), gate) {
         (Some(left), _) => format!(
-            "the caller went away after {} ms; it had last been sent to {}.",
+            "the caller disconnected after {} ms; the request had last been sent to {}.",
             left.number("spent_ms"),
             left.text("sent_to")
         ),
         (None, Some(gate)) => format!(
-            "only the gate of {} has a line, {}: the log of the instance that the caller asked is missing.",
+            "only the gate of {} logged the request, outcome {}: the log of the instance that the caller called is missing.",
             gate.instance,
             gate.text("outcome")
         ),
-        (None, None) => "the lines do not say.".to_owned(),
+        (None, None) => "unknown: the log lines contain no outcome.".to_owned(),
     }
 }
 
@@ -156,55 +164,59 @@
             cause_of_late_answer(ended, gate)
         }
         ("answered", _) => {
-            format!("it was answered, status {}, after {spent_ms} ms.", ended.text("status"))
+            format!("answered with status {} after {spent_ms} ms.", ended.text("status"))
         }
         ("not-run", "overloaded") => {
             let seen = gate.map_or_else(
-                || "the gate's line was left out".to_owned(),
+                || "the log line of its gate is missing".to_owned(),
                 |it| {
-                    format!("{} ran and {} waited there", it.number("running"), it.number("queued"))
+                    format!(
+                        "{} requests ran and {} were queued there",
+                        it.number("running"),
+                        it.number("queued")
+                    )
                 },
             );
             format!(
-                "not run, for {sent_to} had no room for it in time: {seen}. Its caller was told to come back \
-                 after {} ms.",
+                "not run: {sent_to} was overloaded and could not run it in time; {seen}. The caller was asked to \
+                 retry after {} ms.",
                 ended.number("come_back_ms")
             )
         }
         ("not-run", "no-owner") => {
-            "not run, for nobody owned its key: look for a lost instance, a session that \
-             ended or a term that was not settled."
+            "not run: its key had no owner. Look for a lost instance, an ended session \
+             or a term that was not settled."
                 .to_owned()
         }
         ("not-run", "not-owner") => {
-            "not run, for the routes were older than the owner of its key, three times \
+            "not run: outdated routes sent it to instances that did not own its key, three times \
              in a row."
                 .to_owned()
         }
         ("not-run", "draining") => {
-            "not run, for the instances that could run it were leaving.".to_owned()
+            "not run: the instances that could run it were draining.".to_owned()
         }
-        ("not-run", "unreachable") => format!("not run, for there was no connection to {sent_to}."),
+        ("not-run", "unreachable") => format!("not run: there was no connection to {sent_to}."),
         ("not-run", "deadline-exceeded") => {
             format!(
-                "not run: its time was over after {spent_ms} ms, before an upstream was given it."
+                "not run: its deadline passed after {spent_ms} ms, before it was sent to an upstream."
             )
         }
-        ("not-run", "refused") => format!("not run, for the upstream beside {sent_to} refused it."),
+        ("not-run", "refused") => format!("not run: the upstream beside {sent_to} refused it."),
         ("unknown", "connection-lost") if gate.is_some() => format!(
             "unknown whether it ran: the connection between the gate of {sent_to} and its upstream broke."
         ),
         ("unknown", "connection-lost") => format!(
-            "unknown whether it ran: the link to {sent_to} broke, or its process ended; its gate has no line."
+            "unknown whether it ran: the link to {sent_to} broke, or its process ended; its gate logged nothing."
         ),
         ("unknown", "deadline-exceeded") => {
-            format!("it was still at work beside {sent_to} at its deadline, after {spent_ms} ms.")
-        }
-        ("unknown", "broken-answer") => {
             format!(
-                "unknown whether it ran: the answer of the upstream beside {sent_to} was broken."
+                "outcome unknown: it was still running beside {sent_to} at its deadline, after {spent_ms} ms."
             )
         }
+        ("unknown", "broken-answer") => {
+            format!("unknown whether it ran: the upstream beside {sent_to} sent an invalid answer.")
+        }
         _ => format!("{}.", ended.text("outcome")),
     }
 }
@@ -215,20 +227,20 @@
     let sent_to = ended.text("sent_to");
     if tries > 1 {
         return format!(
-            "answered late, after {spent_ms} ms: {} refused it before {sent_to} took it.",
+            "answered late, after {spent_ms} ms: {} attempts were refused before {sent_to} accepted it.",
             tries - 1
         );
     }
     match gate {
         Some(gate) => format!(
-            "answered late: {} of its {spent_ms} ms went at {sent_to}, behind {} that waited and beside {} that ran.",
+            "answered late: {} of its {spent_ms} ms were spent at {sent_to}, with {} requests queued and {} running there.",
             gate.number("spent_ms"),
             gate.number("queued"),
             gate.number("running")
         ),
         None => format!(
-            "answered late, after {spent_ms} ms: it waited or ran long at {sent_to}, where a queue \
-             (`pomelohill_gate_queued`) or keys moved within seconds before tell which."
+            "answered late, after {spent_ms} ms: it was queued or ran for a long time at {sent_to}. A queue there \
+             (`pomelohill_gate_queued`) or keys moved shortly before show which."
         ),
     }
 }
