--- a/crates/client/src/commands/check.rs
+++ b/crates/client/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: a file is checked as a whole, without the platform.
+//! `check`: checks a document or an agent's settings without the platform.
 
 use settings::{AgentSettings, Problems, ServiceDocument};
 
@@ -13,7 +13,7 @@
         format!("agent {} of service {}", settings.instance, settings.service)
     } else {
         let document = ServiceDocument::parse(&text).map_err(problems)?;
-        let kind = if document.keyed { "divided by key" } else { "not divided by key" };
+        let kind = if document.keyed { "sharded by key" } else { "not sharded by key" };
         let routes = document.routes.len();
         format!("service {} of team {}, {kind}, {routes} routes", document.service, document.team)
     };
--- a/crates/client/src/commands/mod.rs
+++ b/crates/client/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The commands.
 
 mod apply;
 mod check;
@@ -16,7 +16,7 @@
 
 use crate::{args::Command, error::CommandError, retry::RetryingStore, terminal::Terminal};
 
-/// Names the platform's address if the command line does not.
+/// Environment variable with the platform's address, used without `--platform`.
 const PLATFORM_VARIABLE: &str = "POMELOHILL_PLATFORM";
 
 pub(crate) async fn run(
@@ -39,19 +39,20 @@
 fn store(platform: Option<String>) -> Result<RetryingStore, CommandError> {
     let given = platform.or_else(|| env::var(PLATFORM_VARIABLE).ok());
     let Some(text) = given else {
-        let message =
-            format!("no platform is named: use --platform IP:PORT or {PLATFORM_VARIABLE}");
+        let message = format!(
+            "no platform address is given: use --platform IP:PORT or set {PLATFORM_VARIABLE}"
+        );
         return Err(CommandError::Usage(message));
     };
     let address: SocketAddr = text.parse().map_err(|_| {
-        CommandError::Usage(format!("{text:?} is no IP:PORT; names are not looked up"))
+        CommandError::Usage(format!("{text:?} is not IP:PORT; host names are not supported"))
     })?;
     RetryingStore::new(address)
 }
 
 fn service_name(text: &str) -> Result<ServiceName, CommandError> {
     ServiceName::new(text)
-        .map_err(|error| CommandError::Usage(format!("{text:?} is no name of a service: {error}")))
+        .map_err(|error| CommandError::Usage(format!("invalid service name {text:?}: {error}")))
 }
 
 fn read_file(path: &str) -> Result<String, CommandError> {
--- a/crates/client/tests/cli/check.rs
+++ b/crates/client/tests/cli/check.rs
@@ -4,7 +4,7 @@
 
 use crate::{DOCUMENT, assert_has, folder, run};
 
-/// Runs without a platform; `expected` is the exit code and parts of standard output and error.
+/// Runs a command without a platform. `expected` holds the exit code and parts of standard output and error.
 #[track_caller]
 fn check(name: &str, text: &str, arguments: &[&str], expected: (i32, &[&str], &[&str])) {
     let folder = folder(name);
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn a_sound_document_is_named() {
+fn a_valid_document_is_summarized() {
     let expected =
-        "file.jsonc: service standings of team karerang, divided by key, 1 routes: no problems.";
-    check("sound", DOCUMENT, &["check", "file.jsonc"], (0, &[expected], &[]));
+        "file.jsonc: service standings of team karerang, sharded by key, 1 routes: no problems.";
+    check("valid", DOCUMENT, &["check", "file.jsonc"], (0, &[expected], &[]));
 }
 
 #[test]
-fn all_problems_come_at_once_with_their_places() {
+fn all_problems_are_listed_with_line_and_column() {
     let text = DOCUMENT.replace("\"keyed\": true", "\"keyd\": 1, \"slot_count\": 0");
     let expected = [
         "pomelohill: file.jsonc:1:1: keyed: this required field is missing.",
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn settings_of_an_agent_are_checked_too() {
+fn check_with_agent_flag_checks_settings_of_an_agent() {
     let expected = "instance: this required field is missing.";
     check("agent", "{}", &["check", "--agent", "file.jsonc"], (1, &[], &[expected]));
 }
 
 #[test]
-fn mistakes_on_the_command_line_have_a_sentence_each() {
+fn each_command_line_error_has_its_message() {
     let wrong = |arguments: &[&str], code: i32, expected: &str| {
         check("wrong", DOCUMENT, arguments, (code, &[], &[expected]));
     };
@@ -52,18 +52,22 @@
     wrong(
         &["get", "standings"],
         2,
-        "no platform is named: use --platform IP:PORT or POMELOHILL_PLATFORM",
+        "no platform address is given: use --platform IP:PORT or set POMELOHILL_PLATFORM",
+    );
+    wrong(
+        &["--platform", "localhost:1", "get", "standings"],
+        2,
+        "\"localhost:1\" is not IP:PORT; host names are not supported",
     );
-    wrong(&["--platform", "localhost:1", "get", "standings"], 2, "\"localhost:1\" is no IP:PORT");
     wrong(
         &["--platform", "127.0.0.1:1", "get", "Standings"],
         2,
-        "\"Standings\" is no name of a service",
+        "invalid service name \"Standings\": ",
     );
 }
 
 #[test]
-fn help_has_examples_and_exit_codes() {
+fn help_shows_examples_and_exit_codes() {
     let expected =
         ["Usage: pomelohill", "pomelohill apply standings.jsonc", "Exit codes:", "explain"];
     check("help", DOCUMENT, &["--help"], (0, &expected, &[]));
@@ -76,8 +80,8 @@
 }
 
 #[test]
-fn nobody_at_the_platforms_address_is_told() {
+fn an_unreachable_platform_is_an_error() {
     let expected = "read services/standings: no answer from platform 127.0.0.1:1";
     let arguments = ["--platform", "127.0.0.1:1", "get", "standings"];
-    check("nobody", DOCUMENT, &arguments, (4, &[], &[expected]));
+    check("unreachable", DOCUMENT, &arguments, (4, &[], &[expected]));
 }
