--- a/crates/client/src/commands/zone.rs
+++ b/crates/client/src/commands/zone.rs
@@ -1,4 +1,4 @@
-//! `zone`: which availability zones are closed; closes and opens them.
+//! `zone`: lists closed availability zones; closes and opens zones.
 
 use bytes::Bytes;
 use model::{ObjectVersion, Zone};
@@ -18,28 +18,28 @@
 ) -> Result<(), CommandError> {
     let closed = match (args.close, args.open) {
         (true, true) => {
-            return Err(CommandError::Usage("close it or open it, not both".to_owned()));
+            return Err(CommandError::Usage("--close and --open exclude each other".to_owned()));
         }
         (false, false) => None,
         (close, _) => Some(close),
     };
     match (&args.zone, closed) {
-        (Some(zone), Some(closed)) => set(store, &zone_name(zone)?, closed, terminal).await,
-        (None, Some(_)) => Err(CommandError::Usage("name the zone".to_owned())),
+        (Some(zone), Some(closed)) => set_closed(store, &zone_name(zone)?, closed, terminal).await,
+        (None, Some(_)) => Err(CommandError::Usage("no zone is given".to_owned())),
         (zone, None) => {
             let zone = zone.as_deref().map(zone_name).transpose()?;
-            show(store, zone.as_ref(), terminal).await
+            show_zones(store, zone.as_ref(), terminal).await
         }
     }
 }
 
 fn zone_name(text: &str) -> Result<Zone, CommandError> {
     Zone::new(text)
-        .map_err(|error| CommandError::Usage(format!("{text:?} is no name of a zone: {error}")))
+        .map_err(|error| CommandError::Usage(format!("invalid zone name {text:?}: {error}")))
 }
 
-/// Zones that were never closed have no object.
-async fn show(
+/// Prints whether a zone is closed, or all closed zones. A zone without an object is open.
+async fn show_zones(
     store: &RetryingStore,
     zone: Option<&Zone>,
     terminal: &Terminal,
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-async fn set(
+async fn set_closed(
     store: &RetryingStore,
     zone: &Zone,
     closed: bool,
@@ -72,7 +72,7 @@
     let state = if closed { "closed" } else { "open" };
     let known = current.as_ref().map(|it| decode::<ZoneObject>(&path, &it.body)).transpose()?;
     if known.is_some_and(|it| it.closed) == closed {
-        terminal.print_line(&format!("{zone} is {state} already, nothing is written."));
+        terminal.print_line(&format!("{zone} is {state} already; nothing was written."));
         return Ok(());
     }
     let expected = current.map_or(ObjectVersion(0), |it| it.version);
@@ -82,8 +82,8 @@
             terminal.print_line(&format!("{zone} is {state}."));
             Ok(())
         }
-        UpdateResult::Conflict => {
-            Err(CommandError::Conflict(format!("somebody else has just changed zone {zone}")))
-        }
+        UpdateResult::Conflict => Err(CommandError::Conflict(format!(
+            "another writer changed zone {zone}; nothing was written"
+        ))),
     }
 }
--- a/crates/client/tests/cli/zone.rs
+++ b/crates/client/tests/cli/zone.rs
@@ -1,4 +1,4 @@
-//! `zone`.
+//! `zone`: lists, closes and opens availability zones.
 
 use std::path::Path;
 
@@ -13,11 +13,11 @@
 }
 
 #[test]
-fn a_zone_is_closed_shown_and_opened_again() {
+fn zones_can_be_closed_listed_and_opened() {
     let platform = FakePlatform::start();
     check(&platform, &["zone"], 0, &["No zone is closed."]);
     check(&platform, &["zone", "--close", "pitlane"], 0, &["pitlane is closed."]);
-    check(&platform, &["zone", "--close", "pitlane"], 0, &["closed already, nothing is written."]);
+    check(&platform, &["zone", "--close", "pitlane"], 0, &["closed already; nothing was written."]);
     check(&platform, &["zone"], 0, &["pitlane is closed."]);
     check(&platform, &["zone", "scoring-hall"], 0, &["scoring-hall is open."]);
     check(&platform, &["zone", "--open", "pitlane"], 0, &["pitlane is open."]);
@@ -25,10 +25,15 @@
 }
 
 #[test]
-fn what_makes_no_sense_changes_nothing() {
+fn invalid_arguments_change_nothing() {
     let platform = FakePlatform::start();
-    check(&platform, &["zone", "--close"], 2, &["name the zone"]);
-    check(&platform, &["zone", "--close", "--open", "pitlane"], 2, &["not both"]);
-    check(&platform, &["zone", "--close", "a/b"], 2, &["is no name of a zone"]);
+    check(&platform, &["zone", "--close"], 2, &["no zone is given"]);
+    check(
+        &platform,
+        &["zone", "--close", "--open", "pitlane"],
+        2,
+        &["--close and --open exclude each other"],
+    );
+    check(&platform, &["zone", "--close", "a/b"], 2, &["invalid zone name \"a/b\": "]);
     check(&platform, &["zone"], 0, &["No zone is closed."]);
 }
