--- a/crates/agent/src/links/traffic/serve.rs
+++ b/crates/agent/src/links/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! Requests of a peer that this side works on.
+//! Runs the requests received from a peer.
 
 use std::{
     collections::HashMap,
@@ -18,42 +18,42 @@
     request::{GateReply, ReplyWithLoad, headers_to_wire},
 };
 
-/// Running requests of one link.
+/// The tasks of one link's running requests.
 #[derive(Debug, Default)]
-pub(super) struct Served(Mutex<HashMap<CorrelationId, AbortHandle>>);
+pub(super) struct RunningRequests(Mutex<HashMap<CorrelationId, AbortHandle>>);
 
-impl Served {
-    fn table(&self) -> MutexGuard<'_, HashMap<CorrelationId, AbortHandle>> {
+impl RunningRequests {
+    fn tasks(&self) -> MutexGuard<'_, HashMap<CorrelationId, AbortHandle>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends the reply when it comes. Cancelling drops the request on its way.
+    /// Spawns a task that runs a request and sends its reply. Cancelling the request aborts the task.
     pub(super) fn start(
-        self: &Arc<Served>,
+        self: &Arc<RunningRequests>,
         link: &Arc<Link>,
         id: CorrelationId,
-        serving: ReplyFuture,
+        reply_future: ReplyFuture,
     ) {
-        let (served, link) = (Arc::clone(self), Arc::clone(link));
-        let mut table = self.table();
+        let (running, link) = (Arc::clone(self), Arc::clone(link));
+        let mut tasks = self.tasks();
         let task = tokio::spawn(async move {
-            let ReplyWithLoad { reply, load } = serving.await;
+            let ReplyWithLoad { reply, load } = reply_future.await;
             send(&link, id, reply, load).await;
-            served.table().remove(&id);
+            running.tasks().remove(&id);
         });
-        table.insert(id, task.abort_handle());
+        tasks.insert(id, task.abort_handle());
     }
 
     pub(super) fn cancel(&self, id: CorrelationId) {
-        if let Some(task) = self.table().remove(&id) {
+        if let Some(task) = self.tasks().remove(&id) {
             task.abort();
         }
     }
 }
 
-impl Drop for Served {
+impl Drop for RunningRequests {
     fn drop(&mut self) {
-        for task in self.table().values() {
+        for task in self.tasks().values() {
             task.abort();
         }
     }
@@ -76,7 +76,7 @@
             let reason = match outcome {
                 Outcome::NotRun(reason) => FailureReason::NotRun(reason),
                 Outcome::Unknown(reason) => FailureReason::Unknown(reason),
-                Outcome::Answered => unreachable!("an answer has its own reply"),
+                Outcome::Answered => unreachable!("an answered request has the reply `Answered`"),
             };
             let retry_after_ms =
                 retry_after.map(|it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX));
@@ -86,6 +86,6 @@
             (Frame::NotOwner(NotOwner { id, owner, route_version }), Bytes::new())
         }
     };
-    // A link that has ended fails the request at the other side.
+    // If the link is closed, the peer fails the request by itself.
     drop(link.send(head, id, &body, first_len(&body), None).await);
 }
--- a/crates/client/tests/cli/apply.rs
+++ b/crates/client/tests/cli/apply.rs
@@ -196,7 +196,8 @@
     let accepted = json!({ "service": "standings", "version": 1, "document": DOCUMENT });
     fixture.platform.put("accepted/standings", &accepted.to_string());
     fixture.write(&DOCUMENT.replace("\"keyed\": true", "\"keyed\": false"));
-    let expected = "file.jsonc:5:3: keyed: cannot be changed while the service is running; the current value is true.";
+    let expected =
+        "file.jsonc:5:3: keyed: cannot change while the service runs; the current value is true.";
     fixture.check(&["apply", "--base", "1", "file.jsonc"], (1, &[], &[expected]));
 }
 
--- a/crates/settings/src/document/rules.rs
+++ b/crates/settings/src/document/rules.rs
@@ -68,23 +68,18 @@
     let raw = &parsed.raw;
     let mut checker = RuleChecker { source: &parsed.source, problems };
     checker.require(raw.keyed == previous.keyed, "keyed", || {
-        format!(
-            "cannot be changed while the service is running; the current value is {}.",
-            previous.keyed
-        )
+        format!("cannot change while the service runs; the current value is {}.", previous.keyed)
     });
     let slot_count = previous.slot_count.count();
     checker.require(raw.slot_count == slot_count, "slot_count", || {
-        format!(
-            "cannot be changed while the service is running; the current value is {slot_count}."
-        )
+        format!("cannot change while the service runs; the current value is {slot_count}.")
     });
     let ordered_keys = previous.ordered_keys.map(OrderedKeys::count);
     checker.require(raw.ordered_keys == ordered_keys, "ordered_keys", || match ordered_keys {
         Some(count) => {
-            format!("cannot be changed while the service is running; the current value is {count}.")
+            format!("cannot change while the service runs; the current value is {count}.")
         }
-        None => "cannot be set while the service is running.".to_owned(),
+        None => "cannot be set while the service runs.".to_owned(),
     });
 }
 
@@ -139,7 +134,7 @@
             "requires enforces_leases, since the upstream receives no grants without it.".to_owned()
         });
         self.require(key_count.is_none() || raw.keyed, "ordered_keys", || {
-            "requires keyed: true.".to_owned()
+            "can only be set if keyed is true.".to_owned()
         });
         let has_enough_keys = key_count.is_none_or(|it| it >= u32::from(raw.slot_count));
         self.require(has_enough_keys, "ordered_keys", || {
@@ -295,7 +290,7 @@
         };
         match (&key.header, &key.segment) {
             _ if !raw.keyed => {
-                self.report(field, "requires keyed: true.");
+                self.report(field, "can only be set if keyed is true.");
                 None
             }
             (Some(name), None) => self.check_header(name, &format!("{field}.header")),
--- a/crates/settings/src/objects.rs
+++ b/crates/settings/src/objects.rs
@@ -157,7 +157,7 @@
     pub owners: Vec<OwnerStatus>,
     pub upstreams: Vec<UpstreamStatus>,
     /// The grant of each slot, in slot order. Empty for services without keys and for groups of
-    /// more than [`GRANTS_MAX`] slots.
+    /// more than [`STATUS_GRANTS_MAX`] slots.
     #[serde(default)]
     pub grants: Vec<GrantStatus>,
     pub hot_keys: Vec<HotKeyStatus>,
@@ -184,7 +184,7 @@
 pub struct RefusedDocument {
     /// Object version of `services/S`.
     pub version: ConfigVersion,
-    /// The problems of the document, each with line, column and field.
+    /// Description of each problem, with line, column and field if it concerns the text.
     pub reasons: Vec<String>,
 }
 
@@ -206,7 +206,7 @@
     pub instance: InstanceName,
     pub zone: Zone,
     pub slots: u32,
-    /// Microseconds of service time per second.
+    /// Upstream time of its requests, in microseconds per second.
     pub load_us_per_s: u64,
     /// Version of the document in force on the instance.
     pub config: ConfigVersion,
@@ -236,7 +236,7 @@
 }
 
 /// The largest number of slots for which a status lists the grants.
-pub const GRANTS_MAX: usize = 512;
+pub const STATUS_GRANTS_MAX: usize = 512;
 
 /// Current grant of a slot. Written as `[owner, term, sequence]`, which keeps a status with
 /// hundreds of slots short.
--- a/crates/wire/src/exchange/envelope.rs
+++ b/crates/wire/src/exchange/envelope.rs
@@ -1,65 +1,51 @@
-//! One message on a control link.
+//! Messages on a control link.
 
 use model::{ConfigVersion, GroupId, ServiceName};
 use serde::{Deserialize, Serialize};
 
 use crate::{CodecError, decode, encode, exchange::RouteTable};
 
-/// The longest document that is sent, in bytes; the platform holds values of a megabyte.
+/// Longest document that is accepted. The platform stores values of up to a megabyte.
 const DOCUMENT_BYTES_MAX: usize = 1 << 20;
-/// The most versions in one message.
+/// Largest number of versions in a message.
 const VERSIONS_MAX: usize = 1024;
 
-/// One message between two control threads.
+/// Message between two control threads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Envelope {
-    /// An encoded `ownership::Message` of one group.
-    Group {
-        service: ServiceName,
-        group: GroupId,
-        payload: Vec<u8>,
-    },
-    /// Asks for the document in force.
-    FetchDocument {
-        service: ServiceName,
-    },
-    /// The document in force, as its team wrote it.
-    Document {
-        service: ServiceName,
-        version: ConfigVersion,
-        text: String,
-    },
-    /// Accepted versions that the sender knows of.
+    /// Encoded `ownership::Message` of a group.
+    Group { service: ServiceName, group: GroupId, payload: Vec<u8> },
+    /// Requests the document in force.
+    FetchDocument { service: ServiceName },
+    /// Unmodified text of the document in force.
+    Document { service: ServiceName, version: ConfigVersion, text: String },
+    /// Announces the newest accepted versions known to the sender.
     Versions(Vec<(ServiceName, ConfigVersion)>),
-    /// Asks any member of a service for its routes, unless they are those of `known_version`.
-    FetchRoutes {
-        service: ServiceName,
-        known_version: u64,
-    },
+    /// Requests the routes of a service from any of its members, unless they still have version
+    /// `known_version`.
+    FetchRoutes { service: ServiceName, known_version: u64 },
+    /// Reply to `FetchRoutes`, with the routes.
     Routes(RouteTable),
-    /// The routes are those of this version still.
-    RoutesUnchanged {
-        service: ServiceName,
-        version: u64,
-        config: ConfigVersion,
-    },
+    /// Reply to `FetchRoutes`: the routes still have this version.
+    RoutesUnchanged { service: ServiceName, version: u64, config: ConfigVersion },
 }
 
 impl Envelope {
     pub fn encode(self) -> Vec<u8> {
-        encode(&Wire::from(self))
+        encode(&WireEnvelope::from(self))
     }
 
-    /// Decodes a message of a peer.
+    /// Decodes and checks a message of a peer.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, CodecError> {
-        Envelope::try_from(decode::<Wire>(bytes)?)
+        Envelope::try_from(decode::<WireEnvelope>(bytes)?)
     }
 }
 
-/// The CBOR form; the short names spare bytes, since a renewal travels in each of these.
+/// CBOR form of an envelope. Names are short, since every lease renewal is sent in a `Group`
+/// envelope.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-enum Wire {
+enum WireEnvelope {
     #[serde(rename = "g")]
     Group {
         #[serde(rename = "s")]
@@ -87,52 +73,54 @@
     RoutesUnchanged { service: ServiceName, version: u64, config: ConfigVersion },
 }
 
-impl From<Envelope> for Wire {
-    fn from(envelope: Envelope) -> Wire {
+impl From<Envelope> for WireEnvelope {
+    fn from(envelope: Envelope) -> WireEnvelope {
         match envelope {
-            Envelope::Group { service, group, payload } => Wire::Group { service, group, payload },
-            Envelope::FetchDocument { service } => Wire::FetchDocument { service },
+            Envelope::Group { service, group, payload } => {
+                WireEnvelope::Group { service, group, payload }
+            }
+            Envelope::FetchDocument { service } => WireEnvelope::FetchDocument { service },
             Envelope::Document { service, version, text } => {
-                Wire::Document { service, version, text }
+                WireEnvelope::Document { service, version, text }
             }
-            Envelope::Versions(versions) => Wire::Versions { versions },
+            Envelope::Versions(versions) => WireEnvelope::Versions { versions },
             Envelope::FetchRoutes { service, known_version } => {
-                Wire::FetchRoutes { service, known_version }
+                WireEnvelope::FetchRoutes { service, known_version }
             }
-            Envelope::Routes(table) => Wire::Routes { table },
+            Envelope::Routes(table) => WireEnvelope::Routes { table },
             Envelope::RoutesUnchanged { service, version, config } => {
-                Wire::RoutesUnchanged { service, version, config }
+                WireEnvelope::RoutesUnchanged { service, version, config }
             }
         }
     }
 }
 
-impl TryFrom<Wire> for Envelope {
+impl TryFrom<WireEnvelope> for Envelope {
     type Error = CodecError;
 
-    fn try_from(wire: Wire) -> Result<Envelope, CodecError> {
+    fn try_from(wire: WireEnvelope) -> Result<Envelope, CodecError> {
         match wire {
-            Wire::Group { service, group, payload } => {
+            WireEnvelope::Group { service, group, payload } => {
                 Ok(Envelope::Group { service, group, payload })
             }
-            Wire::FetchDocument { service } => Ok(Envelope::FetchDocument { service }),
-            Wire::Document { text, .. } if text.len() > DOCUMENT_BYTES_MAX => {
-                Err(invalid("text", format!("{} bytes", text.len())))
+            WireEnvelope::FetchDocument { service } => Ok(Envelope::FetchDocument { service }),
+            WireEnvelope::Document { text, .. } if text.len() > DOCUMENT_BYTES_MAX => {
+                Err(invalid("text", format!("{} bytes are too many", text.len())))
             }
-            Wire::Document { service, version, text } => {
+            WireEnvelope::Document { service, version, text } => {
                 Ok(Envelope::Document { service, version, text })
             }
-            Wire::Versions { versions } if versions.len() > VERSIONS_MAX => {
-                Err(invalid("versions", format!("{} of them", versions.len())))
+            WireEnvelope::Versions { versions } if versions.len() > VERSIONS_MAX => {
+                Err(invalid("versions", format!("{} entries are too many", versions.len())))
             }
-            Wire::Versions { versions } => Ok(Envelope::Versions(versions)),
-            Wire::FetchRoutes { service, known_version } => {
+            WireEnvelope::Versions { versions } => Ok(Envelope::Versions(versions)),
+            WireEnvelope::FetchRoutes { service, known_version } => {
                 Ok(Envelope::FetchRoutes { service, known_version })
             }
-            Wire::RoutesUnchanged { service, version, config } => {
+            WireEnvelope::RoutesUnchanged { service, version, config } => {
                 Ok(Envelope::RoutesUnchanged { service, version, config })
             }
-            Wire::Routes { table } => {
+            WireEnvelope::Routes { table } => {
                 table.check().map_err(|reason| invalid("table", reason))?;
                 Ok(Envelope::Routes(table))
             }
