--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -1,13 +1,14 @@
-//! Real processes under faults that overlap, for as long as is asked for, judged by what callers and
-//! upstreams have seen.
+//! Soak test: real processes under overlapping faults for a given time, checked by the journals of
+//! callers and upstreams.
 //!
-//! What is asserted are promises that hold at any time: an answer is one's own and whole, what may not be
-//! repeated runs once, "not run" is true, one owner for each key, a planned stop cuts nothing off; and once the
-//! faults are over each key is served again.
+//! It checks invariants that hold at any time: a response is complete and belongs to its request, a
+//! request that is not idempotent runs at most once, a request reported as "not run" has not run, each
+//! key has one owner, a graceful stop aborts no request. After the faults each key has to be served
+//! again.
 
 mod faults;
 mod harmful;
-mod lane;
+mod injector;
 mod proxy;
 mod verdict;
 
@@ -21,21 +22,22 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
-    cluster::{Binaries, Cluster, Ports, Profile, ServiceSpec},
-    demo::{Callers, SERVICES, evidence::Evidence, line, load::probed_keys},
-    turn,
+    cluster::{Binaries, Cluster, PortAllocator, Profile, ServiceSpec},
+    demo::{Callers, SERVICES, evidence::Evidence, load::probed_keys, print_line},
+    run_lock,
 };
 
 use self::{harmful::HARMFUL_KEY, proxy::Proxy, verdict::Violation};
 
-/// Faults that strike at a time.
-const LANES: usize = 3;
-/// The first faults come once all callers are at work.
-const FIRST_FAULT: Duration = Duration::from_secs(2);
-/// What is left to recover after the last fault: a lease, a takeover and the starts of processes.
-const RECOVERY: Duration = Duration::from_secs(10);
-/// For so long after that each key is asked for, and has to be served.
-const CHECKED: Duration = Duration::from_secs(5);
+/// Number of fault injectors that run concurrently.
+const CONCURRENT_INJECTORS: usize = 3;
+/// Time from the start of the callers to the fault period, so that all callers are running by then.
+const FIRST_FAULT_AFTER: Duration = Duration::from_secs(2);
+/// Time to recover after the fault period: long enough for a lease to expire, a takeover, and the
+/// start of processes.
+const RECOVERY_PERIOD: Duration = Duration::from_secs(10);
+/// Time after the recovery in which each key is requested and has to be served.
+const CHECK_PERIOD: Duration = Duration::from_secs(5);
 const VIOLATIONS_SHOWN: usize = 20;
 
 /// Flags of `cargo xtask soak`.
@@ -44,21 +46,21 @@
 pub(crate) struct SoakOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "what the faults are drawn from; at random if left out")]
+    #[options(no_short, help = "seed of the faults; random if left out")]
     seed: Option<u64>,
-    #[options(no_short, help = "for how many minutes faults strike", default = "1")]
+    #[options(no_short, help = "minutes for which faults are injected", default = "1")]
     minutes: f64,
     #[options(no_short, help = "print one JSON object as the last line")]
     json: bool,
 }
 
-/// What a soak came to.
+/// Report of a soak test.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct Report {
     seed: u64,
     minutes: f64,
-    /// Processes started over the whole run.
+    /// Number of processes started over the whole run.
     processes: usize,
     requests: usize,
     answered: usize,
@@ -66,48 +68,56 @@
     violations: usize,
 }
 
-/// Runs the soak; the exit code tells whether the promises held.
+/// Runs the soak test; the exit code is a success if no invariant was violated.
 pub(crate) async fn run(options: SoakOptions) -> anyhow::Result<ExitCode> {
-    anyhow::ensure!(options.minutes > 0.0, "--minutes: {} is no time to run for", options.minutes);
+    anyhow::ensure!(
+        options.minutes > 0.0,
+        "--minutes: expected a positive number, got {}",
+        options.minutes
+    );
     let binaries = Binaries::build(Profile::Dev)?;
-    let _turn = turn::wait().await?;
+    let _run_lock = run_lock::acquire().await?;
     let seed = options.seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    line(&format!("seed {seed}"))?;
-    let mut ports = Ports::new();
+    print_line(&format!("seed {seed}"))?;
+    let mut ports = PortAllocator::new();
     let mut cluster = Cluster::prepare(&services(), &binaries, &mut ports, seed).await?;
-    let (report, violations) = match play(&mut cluster, &mut ports, &binaries, seed, &options).await
-    {
-        Ok(done) => done,
-        Err(error) => {
-            cluster.dir.keep();
-            line(&format!("logs and journals are in {}", cluster.dir.path().display()))?;
-            return Err(error.context(format!("seed {seed}")));
-        }
-    };
+    let (report, violations) =
+        match run_scenario(&mut cluster, &mut ports, &binaries, seed, &options).await {
+            Ok(done) => done,
+            Err(error) => {
+                cluster.dir.keep();
+                print_line(&format!("logs and journals are in {}", cluster.dir.path().display()))?;
+                return Err(error.context(format!("seed {seed}")));
+            }
+        };
     for it in violations.iter().take(VIOLATIONS_SHOWN) {
-        line(&format!("broken: {it}"))?;
+        print_line(&format!("violated: {it}"))?;
     }
     if !violations.is_empty() {
         cluster.dir.keep();
-        line(&format!("seed {seed}; logs and journals are in {}", cluster.dir.path().display()))?;
+        print_line(&format!(
+            "seed {seed}; logs and journals are in {}",
+            cluster.dir.path().display()
+        ))?;
     }
-    line(if violations.is_empty() { "all promises held" } else { "promises broken" })?;
+    print_line(if violations.is_empty() { "all invariants held" } else { "invariants violated" })?;
     if options.json {
-        line(&serde_json::to_string(&report)?)?;
+        print_line(&serde_json::to_string(&report)?)?;
     }
     Ok(if violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// One service with a token check of its upstreams and one without, and one that is not divided by key.
+/// Selects a service whose upstreams check fence tokens, one whose upstreams do not, and one that is
+/// not sharded by key.
 fn services() -> Vec<ServiceSpec> {
     let wanted = ["standings", "avaliacao", "racecontrol"];
     let is_wanted = |it: &&ServiceSpec| wanted.iter().any(|name| it.document.contains(name));
     SERVICES.iter().filter(is_wanted).cloned().collect()
 }
 
-async fn play(
+async fn run_scenario(
     cluster: &mut Cluster,
-    ports: &mut Ports,
+    ports: &mut PortAllocator,
     binaries: &Binaries,
     seed: u64,
     options: &SoakOptions,
@@ -116,27 +126,29 @@
     for _ in 0..cluster.instances.len() {
         proxies.push(Proxy::start(ports.next()?, cluster.platform_address).await?);
     }
-    cluster.instances.iter_mut().for_each(|it| it.ends_on(HARMFUL_KEY));
+    cluster.instances.iter_mut().for_each(|it| it.crash_on_key(HARMFUL_KEY));
     cluster.start_instances(binaries, seed, |it| proxies[it].address).await?;
-    cluster.wait_serving().await?;
-    let struck = Duration::from_secs_f64(options.minutes * 60.0);
+    cluster.wait_until_serving().await?;
+    let fault_period = Duration::from_secs_f64(options.minutes * 60.0);
     let start = Instant::now() + Duration::from_millis(100);
-    let load = FIRST_FAULT + struck + RECOVERY + CHECKED;
+    let load = FIRST_FAULT_AFTER + fault_period + RECOVERY_PERIOD + CHECK_PERIOD;
     let mut callers = Callers::start(cluster, load, start, seed);
-    harmful::add_callers(&mut callers, cluster, FIRST_FAULT + struck, start, seed);
+    harmful::add_callers(&mut callers, cluster, FIRST_FAULT_AFTER + fault_period, start, seed);
     let mut evidence = Evidence { probed_keys: probed_keys().collect(), ..Evidence::default() };
-    let mut lanes = lane::split(cluster, proxies, LANES, seed, struck);
-    let faults = faults::counts(lanes.iter().flat_map(|it| &it.planned));
-    let strikes = lanes.iter_mut().map(|it| it.strike(cluster, binaries, start + FIRST_FAULT));
-    let mut disturbed = Vec::new();
-    let struck_lanes = futures_util::future::try_join_all(strikes).await?;
-    for it in struck_lanes {
-        evidence.sick.extend(it.sick);
+    let mut injectors =
+        injector::split_instances(cluster, proxies, CONCURRENT_INJECTORS, seed, fault_period);
+    let faults = faults::counts(injectors.iter().flat_map(|it| &it.planned));
+    let injections =
+        injectors.iter_mut().map(|it| it.inject(cluster, binaries, start + FIRST_FAULT_AFTER));
+    let mut disturbances = Vec::new();
+    let records = futures_util::future::try_join_all(injections).await?;
+    for it in records {
+        evidence.ingress_outages.extend(it.ingress_outages);
         evidence.stops.extend(it.stops);
-        disturbed.extend(it.disturbed);
+        disturbances.extend(it.disturbances);
     }
-    let proxies = lane::merge(cluster, lanes);
-    sleep_until(start + FIRST_FAULT + struck + RECOVERY).await;
+    let proxies = injector::return_instances(cluster, injectors);
+    sleep_until(start + FIRST_FAULT_AFTER + fault_period + RECOVERY_PERIOD).await;
     let checked_from_ns = wall_clock_ns();
     sleep_until(start + load).await;
     let checked_until_ns = wall_clock_ns();
@@ -144,10 +156,10 @@
     crate::demo::stop_rest(cluster, &mut evidence).await?;
     drop(proxies);
     evidence.upstreams = cluster.journals()?;
-    let checked =
+    let check_window =
         crate::demo::evidence::Window { from_ns: checked_from_ns, until_ns: checked_until_ns };
-    let mut violations = verdict::violations(&evidence, checked);
-    violations.extend(harmful::violations(&evidence, &disturbed));
+    let mut violations = verdict::violations(&evidence, check_window);
+    violations.extend(harmful::violations(&evidence, &disturbances));
     let answered = |it: &&standins::journal::CallRecord| {
         it.outcome == standins::journal::FinalOutcome::Answered
     };
