--- a/crates/client/src/commands/explain.rs
+++ b/crates/client/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: who owns a key, who follows, and why.
+//! `explain`: shows the owner and successors of a key and the reason for the last move.
 
 use model::{Instance, KeyHash, ServiceName, Slot, key_hash};
 use ownership::{Confirmation, Coordinator, Plan};
@@ -11,57 +11,58 @@
 use crate::{
     args::ExplainArgs,
     commands::service_name,
-    failure::Failure,
-    retry::{Store, decode},
-    table::{ago, now_unix_ms},
+    error::CommandError,
+    retry::{RetryingStore, decode},
+    table::{format_age, now_unix_ms},
     terminal::Terminal,
 };
 
-/// All that the platform holds on a key.
-struct Findings {
+/// Objects of the platform that concern one key.
+struct KeyReport {
     service: ServiceName,
     key: String,
-    hash: KeyHash,
+    key_hash: KeyHash,
     plan: Plan,
     coordinator: Option<Coordinator>,
     status: Option<GroupStatus>,
+    /// The accepted document and its version.
     document: Option<(u64, ServiceDocument)>,
 }
 
 pub(crate) async fn run(
-    store: &Store,
+    store: &RetryingStore,
     args: &ExplainArgs,
     terminal: &Terminal,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     let service = service_name(&args.service)?;
     let document = document(store, &service).await?;
     if document.as_ref().is_some_and(|it| !it.1.keyed) {
-        terminal.line(&format!(
-            "{service} is not divided by key: any ready instance answers for {:?}.",
+        terminal.print_line(&format!(
+            "{service} is not sharded by key: any ready instance can serve {:?}.",
             args.key
         ));
         return Ok(());
     }
     let findings = findings(store, service, &args.key, document).await?;
-    findings.lines().iter().for_each(|it| terminal.line(it));
+    findings.lines().iter().for_each(|it| terminal.print_line(it));
     Ok(())
 }
 
 async fn document(
-    store: &Store,
+    store: &RetryingStore,
     service: &ServiceName,
-) -> Result<Option<(u64, ServiceDocument)>, Failure> {
+) -> Result<Option<(u64, ServiceDocument)>, CommandError> {
     let accepted: Option<AcceptedDocument> = object(store, &accepted_path(service)).await?;
     let parsed = accepted.map(|it| (it.version.0, ServiceDocument::parse(&it.document)));
     Ok(parsed.and_then(|(version, it)| Some((version, it.ok()?))))
 }
 
 async fn findings(
-    store: &Store,
+    store: &RetryingStore,
     service: ServiceName,
     key: &str,
     document: Option<(u64, ServiceDocument)>,
-) -> Result<Findings, Failure> {
+) -> Result<KeyReport, CommandError> {
     let plans = store.list(&format!("plans/{service}/")).await?;
     let mut found = None;
     for change in &plans.changes {
@@ -69,34 +70,38 @@
         found = Some(decode::<Plan>(&change.path, body)?);
     }
     let Some(plan) = found else {
-        let message = format!("no coordinator has written a plan of {service}");
-        return Err(Failure::NotFound(message));
+        let message = format!("no coordinator has written a plan for service {service}");
+        return Err(CommandError::NotFound(message));
     };
     let group = plan.group;
-    Ok(Findings {
+    Ok(KeyReport {
         coordinator: object(store, &format!("coordinators/{service}/{group}")).await?,
         status: object(store, &status_path(&service, group)).await?,
         key: key.to_owned(),
-        hash: key_hash(key.as_bytes()),
+        key_hash: key_hash(key.as_bytes()),
         service,
         plan,
         document,
     })
 }
 
-async fn object<T: DeserializeOwned>(store: &Store, path: &str) -> Result<Option<T>, Failure> {
+async fn object<T: DeserializeOwned>(
+    store: &RetryingStore,
+    path: &str,
+) -> Result<Option<T>, CommandError> {
     let object = store.read(path).await?;
     object.map(|it| decode(path, &it.body)).transpose()
 }
 
-impl Findings {
+impl KeyReport {
     fn slot(&self) -> Slot {
-        self.plan.slot_count.slot_of(self.hash)
+        self.plan.slot_count.slot_of(self.key_hash)
     }
 
-    /// The planned owner and successors of the key: its own, if it is a hot one.
+    /// Returns the planned owner and successors, and whether the key is a hot key with an entry of its own.
+    /// Other keys share the entry of their slot.
     fn owners(&self) -> (Option<u16>, &[u16], bool) {
-        if let Some(hot) = self.plan.hot_keys.iter().find(|it| it.key_hash == self.hash) {
+        if let Some(hot) = self.plan.hot_keys.iter().find(|it| it.key_hash == self.key_hash) {
             return (hot.owner, &hot.successors, true);
         }
         match self.plan.slots.iter().find(|it| it.slot == self.slot()) {
@@ -111,36 +116,37 @@
 
     fn lines(&self) -> Vec<String> {
         let (owner, successors, is_hot) = self.owners();
-        let hot = if is_hot { ", a hot key with an entry of its own" } else { "" };
+        let hot = if is_hot { ", hot key with its own owner" } else { "" };
         let (plan, slot) = (&self.plan, self.slot());
-        let owner = owner.and_then(|it| self.member(it)).map_or("none".to_owned(), named);
-        let successors = successors.iter().filter_map(|it| self.member(*it)).map(named);
+        let owner =
+            owner.and_then(|it| self.member(it)).map_or("none".to_owned(), describe_instance);
+        let successors = successors.iter().filter_map(|it| self.member(*it)).map(describe_instance);
         let successors: Vec<String> = successors.collect();
         vec![
-            format!("key          {:?}, hash {:016x}{hot}", self.key, self.hash.0),
+            format!("key          {:?}, hash {:016x}{hot}", self.key, self.key_hash.0),
             format!(
                 "slot         {slot} of {} of {}, group {}",
                 plan.slot_count.count(),
                 self.service,
                 plan.group
             ),
-            format!("owner        {}", self.granted().unwrap_or("not known".to_owned())),
-            format!("planned      {owner}, by plan {} of term {}", plan.version, plan.term),
+            format!("owner        {}", self.granted_owner().unwrap_or("unknown".to_owned())),
+            format!("planned      {owner}, in plan {} of term {}", plan.version, plan.term),
             format!("successors   {}", join_or_none(&successors)),
             format!("lease        {}", self.lease()),
             format!("token        {}", self.token()),
             format!("why          {}", self.reason()),
-            format!("coordinator  {}", self.coordination()),
+            format!("coordinator  {}", self.describe_coordinator()),
         ]
     }
 
     fn lease(&self) -> String {
         let Some((version, document)) = &self.document else {
-            return "unknown, no document is accepted".to_owned();
+            return "unknown, no document has been accepted".to_owned();
         };
         let limits = &document.ownership;
         format!(
-            "{} ms, renewed each {} ms, by version {version} of the document",
+            "{} ms, renewed every {} ms, from version {version} of the document",
             limits.lease.as_millis(),
             limits.renew_every.as_millis()
         )
@@ -154,10 +160,10 @@
         self.status.as_ref()?.grants.get(usize::from(self.slot().0))
     }
 
-    /// Who holds the slot, or the hot key, by the status.
-    fn granted(&self) -> Option<String> {
+    /// Returns the owner of the hot key or of the slot according to the status.
+    fn granted_owner(&self) -> Option<String> {
         let status = self.status.as_ref()?;
-        let hot = status.hot_keys.iter().find(|it| it.key_hash == self.hash);
+        let hot = status.hot_keys.iter().find(|it| it.key_hash == self.key_hash);
         if let Some(owner) = hot.and_then(|it| it.owner.as_ref()) {
             return Some(owner.to_string());
         }
@@ -168,16 +174,21 @@
 
     fn token(&self) -> String {
         match self.grant() {
-            Some(it) => format!("{} of the slot's grant", it.token),
-            None => format!("not below {}, by the plan", self.plan.token_floor),
+            Some(it) => format!("{} from the grant of the slot", it.token),
+            None => format!("at least {}, from the plan", self.plan.token_floor),
         }
     }
 
     fn reason(&self) -> String {
         match (self.last_move(), &self.status) {
             (Some(it), _) => {
-                let when = ago(it.at_unix_ms, now_unix_ms());
-                format!("slot {} went to {} {when}: {}", it.slot, it.to, meaning(&it.reason))
+                let when = format_age(it.at_unix_ms, now_unix_ms());
+                format!(
+                    "slot {} moved to {} {when}: {}",
+                    it.slot,
+                    it.to,
+                    describe_move_reason(&it.reason)
+                )
             }
             (None, Some(status)) => {
                 format!("slot {} is not among the last {} moves", self.slot(), status.moves.len())
@@ -186,19 +197,19 @@
         }
     }
 
-    fn coordination(&self) -> String {
+    fn describe_coordinator(&self) -> String {
         let Some(it) = &self.coordinator else { return "none".to_owned() };
-        let settled = if it.settled { "settled" } else { "not settled yet" };
+        let settled = if it.settled { "settled" } else { "not settled" };
         let confirmed = match it.confirmation {
             Confirmation::Witnesses => format!("{} witnesses", it.witnesses.len()),
             Confirmation::Platform => "the platform".to_owned(),
         };
-        let holder = it.holder.as_ref().map_or("none".to_owned(), named);
+        let holder = it.holder.as_ref().map_or("none".to_owned(), describe_instance);
         format!("{holder}, term {}, {settled}, confirmed by {confirmed}", it.term)
     }
 }
 
-fn named(instance: &Instance) -> String {
+fn describe_instance(instance: &Instance) -> String {
     format!("{} ({})", instance.name, instance.zone)
 }
 
@@ -209,13 +220,13 @@
     }
 }
 
-/// What a reason of a move says.
-fn meaning(reason: &str) -> &str {
+/// Describes the reason of a move.
+fn describe_move_reason(reason: &str) -> &str {
     match reason {
-        "first" => "nobody had owned it",
-        "loss" => "the former owner was lost",
-        "leave" => "the former owner was leaving",
-        "rebalance" => "to even out the load",
+        "first" => "it had no owner",
+        "loss" => "the previous owner was lost",
+        "leave" => "the previous owner was leaving",
+        "rebalance" => "load balancing",
         other => other,
     }
 }
--- a/crates/client/src/tests.rs
+++ b/crates/client/src/tests.rs
@@ -1,19 +1,19 @@
-//! Tests of what needs no process: the base of an edit, and how far a version has come.
+//! Tests of the base line.
 
 use model::{ObjectVersion, ServiceName};
 
-use crate::base::{self, Base, Based};
+use crate::base::{self, BaseVersion, SplitFile};
 
 fn check_base(file: &str, document: &str, base: Option<(&str, u64)>) {
-    let base = base.map(|(service, version)| Base {
+    let base = base.map(|(service, version)| BaseVersion {
         service: service.to_owned(),
         version: ObjectVersion(version),
     });
-    assert_eq!(base::split(file), Based { document, base });
+    assert_eq!(base::split_base_line(file), SplitFile { document, base });
 }
 
 #[test]
-fn the_last_line_names_the_base() {
+fn only_a_valid_last_line_is_the_base_line() {
     check_base("{}\n// pomelohill: standings version 12\n", "{}\n", Some(("standings", 12)));
     check_base("{}\n// pomelohill: standings version 12\n\n", "{}\n", Some(("standings", 12)));
     check_base(
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_joined_file_splits_again() {
+fn an_appended_base_line_is_split_off_again() {
     let service = ServiceName::new("standings").unwrap();
     for document in ["{}\n", "{\n  // ...\n}\n\n", "\n"] {
-        let file = base::join(document, &service, ObjectVersion(3));
+        let file = base::append_base_line(document, &service, ObjectVersion(3));
         check_base(&file, document, Some(("standings", 3)));
     }
     assert_eq!(
-        base::join("{}", &service, ObjectVersion(3)),
+        base::append_base_line("{}", &service, ObjectVersion(3)),
         "{}\n// pomelohill: standings version 3\n"
     );
 }
