--- a/xtask/src/bench/config.rs
+++ b/xtask/src/bench/config.rs
@@ -1,5 +1,5 @@
-//! How long an accepted document takes until it is in force on every agent, and what that costs the
-//! platform: at rest, in a rush, and with the platform down in the middle.
+//! Time until an accepted document is in force on all agents, and the platform calls it takes:
+//! without load, under load, and during an outage of the platform.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -19,7 +19,7 @@
     demo::{Callers, PROBE_PATH, SERVICES, print_line},
 };
 
-/// The service whose document changes.
+/// Service whose document is changed.
 const SERVICE: &str = "avaliacao";
 const CHANGES: usize = 20;
 const CHANGES_IN_OUTAGE: usize = 5;
@@ -27,20 +27,20 @@
 const PROBE_RETRY_DELAY: Duration = Duration::from_millis(5);
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 const LOAD_DURATION: Duration = Duration::from_secs(25);
-/// Time after a change at which the platform goes down, and how long it stays so.
+/// Time from a change to the start of the platform's outage.
 const OUTAGE_AFTER: Duration = Duration::from_millis(20);
 const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 
-/// One phase of the measurement.
+/// Result of one phase of the measurement.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct ConfigRow {
     phase: &'static str,
     changes: usize,
-    /// From the platform's answer to the write until the last agent decides by it.
+    /// Time from the platform's response to the write until the last agent applies the document.
     in_force_ms: Spread,
     p99_ms: f64,
-    /// Of the whole fleet, by kind.
+    /// Calls of all agents a second, by kind.
     platform_calls_per_s: BTreeMap<String, f64>,
 }
 
@@ -48,7 +48,8 @@
     cluster: Cluster,
     client: AgentClient,
     service: Service,
-    /// The documents in turn; the second one refuses a path that the first one takes.
+    /// The two documents that are written alternately; the second one refuses a path that the first one
+    /// accepts.
     document_texts: [String; 2],
     changes: usize,
 }
@@ -58,7 +59,10 @@
     let binaries = Binaries::build(Profile::Release)?;
     let cluster = Cluster::start(SERVICES, &binaries, seed).await?;
     cluster.wait_until_serving().await?;
-    let service = cluster.service(SERVICE).context("a service that changes")?.clone();
+    let service = cluster
+        .service(SERVICE)
+        .context("the deployments do not have the service whose document is changed")?
+        .clone();
     let document_texts = [service.text.clone(), service.text_with_refusing_route(PROBE_PATH)?];
     let client = AgentClient::new()?;
     let mut bench = Bench { cluster, client, service, document_texts, changes: 0 };
@@ -97,7 +101,7 @@
         Ok(row)
     }
 
-    /// Writes the other document; how long until all agents go by it.
+    /// Writes the other document and returns the time until all agents apply it.
     async fn change(&mut self, outage: Option<Duration>) -> anyhow::Result<Duration> {
         self.changes += 1;
         let refuses = self.changes % 2 == 1;
@@ -108,14 +112,16 @@
         let waits = agents.into_iter().map(|it| self.wait_in_force(it, refuses));
         let all = timeout(IN_FORCE_TIMEOUT, try_join_all(waits));
         let (all, ()) = tokio::try_join!(
-            async { all.await.context("a document was not in force in time")? },
+            async {
+                all.await.context("a changed document was not in force on all agents in time")?
+            },
             self.fail_platform(outage),
         )?;
-        let last = all.into_iter().max().context("agents of the team")?;
+        let last = all.into_iter().max().context("the team has no agents")?;
         Ok(last - written)
     }
 
-    /// Takes the platform down for a while, soon after a change.
+    /// Takes the platform down for `outage`, shortly after a change.
     async fn fail_platform(&self, outage: Option<Duration>) -> anyhow::Result<()> {
         let Some(outage) = outage else { return Ok(()) };
         sleep(OUTAGE_AFTER).await;
@@ -124,7 +130,7 @@
         self.cluster.set_platform_faults(r#"{"down": false}"#).await
     }
 
-    /// When an agent first decides by the document.
+    /// Probes an agent until it applies the document, and returns the time.
     async fn wait_in_force(&self, agent: SocketAddr, refuses: bool) -> anyhow::Result<Instant> {
         let policy = CallPolicy { is_resend_enabled: false, ..CallPolicy::default() };
         let caller = Caller { client: self.client.clone(), targets: vec![agent], policy };
@@ -143,7 +149,7 @@
             }
             sleep(PROBE_RETRY_DELAY).await;
         }
-        unreachable!("the numbers do not end")
+        unreachable!("the range of probe numbers has no end")
     }
 }
 
--- a/xtask/src/bench/faults/mod.rs
+++ b/xtask/src/bench/faults/mod.rs
@@ -1,4 +1,4 @@
-//! How long keys are not served when something fails, on real processes, over repeated runs.
+//! Unavailability of keys under faults, on real processes, over repeated runs.
 
 mod scenario;
 
@@ -12,30 +12,30 @@
     run_lock,
 };
 
-/// All scenarios that were measured.
+/// Results of all measured scenarios.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct FaultsReport {
     scenarios: Vec<ScenarioReport>,
 }
 
-/// One scenario over its repeated runs.
+/// Result of one scenario over its repeated runs.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct ScenarioReport {
     name: &'static str,
     runs: usize,
     unavailable_ms: Spread,
-    /// Changes of a key's owner, over the number of keys.
+    /// Number of changes of a key's owner, divided by the number of keys.
     churn: Spread,
     unknown: Spread,
     not_run: Spread,
-    /// Breaches of an invariant other than the time without service, over all runs.
+    /// Violations of invariants other than the longest unavailability, over all runs.
     breaches: usize,
     seeds: Vec<u64>,
 }
 
-/// Runs all scenarios, or the one that is asked for.
+/// Runs all scenarios, or those given by `--case`.
 pub(crate) async fn run(options: &BenchOptions) -> anyhow::Result<FaultsReport> {
     let binaries = Binaries::build(Profile::Release)?;
     let cases: Vec<&str> = options.case.split(',').collect();
@@ -44,7 +44,7 @@
     for scenario in SCENARIOS.iter().filter(wanted) {
         scenarios.push(repeat(scenario, &binaries, options).await?);
     }
-    anyhow::ensure!(!scenarios.is_empty(), "no scenario {:?}", options.case);
+    anyhow::ensure!(!scenarios.is_empty(), "--case: no scenario is called {:?}", options.case);
     Ok(FaultsReport { scenarios })
 }
 
@@ -53,7 +53,7 @@
     binaries: &Binaries,
     options: &BenchOptions,
 ) -> anyhow::Result<ScenarioReport> {
-    // Others may have their turn between two scenarios.
+    // The lock is released between scenarios, so that other runs can take it.
     let _run_lock = run_lock::acquire().await?;
     let seeds: Vec<u64> = (0..options.repeats as u64).map(|it| options.seed + it).collect();
     let mut verdicts = Vec::new();
--- a/xtask/src/bench/faults/scenario.rs
+++ b/xtask/src/bench/faults/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios: what fails, together with what.
+//! Scenarios: combinations of failing instances, faults and states of the platform.
 
 use std::time::Duration;
 
@@ -31,100 +31,96 @@
 };
 
 const TIME_BEFORE_FAULT: Duration = Duration::from_millis(1_500);
-/// Callers' patience ends after it.
+/// Shorter than the call timeout: callers keep retrying for the whole time.
 const TIME_AFTER_FAULT: Duration = Duration::from_secs(5);
 const BEFORE_JITTER_RANGE_MS: std::ops::Range<u64> = 0..500;
 const FREEZE_DURATION: Duration = Duration::from_secs(2);
-/// Just longer than a lease.
+/// Slightly longer than a lease.
 const PAUSE_DURATION: Duration = Duration::from_millis(900);
 const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 const OUTAGE_BEFORE_FAULT: Duration = Duration::from_secs(1);
 
-/// What is struck.
+/// Instances that the fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Targets {
-    /// An instance that does not coordinate.
+enum Scope {
+    /// An instance that is not the coordinator.
     Member,
     Coordinator,
     CoordinatorAndMember,
     TwoMembers,
-    /// All instances of the coordinator's zone.
+    /// All instances in the coordinator's zone.
     Zone,
 }
 
-/// What happens to the victims.
+/// Fault that is injected into the affected instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum InjectedFault {
     Kill,
-    /// The upstream and its agent are frozen and come back.
+    /// Upstream and agent are suspended for a time.
     Freeze,
-    /// The agent alone is paused for longer than its lease.
+    /// The agent alone is suspended for longer than its lease.
     PauseAgent,
     Leave,
 }
 
-/// What the platform does meanwhile.
+/// State of the platform around the fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PlatformState {
     Up,
-    /// Down from before the strike on, and up again before it.
+    /// Goes down and recovers before the fault.
     OutageBefore,
+    /// Is down before, during and after the fault.
     OutageDuring,
-    /// Goes down just after the strike.
+    /// Goes down immediately after the fault.
     OutageAfter,
-    /// Updates take effect, but their answers are lost.
+    /// Updates take effect, but their responses are lost.
     LosesAnswers,
 }
 
-/// One scenario.
+/// Combination of affected instances, fault and platform state.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Scenario {
     pub(super) name: &'static str,
-    targets: Targets,
+    scope: Scope,
     fault: InjectedFault,
     platform: PlatformState,
 }
 
 const fn scenario(
     name: &'static str,
-    targets: Targets,
+    scope: Scope,
     fault: InjectedFault,
     platform: PlatformState,
 ) -> Scenario {
-    Scenario { name, targets, fault, platform }
+    Scenario { name, scope, fault, platform }
 }
 
 pub(super) const SCENARIOS: &[Scenario] = &[
-    scenario("member_killed", Targets::Member, InjectedFault::Kill, PlatformState::Up),
-    scenario("coordinator_killed", Targets::Coordinator, InjectedFault::Kill, PlatformState::Up),
-    scenario("both_killed", Targets::CoordinatorAndMember, InjectedFault::Kill, PlatformState::Up),
-    scenario("two_killed", Targets::TwoMembers, InjectedFault::Kill, PlatformState::Up),
-    scenario("zone_killed", Targets::Zone, InjectedFault::Kill, PlatformState::Up),
-    scenario("member_frozen", Targets::Member, InjectedFault::Freeze, PlatformState::Up),
-    scenario("coordinator_frozen", Targets::Coordinator, InjectedFault::Freeze, PlatformState::Up),
-    scenario("two_frozen", Targets::CoordinatorAndMember, InjectedFault::Freeze, PlatformState::Up),
-    scenario("member_paused", Targets::Member, InjectedFault::PauseAgent, PlatformState::Up),
+    scenario("member_killed", Scope::Member, InjectedFault::Kill, PlatformState::Up),
+    scenario("coordinator_killed", Scope::Coordinator, InjectedFault::Kill, PlatformState::Up),
+    scenario("both_killed", Scope::CoordinatorAndMember, InjectedFault::Kill, PlatformState::Up),
+    scenario("two_killed", Scope::TwoMembers, InjectedFault::Kill, PlatformState::Up),
+    scenario("zone_killed", Scope::Zone, InjectedFault::Kill, PlatformState::Up),
+    scenario("member_frozen", Scope::Member, InjectedFault::Freeze, PlatformState::Up),
+    scenario("coordinator_frozen", Scope::Coordinator, InjectedFault::Freeze, PlatformState::Up),
+    scenario("two_frozen", Scope::CoordinatorAndMember, InjectedFault::Freeze, PlatformState::Up),
+    scenario("member_paused", Scope::Member, InjectedFault::PauseAgent, PlatformState::Up),
     scenario(
         "coordinator_paused",
-        Targets::Coordinator,
+        Scope::Coordinator,
         InjectedFault::PauseAgent,
         PlatformState::Up,
     ),
-    scenario("member_leaves", Targets::Member, InjectedFault::Leave, PlatformState::Up),
-    scenario("coordinator_leaves", Targets::Coordinator, InjectedFault::Leave, PlatformState::Up),
-    scenario("outage_before", Targets::Member, InjectedFault::Kill, PlatformState::OutageBefore),
-    scenario("outage_during", Targets::Member, InjectedFault::Kill, PlatformState::OutageDuring),
-    scenario("outage_after", Targets::Member, InjectedFault::Kill, PlatformState::OutageAfter),
-    scenario(
-        "answers_lost",
-        Targets::Coordinator,
-        InjectedFault::Kill,
-        PlatformState::LosesAnswers,
-    ),
+    scenario("member_leaves", Scope::Member, InjectedFault::Leave, PlatformState::Up),
+    scenario("coordinator_leaves", Scope::Coordinator, InjectedFault::Leave, PlatformState::Up),
+    scenario("outage_before", Scope::Member, InjectedFault::Kill, PlatformState::OutageBefore),
+    scenario("outage_during", Scope::Member, InjectedFault::Kill, PlatformState::OutageDuring),
+    scenario("outage_after", Scope::Member, InjectedFault::Kill, PlatformState::OutageAfter),
+    scenario("answers_lost", Scope::Coordinator, InjectedFault::Kill, PlatformState::LosesAnswers),
 ];
 
 impl Scenario {
-    /// Runs the scenario once on a cluster of its own.
+    /// Runs the scenario once on a new cluster.
     pub(super) async fn run(&self, binaries: &Binaries, seed: u64) -> anyhow::Result<Verdict> {
         let mut cluster = Cluster::start(&[SERVICE], binaries, seed).await?;
         let result = self.measure(&mut cluster, seed).await;
@@ -148,8 +144,8 @@
         let callers = Callers::start(cluster, load, Instant::now(), seed);
         sleep(before).await;
         self.prepare_platform(cluster).await?;
-        let targets = self.choose_targets(cluster, &mut rng).await?;
-        self.inject(cluster, &targets, &mut evidence).await?;
+        let affected = self.choose_instances(cluster, &mut rng).await?;
+        self.inject(cluster, &affected, &mut evidence).await?;
         self.restore_platform(cluster).await?;
         evidence.calls = callers.finish().await?;
         evidence.upstreams = cluster.journals()?;
@@ -185,69 +181,69 @@
         }
     }
 
-    async fn choose_targets(
+    async fn choose_instances(
         &self,
         cluster: &Cluster,
         rng: &mut Pcg64Mcg,
     ) -> anyhow::Result<Vec<usize>> {
         let coordinator = match self.platform {
-            // Members are all alike where the coordinator cannot be looked up.
+            // The coordinator cannot be looked up while the platform is down; any instance will do.
             PlatformState::OutageDuring => 0,
             _ => coordinator(cluster).await?,
         };
         let count = cluster.instances.len();
         let member = (coordinator + rng.random_range(1..count)) % count;
         let zone = &cluster.instances[coordinator].zone;
-        Ok(match self.targets {
-            Targets::Member => vec![member],
-            Targets::Coordinator => vec![coordinator],
-            Targets::CoordinatorAndMember => vec![coordinator, member],
-            Targets::TwoMembers => {
+        Ok(match self.scope {
+            Scope::Member => vec![member],
+            Scope::Coordinator => vec![coordinator],
+            Scope::CoordinatorAndMember => vec![coordinator, member],
+            Scope::TwoMembers => {
                 let others = (0..count).filter(|it| *it != coordinator && *it != member);
                 let others: Vec<usize> = others.collect();
                 vec![member, others[rng.random_range(0..others.len())]]
             }
-            Targets::Zone => (0..count).filter(|it| cluster.instances[*it].zone == *zone).collect(),
+            Scope::Zone => (0..count).filter(|it| cluster.instances[*it].zone == *zone).collect(),
         })
     }
 
     async fn inject(
         &self,
         cluster: &mut Cluster,
-        targets: &[usize],
+        affected: &[usize],
         evidence: &mut Evidence,
     ) -> anyhow::Result<()> {
         let outage_after = self.platform == PlatformState::OutageAfter;
         match self.fault {
             InjectedFault::Kill => {
-                for target in targets {
-                    evidence.ingress_outages.push(cluster.instances[*target].kill().await?);
+                for index in affected {
+                    evidence.ingress_outages.push(cluster.instances[*index].kill().await?);
                 }
                 if outage_after {
                     cluster.set_platform_faults(r#"{"down": true}"#).await?;
                 }
             }
             InjectedFault::Freeze => {
-                let frozen = targets.iter().map(|it| cluster.instances[*it].freeze());
+                let frozen = affected.iter().map(|it| cluster.instances[*it].freeze());
                 let frozen_ns = frozen.collect::<anyhow::Result<Vec<u64>>>()?;
                 sleep(FREEZE_DURATION).await;
-                for (target, frozen_ns) in targets.iter().zip(frozen_ns) {
-                    evidence.ingress_outages.push(cluster.instances[*target].resume(frozen_ns)?);
+                for (index, frozen_ns) in affected.iter().zip(frozen_ns) {
+                    evidence.ingress_outages.push(cluster.instances[*index].resume(frozen_ns)?);
                 }
             }
             InjectedFault::PauseAgent => {
-                let paused = targets.iter().map(|it| cluster.instances[*it].pause_agent());
+                let paused = affected.iter().map(|it| cluster.instances[*it].pause_agent());
                 let paused_ns = paused.collect::<anyhow::Result<Vec<u64>>>()?;
                 sleep(PAUSE_DURATION).await;
-                for (target, paused_ns) in targets.iter().zip(paused_ns) {
+                for (index, paused_ns) in affected.iter().zip(paused_ns) {
                     evidence
                         .ingress_outages
-                        .push(cluster.instances[*target].resume_agent(paused_ns)?);
+                        .push(cluster.instances[*index].resume_agent(paused_ns)?);
                 }
             }
             InjectedFault::Leave => {
-                for target in targets {
-                    evidence.stops.push(cluster.instances[*target].leave().await?);
+                for index in affected {
+                    evidence.stops.push(cluster.instances[*index].leave().await?);
                 }
             }
         }
@@ -255,12 +251,12 @@
     }
 }
 
-/// The index of the instance that holds the first group's term, as the platform has it.
+/// Returns the index of the instance that holds the first group's term according to the platform.
 async fn coordinator(cluster: &Cluster) -> anyhow::Result<usize> {
     let object = cluster.read_object("coordinators/standings/0").await?;
     let object: ownership::Coordinator =
         serde_json::from_str(&object).context("decoding the coordinator's object")?;
-    let holder = object.holder.context("nobody holds the term")?;
+    let holder = object.holder.context("the coordinator's object has no holder")?;
     let found = cluster.instances.iter().position(|it| it.name == holder.name.as_str());
-    found.with_context(|| format!("no instance {}", holder.name))
+    found.with_context(|| format!("the holder {} is no instance of the cluster", holder.name))
 }
--- a/xtask/src/bench/losses.rs
+++ b/xtask/src/bench/losses.rs
@@ -1,4 +1,5 @@
-//! Unserved virtual time after one loss, by what was lost: many runs of the real core.
+//! Unavailability in virtual time after the loss of hosts, by kind of loss, over many simulations of
+//! the real ownership core.
 
 use model::SlotCount;
 use ownership::sim::{LossReport, measure_losses};
@@ -6,23 +7,23 @@
 
 use crate::demo::print_line;
 
-/// Hosts of a group; four, five and seven spread differently over three zones.
+/// Numbers of hosts in a group; each distributes differently over three zones.
 const HOSTS: [usize; 3] = [4, 5, 7];
 const SLOTS: u16 = 96;
 const RUNS: u64 = 40;
 
-/// One kind of loss in groups of one size.
+/// Result for one kind of loss in groups of one size.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct LossRow {
     hosts: usize,
     lost: &'static str,
     runs: u64,
-    /// Slots that went unserved at all, over all runs.
+    /// Number of slots that were unavailable at some time, over all runs.
     slots: u64,
     unavailable_p50_ms: u64,
     unavailable_max_ms: u64,
-    /// The longest that a slot of a host that was not lost went unserved all the same.
+    /// Longest unavailability of a slot whose host was not lost.
     bystander_max_ms: u64,
 }
 
--- a/xtask/src/bench/machine.rs
+++ b/xtask/src/bench/machine.rs
@@ -1,4 +1,4 @@
-//! On what a measurement was made.
+//! Description of the machine and the commit of a measurement.
 
 use std::{fmt, process::Command};
 
@@ -13,10 +13,10 @@
 pub(crate) struct Machine {
     cores: usize,
     memory_mb: u64,
-    /// Runnable processes over the last minute, before the measurement.
+    /// Load average of the last minute before the measurement.
     load_average: f64,
     commit: String,
-    /// Whether the working tree differed from the commit.
+    /// Whether the working tree had changes to tracked files.
     changed: bool,
 }
 
@@ -28,7 +28,7 @@
         Ok(Machine {
             cores: std::thread::available_parallelism().map_or(0, usize::from),
             memory_mb: field_kb(&memory, "MemTotal:") / 1024,
-            load_average: load.context("the load average is no number")?,
+            load_average: load.context("/proc/loadavg does not start with a number")?,
             commit: git(&["rev-parse", "--short=12", "HEAD"])?,
             changed: !git(&["status", "--porcelain", "--untracked-files=no"])?.is_empty(),
         })
@@ -43,7 +43,7 @@
     }
 }
 
-/// A field of a file such as `/proc/meminfo`, in kilobytes; 0 if it is not there.
+/// Returns a field of a file such as `/proc/meminfo` in kilobytes, or 0 if the field is missing.
 pub(super) fn field_kb(text: &str, name: &str) -> u64 {
     let found = text.lines().find_map(|it| it.strip_prefix(name));
     let number = found.and_then(|it| it.split_whitespace().next());
@@ -55,7 +55,7 @@
         .current_dir(repository())
         .args(arguments)
         .output()
-        .context("asking git for the commit")?;
-    anyhow::ensure!(output.status.success(), "git {arguments:?} ended with {}", output.status);
+        .context("running git")?;
+    anyhow::ensure!(output.status.success(), "git {arguments:?} failed with {}", output.status);
     Ok(String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements. Speed is measured here only; tests assert none.
+//! Measurements. Performance is measured only here; no test asserts it.
 
 mod config;
 mod faults;
@@ -34,19 +34,19 @@
     name: String,
     #[options(no_short, help = "print one JSON object as the last line")]
     json: bool,
-    #[options(no_short, help = "keep the result under docs/measurements")]
+    #[options(no_short, help = "save the result under docs/measurements")]
     save: bool,
     #[options(no_short, help = "draw slopes under docs/measurements")]
     plot: bool,
-    #[options(no_short, help = "what a measurement draws from", default = "1")]
+    #[options(no_short, help = "seed of the measurement", default = "1")]
     seed: u64,
-    #[options(no_short, help = "how often each case is repeated", default = "3")]
+    #[options(no_short, help = "number of runs of each case", default = "3")]
     repeats: usize,
-    #[options(no_short, help = "measure this case only; of faults also several, with commas")]
+    #[options(no_short, help = "measure only this case; for faults, a comma-separated list")]
     case: String,
 }
 
-/// A kept result.
+/// Result as it is saved.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct SavedResult<'a> {
@@ -55,8 +55,8 @@
     result: &'a serde_json::Value,
 }
 
-/// Runs one measurement. Callers and the cores without I/O run in this process, so it has to be
-/// built like what it measures: an unoptimised one starts an optimised one of itself.
+/// Runs one measurement. Callers and the cores without I/O run in this process, so that it has to be
+/// optimised like the measured programs: an unoptimised build runs an optimised build of itself.
 pub(crate) async fn run(options: BenchOptions) -> anyhow::Result<ExitCode> {
     if cfg!(debug_assertions) {
         return run_optimised();
@@ -83,7 +83,7 @@
         }
         other => {
             anyhow::bail!(
-                "no measurement {other:?}; there are config, path, faults, losses, slopes, rest and ownership"
+                "unknown measurement {other:?}; expected config, path, faults, losses, slopes, rest or ownership"
             )
         }
     };
@@ -96,7 +96,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// What people would rather look at.
+/// Slopes that are plotted, as (quantity, size).
 const PLOTTED_SLOPES: &[(&str, &str)] = &[
     ("coordinator_bytes_per_s", "members"),
     ("coordinator_cpu_us_per_s", "members"),
@@ -117,7 +117,7 @@
 
 fn measurements_folder() -> anyhow::Result<PathBuf> {
     let folder = repository().join("docs/measurements");
-    std::fs::create_dir_all(&folder).context("making docs/measurements")?;
+    std::fs::create_dir_all(&folder).context("creating docs/measurements")?;
     Ok(folder)
 }
 
@@ -128,7 +128,7 @@
         .args(["run", "--quiet", "--release", "--package", "xtask", "--"])
         .args(std::env::args_os().skip(1))
         .status()
-        .context("starting an optimised xtask")?;
+        .context("starting an optimised build of xtask")?;
     Ok(if status.success() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
--- a/xtask/src/bench/ownership/workload.rs
+++ b/xtask/src/bench/ownership/workload.rs
@@ -144,12 +144,12 @@
     house.hot_periods.push(HotPeriod { from_s: 60, until_s: DURATION_S, keys, share: 0.30 });
     let mut rush = Workload::new("the whole field starts in one second", rng, 4, 2000, 96);
     rush.start_s = 60;
-    let mut fleet = Workload::new("servers join and leave", rng, 6, 4000, 96);
-    fleet.members[1].end = Some((120, EndReason::Loss));
-    fleet.members[4].end = Some((360, EndReason::Leave));
-    fleet.members.push(MemberLifetime::new(1, 240, Some((720, EndReason::Loss))));
-    fleet.members.push(MemberLifetime::new(4, 480, None));
+    let mut churn_workload = Workload::new("servers join and leave", rng, 6, 4000, 96);
+    churn_workload.members[1].end = Some((120, EndReason::Loss));
+    churn_workload.members[4].end = Some((360, EndReason::Leave));
+    churn_workload.members.push(MemberLifetime::new(1, 240, Some((720, EndReason::Loss))));
+    churn_workload.members.push(MemberLifetime::new(4, 480, None));
     let mut hot = Workload::new("the hot set changes in minutes", rng, 24, 20_000, 480);
     hot.add_hot_periods(rng, 180, 32, 0.40);
-    vec![leader, house, rush, fleet, hot]
+    vec![leader, house, rush, churn_workload, hot]
 }
--- a/xtask/src/bench/path/caller.rs
+++ b/xtask/src/bench/path/caller.rs
@@ -1,4 +1,4 @@
-//! Callers in a process of their own, so that they are built like what they measure.
+//! Callers in a separate process, so that they have the same build profile as the measured programs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,17 +7,18 @@
 
 use crate::cluster::{Binaries, Process, RunDir};
 
-/// Beyond its duration, how long a load may take to end.
+/// Longest time from the end of a load's duration until its process exits.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A load of `standin-caller`.
+/// Parameters of one run of `standin-caller`.
 #[derive(Debug, Clone)]
 pub(super) struct CallerLoad {
     pub(super) targets: Vec<SocketAddr>,
     pub(super) service: String,
     pub(super) route: String,
     pub(super) callers: usize,
-    /// 0: each caller waits for its answer.
+    /// Rate of all callers together; 0 for a closed loop, in which each caller sends its next request
+    /// after the response to the last one.
     pub(super) requests_per_s: f64,
     pub(super) duration: Duration,
     pub(super) is_direct: bool,
@@ -25,7 +26,7 @@
 }
 
 impl CallerLoad {
-    /// Runs the load; each request is sent once.
+    /// Runs the load without retries and returns its summary.
     pub(super) async fn run(
         &self,
         name: &str,
@@ -50,10 +51,14 @@
         }
         let process = Process::spawn(name, &binaries.caller, &arguments, dir)?;
         let status = process.wait(self.duration + EXIT_TIMEOUT).await?;
-        anyhow::ensure!(status.success(), "the callers {name} ended with {status}");
+        anyhow::ensure!(status.success(), "the callers of {name} exited with {status}");
         let path = dir.file(&format!("{name}.log"));
-        let log = std::fs::read_to_string(path).with_context(|| format!("the log of {name}"))?;
-        let last = log.lines().last().with_context(|| format!("an empty log of {name}"))?;
-        serde_json::from_str(last).with_context(|| format!("the summary of {name}"))
+        let log =
+            std::fs::read_to_string(path).with_context(|| format!("reading the log of {name}"))?;
+        let last = log
+            .lines()
+            .last()
+            .with_context(|| format!("the log of {name} is empty; expected a summary"))?;
+        serde_json::from_str(last).with_context(|| format!("decoding the summary of {name}"))
     }
 }
--- a/xtask/src/bench/path/cases.rs
+++ b/xtask/src/bench/path/cases.rs
@@ -1,4 +1,4 @@
-//! The cases of the request path.
+//! Cases of the measurement of the request path.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 const RUSH_DURATION: Duration = Duration::from_secs(4);
 const RUSH_FACTORS: [f64; 3] = [1.0, 2.0, 3.0];
 const RUSH_CALLERS: usize = 500;
-/// Mean time of a request in the rush: with 12 slots, about 2,000 requests a second.
+/// Mean service time in the rush: with 12 slots, a capacity of about 2,000 requests a second.
 const RUSH_SERVICE_MS: f64 = 5.0;
 
 fn spec(instances: usize, service_ms: f64) -> ServiceSpec {
@@ -38,14 +38,14 @@
     }
 }
 
-/// A cluster of one service that is not divided by key.
+/// Cluster of one service that is not sharded by key.
 struct Bench<'a> {
     cluster: Cluster,
     binaries: &'a Binaries,
     seed: u64,
 }
 
-/// What one load came to, and what it cost the agent that took it.
+/// Result of one load, with its cost at the agent and the upstream.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub(super) struct LoadResult {
@@ -66,7 +66,7 @@
         let specs = [spec(instances, service_ms)];
         let cluster = Cluster::start(&specs, binaries, options.seed).await?;
         cluster.wait_until_serving().await?;
-        // New upstreams are given their full share after a while only.
+        // Upstreams get their full share of requests only after their warm-up.
         sleep(cluster.services[0].document.upstream.warmup + WARMUP_MARGIN).await;
         Ok(Bench { cluster, binaries, seed: options.seed })
     }
@@ -106,14 +106,14 @@
     }
 }
 
-/// Direct calls and calls through the agent at the same rate, taking turns.
+/// Latency of direct calls and of calls through the agent, at the same rate and in alternating runs.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Latencies {
     requests_per_s: f64,
     direct: Vec<Latency>,
     agent: Vec<Latency>,
-    /// Of the medians over the turns.
+    /// Difference of the medians over the runs.
     added_p50_us: i64,
     added_p99_us: i64,
     agent_cpu_us_each: f64,
@@ -162,11 +162,11 @@
 
 fn ensure_all_answered(summary: &LoadSummary) -> anyhow::Result<()> {
     let all = summary.answered == summary.requests;
-    anyhow::ensure!(all, "not all requests of a steady load were answered: {summary:?}");
+    anyhow::ensure!(all, "expected an answer to each request of the steady load, got {summary:?}");
     Ok(())
 }
 
-/// The most that goes through one agent, and directly to the upstream.
+/// Highest throughput through one agent, and directly to the upstream.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Peak {
@@ -201,7 +201,7 @@
     Ok(Peak { direct_max_per_s: max(&direct), agent_max_per_s: max(&agent), direct, agent })
 }
 
-/// What many callers that stay connected cost an agent.
+/// Cost of many connected callers at an agent.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct OpenCallers {
@@ -226,7 +226,7 @@
     Ok(OpenCallers { callers, memory_before_kb, memory_after_kb, measured })
 }
 
-/// The same rate through one agent in front of more and more upstreams.
+/// Cost of the same rate through one agent, by the number of upstreams.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Scaling {
@@ -250,20 +250,20 @@
     Ok(points)
 }
 
-/// All callers at one instant, at a multiple of what the upstream can do.
+/// Load at a multiple of the upstream's capacity, from callers that all start at one instant.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Rush {
     factor: f64,
     capacity_per_s: f64,
-    /// Answered a second, over the capacity.
+    /// Answered requests a second, divided by the capacity.
     goodput: f64,
     measured: LoadResult,
 }
 
 pub(super) async fn rush(binaries: &Binaries, options: &BenchOptions) -> anyhow::Result<Vec<Rush>> {
     let bench = Bench::start(binaries, options, 1, RUSH_SERVICE_MS).await?;
-    // As many callers as slots, each waiting for its answer, keep the upstream just busy.
+    // As many closed-loop callers as slots keep the upstream fully used without a queue.
     let slots = bench.cluster.services[0].document.upstream.slots as usize;
     let capacity_per_s =
         bench.measure("capacity", true, slots, 0.0, PEAK_DURATION).await?.answered_per_s;
--- a/xtask/src/bench/path/mod.rs
+++ b/xtask/src/bench/path/mod.rs
@@ -1,4 +1,5 @@
-//! The request path through one agent, against direct calls to the same upstream in one run.
+//! Measurement of the request path through one agent, compared with direct calls to the same
+//! upstream in the same run.
 
 mod cases;
 mod caller;
@@ -13,7 +14,7 @@
     run_lock,
 };
 
-/// All figures of the request path.
+/// Results of all cases; those that were not run are empty.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct PathReport {
@@ -24,7 +25,7 @@
     rush: Vec<Rush>,
 }
 
-/// Runs all cases, or the one that is asked for.
+/// Runs all cases, or the one given by `--case`.
 pub(crate) async fn run(options: &BenchOptions) -> anyhow::Result<PathReport> {
     let binaries = Binaries::build(Profile::Release)?;
     let _run_lock = run_lock::acquire().await?;
--- a/xtask/src/bench/plot.rs
+++ b/xtask/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of kept measurements.
+//! Plots of measured slopes.
 
 use std::path::Path;
 
@@ -10,10 +10,10 @@
 const CHART_MARGIN_PX: u32 = 16;
 const LABEL_SIZE_PX: u32 = 48;
 const POINT_RADIUS_PX: u32 = 4;
-/// Room above the largest value.
+/// Upper end of the vertical axis, as a multiple of the largest value.
 const HEADROOM_FACTOR: f64 = 1.1;
 
-/// Draws one quantity against one size, with its line.
+/// Draws the points of one quantity against one size, and the fitted line.
 pub(super) fn draw_slope(slope: &Slope, path: &Path) -> anyhow::Result<()> {
     let with_path = |error: &dyn std::fmt::Display| anyhow::anyhow!("{}: {error}", path.display());
     let x_max = slope.points.iter().map(|it| it.x).fold(1.0, f64::max);
--- a/xtask/src/bench/process_usage.rs
+++ b/xtask/src/bench/process_usage.rs
@@ -1,5 +1,5 @@
-//! Processor time and memory of a process, from the system's own accounts; rates of what the
-//! platform counts.
+//! Processor time and memory of a process as the system reports them, and rates of the platform's
+//! call counts.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use super::machine::field_kb;
 
-/// Linux counts the time of processes in hundredths of a second for its users.
+/// Unit of processor time in `/proc`, a hundredth of a second on Linux.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
 
-/// What a process has used since its start.
+/// Processor time of a process since its start, and its current memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Usage {
     pub(crate) cpu: Duration,
@@ -26,15 +26,15 @@
         Ok(Usage { cpu: CLOCK_TICK * ticks, memory_kb: field_kb(&status, "VmRSS:") })
     }
 
-    /// Processor time since an earlier reading, in microseconds for each of `count`.
+    /// Returns the processor time since an earlier reading, in microseconds for each of `count` requests.
     pub(crate) fn cpu_us_each_since(self, earlier: Usage, count: usize) -> f64 {
         let spent = self.cpu.saturating_sub(earlier.cpu);
         spent.as_secs_f64() * 1e6 / count.max(1) as f64
     }
 }
 
-/// User and system time: the 14th and 15th field. The second one, the name in brackets, may hold
-/// anything, so counting starts behind it.
+/// Returns the sum of user and system time, the 14th and 15th field. The second field, the name in
+/// brackets, may contain any characters, so that fields are counted after it.
 fn cpu_ticks(stat: &str) -> Option<u32> {
     let (_, rest) = stat.rsplit_once(')')?;
     let mut fields = rest.split_whitespace().skip(11);
@@ -43,7 +43,7 @@
     Some(user + system)
 }
 
-/// Calls of the platform's counts a second, by kind.
+/// Returns the platform calls a second between two readings of the counts, by kind.
 pub(crate) fn rates(
     before: &BTreeMap<String, f64>,
     after: &BTreeMap<String, f64>,
--- a/xtask/src/bench/rest.rs
+++ b/xtask/src/bench/rest.rs
@@ -1,4 +1,4 @@
-//! What agents cost when nobody calls: processor time, memory, and calls to the platform.
+//! Cost of agents without load: processor time, memory, and calls to the platform.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,27 +15,27 @@
     demo::{SERVICES, print_line},
 };
 
-/// Time for plans, witnesses and statuses to come to rest.
+/// Time until plans, witnesses and statuses no longer change.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
 const MEASURE_WINDOW: Duration = Duration::from_secs(20);
 
-/// One kind of agent at rest.
+/// Cost of the agents in one role.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct RestRow {
     role: &'static str,
     agents: usize,
-    /// Processor time of the whole process, in microseconds a second.
+    /// Processor time of the process, in microseconds a second.
     cpu_us_per_s: Spread,
     memory_kb: Spread,
 }
 
-/// Both deployments at rest.
+/// Cost of both deployments without load.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct RestReport {
     roles: Vec<RestRow>,
-    /// Of the whole fleet, by kind.
+    /// Calls of all agents a second, by kind.
     platform_calls_per_s: BTreeMap<String, f64>,
     watches_waiting: f64,
     groups: usize,
@@ -47,7 +47,7 @@
     memory_kb: f64,
 }
 
-/// Runs both deployments without callers.
+/// Measures both deployments without callers.
 pub(crate) async fn run(seed: u64) -> anyhow::Result<RestReport> {
     let binaries = Binaries::build(Profile::Release)?;
     let cluster = Cluster::start(SERVICES, &binaries, seed).await?;
@@ -87,7 +87,8 @@
 
 async fn role(cluster: &Cluster, instance: &Instance) -> anyhow::Result<&'static str> {
     let object = cluster.read_object(&format!("coordinators/{}/0", instance.service)).await?;
-    let object: serde_json::Value = serde_json::from_str(&object).context("a coordinator")?;
+    let object: serde_json::Value =
+        serde_json::from_str(&object).context("decoding the coordinator's object")?;
     let is_holder = object["holder"]["name"] == instance.name.as_str();
     Ok(if is_holder { "coordinator" } else { "member" })
 }
--- a/xtask/src/bench/slopes/cases.rs
+++ b/xtask/src/bench/slopes/cases.rs
@@ -1,4 +1,4 @@
-//! The control of ownership, against one size of a group at a time.
+//! Cost of the control of ownership, by one size of a group at a time.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
     group::{Group, GroupSize, NodeCost},
 };
 
-/// Virtual time until a group is at rest, and over which it is measured then.
+/// Virtual time until a group has settled, before it is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
 const MEASURE_WINDOW: Duration = Duration::from_secs(20);
 
 const DEFAULT_SIZE: GroupSize = GroupSize { members: 8, slots: 96, hot_keys: 0 };
 
-/// Groups that differ in one size.
+/// Groups that differ only in one size.
 pub(super) struct Series {
     pub(super) against: &'static str,
     sizes: &'static [usize],
@@ -39,10 +39,10 @@
     },
 ];
 
-/// One group at rest.
+/// Measured costs of a settled group.
 struct IdleGroup {
     coordinator: NodeCost,
-    /// The mean of all others.
+    /// Mean cost of all other members.
     member: NodeCost,
     plan_bytes: usize,
     hot_key_entries: usize,
--- a/xtask/src/bench/slopes/fit.rs
+++ b/xtask/src/bench/slopes/fit.rs
@@ -1,8 +1,8 @@
-//! A straight line through measured points, by least squares, with its error.
+//! Least-squares fit of a straight line to measured points, with its error.
 
 use serde::Serialize;
 
-/// One measured point.
+/// Measured point.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 pub(crate) struct Point {
@@ -10,7 +10,7 @@
     pub(crate) y: f64,
 }
 
-/// `y = base + slope * x`.
+/// Fitted line, `y = base + slope * x`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize)]
 pub(crate) struct Fit {
@@ -20,12 +20,12 @@
     pub(crate) slope_error: f64,
     /// Share of the variance that the line explains, 0 to 1.
     pub(crate) r_squared: f64,
-    /// The largest distance of a point from the line, over the largest value.
+    /// Largest vertical distance of a point from the line, divided by the largest value.
     pub(crate) worst_error: f64,
 }
 
 impl Fit {
-    /// Fits a line through three points or more that differ in `x`.
+    /// Fits a line; `None` if there are fewer than three points, or all have the same `x`.
     pub(crate) fn new(points: &[Point]) -> Option<Fit> {
         if points.len() < 3 {
             return None;
--- a/xtask/src/bench/slopes/frames.rs
+++ b/xtask/src/bench/slopes/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of forwarded requests against the size of their bodies.
+//! Size and codec time of the frames of forwarded requests, by the size of the body.
 
 use std::hint::black_box;
 
@@ -11,7 +11,7 @@
 const BODY_SIZES_BYTES: [usize; 5] = [0, 1 << 10, 4 << 10, 16 << 10, 48 << 10];
 const REPETITIONS: u32 = 4_000;
 
-/// Measures the size of frames and the time to encode and decode one.
+/// Measures the size of a frame and the time to encode and decode it.
 pub(super) fn measure() -> Vec<Slope> {
     let frames: Vec<(usize, Frame)> =
         BODY_SIZES_BYTES.iter().map(|it| (*it, request(*it))).collect();
--- a/xtask/src/bench/slopes/group.rs
+++ b/xtask/src/bench/slopes/group.rs
@@ -1,4 +1,5 @@
-//! A group of nodes in virtual time, without faults, to count what the control of ownership costs.
+//! Simulation of a group of nodes in virtual time, without faults, that counts the costs of the
+//! control of ownership.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -21,16 +22,17 @@
 const LINK_DELAY: Duration = Duration::from_millis(1);
 const PLATFORM_DELAY: Duration = Duration::from_millis(3);
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Upstream time spent on an ordinary slot, and on a hot key, in a second.
+/// Load of an ordinary slot, in microseconds of upstream time a second.
 const SLOT_LOAD_US_PER_S: u64 = 20_000;
+/// Load of a hot key, in microseconds of upstream time a second.
 const HOT_KEY_LOAD_US_PER_S: u64 = 200_000;
-/// Reports name at most so many slots and keys.
+/// Largest numbers of slots and keys in one load report.
 const REPORTED_SLOTS_MAX: usize = 64;
 const REPORTED_KEYS_MAX: usize = 16;
 
 use super::wire_size;
 
-/// How large a group is.
+/// Size of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct GroupSize {
     pub(crate) members: usize,
@@ -38,7 +40,7 @@
     pub(crate) hot_keys: usize,
 }
 
-/// What one node has cost since the counts were last cleared.
+/// Costs of one node since the last reset.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct NodeCost {
     pub(crate) cpu: Duration,
@@ -46,7 +48,7 @@
     pub(crate) sent_bytes: u64,
     pub(crate) received: u64,
     pub(crate) received_bytes: u64,
-    /// Encoding and decoding of messages.
+    /// Processor time for encoding and decoding messages.
     pub(crate) codec_cpu: Duration,
     pub(crate) platform_calls: u64,
 }
@@ -67,7 +69,7 @@
     Call { from: usize, call: CallId, request: Box<PlatformRequest> },
 }
 
-/// Objects of the platform, in their JSON form.
+/// Objects in the platform's store, as JSON.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -75,7 +77,7 @@
     plan: Option<(ObjectVersion, Bytes)>,
 }
 
-/// A group under way.
+/// Simulated group.
 pub(crate) struct Group {
     size: GroupSize,
     service: ServiceName,
@@ -85,7 +87,7 @@
     hosts: Vec<Host>,
     hot_keys: Vec<KeyHash>,
     store: Store,
-    /// What reading the clock twice costs by itself.
+    /// Processor time that two readings of the clock take, subtracted from measured times.
     clock_cost: Duration,
 }
 
@@ -108,7 +110,7 @@
             clock_cost: clock_cost(),
         };
         for host in 0..size.members {
-            // Nodes of different processes don't tick together.
+            // The ticks of different nodes are spread evenly, as those of separate processes would be.
             let offset = TICK_INTERVAL.mul_f64(host as f64 / size.members as f64);
             group.schedule(offset, Event::Tick(host));
             group.schedule(offset + LOAD_REPORT_INTERVAL, Event::Load(host));
@@ -118,7 +120,7 @@
         group
     }
 
-    /// Goes on for some virtual time.
+    /// Runs the simulation for the given virtual time.
     pub(crate) fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(entry) = self.events.first_entry().filter(|it| it.key().0 < end) {
@@ -146,18 +148,18 @@
         self.hosts[host].cost
     }
 
-    /// How many slots some gate admits.
+    /// Returns the number of slots that the gates admit.
     #[cfg(test)]
     pub(crate) fn granted_slots(&self) -> usize {
         self.hosts.iter().map(|it| it.slots.len()).sum()
     }
 
-    /// How many hot keys some gate admits by an entry of their own.
+    /// Returns the number of hot keys that the gates admit by their own entries.
     pub(crate) fn granted_keys(&self) -> usize {
         self.hosts.iter().map(|it| it.keys.len()).sum()
     }
 
-    /// Bytes of the plan as the platform keeps it.
+    /// Returns the size in bytes of the plan in the platform's store.
     pub(crate) fn plan_bytes(&self) -> usize {
         self.store.plan.as_ref().map_or(0, |(_, body)| body.len())
     }
@@ -309,7 +311,7 @@
 
 impl GroupSize {
     fn slot_count(self) -> SlotCount {
-        SlotCount::new(self.slots).expect("sizes are measured with valid numbers of slots")
+        SlotCount::new(self.slots).expect("all measured sizes have a valid number of slots")
     }
 }
 
@@ -390,12 +392,12 @@
     PlatformReply::Updated(ObjectVersion(*revision))
 }
 
-/// Processor time of this thread, which other processes on a busy machine don't add to.
+/// Returns the processor time of this thread, which does not include that of other processes.
 pub(super) fn thread_cpu() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
 
-/// What two readings of the clock cost: the least of many.
+/// Measures the processor time between two readings of the clock, as the minimum of many samples.
 fn clock_cost() -> Duration {
     (0..1_000)
         .map(|_| {
--- a/xtask/src/bench/slopes/mod.rs
+++ b/xtask/src/bench/slopes/mod.rs
@@ -1,5 +1,5 @@
-//! What control and traffic cost against the size of a group, its slots, hot keys and messages: the
-//! slopes behind docs/CAPACITY.md.
+//! Cost of control and traffic by the numbers of members, slots and hot keys of a group and by the
+//! size of messages: the slopes used in docs/CAPACITY.md.
 
 mod cases;
 mod fit;
@@ -18,22 +18,22 @@
 use super::BenchOptions;
 use crate::demo::print_line;
 
-/// All slopes.
+/// Results of the measurement.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct SlopesReport {
-    /// Added to each message for the headers of its frame and of TCP and IP.
+    /// Bytes added to each message for the headers of its frame, TCP and IP.
     header_bytes: u64,
     pub(crate) slopes: Vec<Slope>,
 }
 
-/// One quantity against one size.
+/// One quantity by one size.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct Slope {
-    /// What the size counts, for example `members`.
+    /// Name of the size, for example `members`.
     pub(crate) against: &'static str,
-    /// What was measured, with its unit.
+    /// Name of the measured quantity, with its unit.
     pub(crate) quantity: &'static str,
     pub(crate) points: Vec<Point>,
     pub(crate) fit: Option<Fit>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Measures all slopes, or those against the size that is asked for.
+/// Measures all slopes, or those by the size given by `--case`.
 pub(crate) fn run(options: &BenchOptions) -> anyhow::Result<SlopesReport> {
     let wanted = |case: &str| options.case.is_empty() || options.case == case;
     let mut slopes = Vec::new();
--- a/xtask/src/bench/slopes/records.rs
+++ b/xtask/src/bench/slopes/records.rs
@@ -1,4 +1,4 @@
-//! Memory and time of at-most-once records against their number.
+//! Memory and processor time of at-most-once records, by their number.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
     }
 }
 
-/// Memory as the system sees it, against that which the records themselves count, and the time for
-/// one request.
+/// Measures the resident memory that the system reports, the memory that the records count
+/// themselves, and the processor time to begin and finish all requests.
 pub(super) fn measure() -> anyhow::Result<Vec<Slope>> {
     let (mut resident, mut counted, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
-    // Kept to the end, so that no table takes up memory that an earlier one has left.
+    // All tables are kept to the end, so that none reuses memory that another one has freed.
     let mut filled_tables = Vec::new();
     for count in RECORD_COUNTS {
         let x = count as f64;
--- a/xtask/src/bench/slopes/routes.rs
+++ b/xtask/src/bench/slopes/routes.rs
@@ -1,4 +1,4 @@
-//! What an agent spends on the routes of a service that it is no member of.
+//! Bytes that an agent transfers for the routes of a service that its own group does not serve.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -9,40 +9,35 @@
 
 use super::{Slope, fit::Point, wire_size::bytes_on_wire};
 
-const MEMBER_COUNTS: [u16; 5] = [4, 8, 16, 24, 32];
-const SLOT_COUNTS: [u16; 5] = [64, 128, 256, 512, 1024];
+const MEMBERS: [u16; 5] = [4, 8, 16, 24, 32];
+const SLOTS: [u16; 5] = [64, 128, 256, 512, 1024];
 const DEFAULT_MEMBERS: u16 = 8;
 const DEFAULT_SLOTS: u16 = 96;
 
-/// A refresh is one question and its answer; nothing has changed, or all has.
+/// Measures a refresh, which is one query and its response, without any changed route and with all
+/// routes changed.
 pub(super) fn measure() -> Vec<Slope> {
     let against = |name, quantity, sizes: [u16; 5], bytes: fn(u16) -> u64| {
         let point = |size: u16| Point { x: f64::from(size), y: bytes(size) as f64 };
         Slope::new(name, quantity, sizes.map(point).to_vec())
     };
     vec![
-        against("members", "route_refresh_unchanged_bytes", MEMBER_COUNTS, |_| {
-            refresh_unchanged_bytes()
-        }),
-        against("members", "route_refresh_all_bytes", MEMBER_COUNTS, |it| {
-            refresh_all_bytes(it, DEFAULT_SLOTS)
-        }),
-        against("slots", "route_refresh_all_bytes", SLOT_COUNTS, |it| {
-            refresh_all_bytes(DEFAULT_MEMBERS, it)
-        }),
+        against("members", "route_refresh_unchanged_bytes", MEMBERS, |_| unchanged_bytes()),
+        against("members", "route_refresh_all_bytes", MEMBERS, |it| full_bytes(it, DEFAULT_SLOTS)),
+        against("slots", "route_refresh_all_bytes", SLOTS, |it| full_bytes(DEFAULT_MEMBERS, it)),
     ]
 }
 
-fn refresh_all_bytes(members: u16, slots: u16) -> u64 {
+fn full_bytes(members: u16, slots: u16) -> u64 {
     refresh_bytes(Envelope::Routes(route_table(members, slots)))
 }
 
-fn refresh_unchanged_bytes() -> u64 {
+fn unchanged_bytes() -> u64 {
     let RouteTable { service, version, config, .. } = route_table(DEFAULT_MEMBERS, DEFAULT_SLOTS);
     refresh_bytes(Envelope::RoutesUnchanged { service, version, config })
 }
 
-/// Bytes of the question and the answer with all headers.
+/// Returns the bytes of the query and its response, headers included.
 fn refresh_bytes(answer: Envelope) -> u64 {
     let query = Envelope::FetchRoutes { service: service(), known_version: 1 << 20 };
     bytes_on_wire(&query.encode()) + bytes_on_wire(&answer.encode())
--- a/xtask/src/bench/slopes/tests.rs
+++ b/xtask/src/bench/slopes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fit and of the group that the slopes are measured on.
+//! Tests of the fit and of the simulated group.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn a_line_is_found() {
+fn points_on_a_line_are_fitted_exactly() {
     let points: Vec<Point> =
         [4.0, 8.0, 16.0, 32.0].into_iter().map(|x| Point { x, y: 3.0 + 0.5 * x }).collect();
     let fit = Fit::new(&points).unwrap();
--- a/xtask/src/bench/spread.rs
+++ b/xtask/src/bench/spread.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// Figures of one kind over repeated runs.
+/// Minimum, median and maximum of one figure over repeated runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize)]
 pub(crate) struct Spread {
@@ -14,7 +14,7 @@
 }
 
 impl Spread {
-    /// The spread of some figures; all zero if there are none.
+    /// Computes the spread of the given figures; all zero if there are none.
     pub(crate) fn new(figures: impl IntoIterator<Item = f64>) -> Spread {
         let mut figures: Vec<f64> = figures.into_iter().collect();
         figures.sort_by(f64::total_cmp);
--- a/xtask/src/demo/faults.rs
+++ b/xtask/src/demo/faults.rs
@@ -21,7 +21,7 @@
 const CHANGE_ATTEMPTS_MAX: u32 = 100;
 const CHANGE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Fault with its target.
+/// Fault with the instance or service that it affects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// Kills the instance with this index.
