--- a/xtask/src/bench/ownership/bound.rs
+++ b/xtask/src/bench/ownership/bound.rs
@@ -1,4 +1,4 @@
-//! The least moves that any plan needs to get from one placement to a given imbalance.
+//! Lower bound on the moves that any plan needs to get from one placement to a given imbalance.
 
 use std::collections::BTreeMap;
 
@@ -7,29 +7,30 @@
     workload::Workload,
 };
 
-/// A key of at least this share of a member's fair load counts as hot.
+/// Share of a member's fair load from which a key counts as hot.
 const HOT_SHARE: f64 = 0.02;
 
-/// Lower bounds, as shares of all keys.
+/// Lower bounds on the moved keys, as shares of all keys.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct MinimalMoves {
-    /// Any key may move alone.
+    /// Bound if any key may move alone.
     pub(super) by_key: f64,
-    /// Keys move by slots, hot ones alone too.
+    /// Bound if keys move with their slot, and only hot keys may move alone.
     pub(super) by_unit: f64,
 }
 
-/// Something that moves as a whole.
+/// Unit of keys that move together.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Movable {
     keys: f64,
     load: f64,
 }
 
-/// The share of all keys that must move at the least, so that no member has more than `level`
-/// times its fair load: each overloaded member gives up first what has the most load for its
-/// keys, the last one in part. A member's heaviest unit counts only with what its new member
-/// must give up for it; otherwise room is not looked at. No real plan can do with less.
+/// Returns a lower bound on the share of all keys that have to move until no member has more than
+/// `level` times its fair load. Each overloaded member sheds the units with the highest load per key
+/// first, the last one partly. If it sheds its heaviest unit, the keys that the new owner has to shed
+/// in turn are counted too; the capacity of new owners is ignored otherwise. No real plan moves fewer
+/// keys.
 pub(super) fn least_moved(
     view: &View<'_>,
     level: f64,
@@ -58,8 +59,8 @@
     moved / view.keys.len() as f64
 }
 
-/// The same as [`min_keys_moved`], but the heaviest unit either stays, or goes as a whole and needs
-/// room elsewhere.
+/// Returns the same as [`min_keys_moved`], but the heaviest unit either stays, or moves as a whole and
+/// its new owner has to shed load for it.
 fn min_keys_moved_with_room(
     mut movable: Vec<Movable>,
     excess: f64,
@@ -71,14 +72,14 @@
     let rest: f64 = movable.iter().map(|it| it.load).sum();
     let moved_whole =
         heaviest.keys + room_for(heaviest.load) + min_keys_moved(&movable, excess - heaviest.load);
-    // Sums in another order differ in their last digits.
+    // The tolerance covers rounding: sums in a different order differ in their last digits.
     match rest >= excess * (1.0 - 1e-9) {
         true => min_keys_moved(&movable, excess).min(moved_whole),
         false => moved_whole,
     }
 }
 
-/// The least number of keys whose load comes to `excess`.
+/// Returns the least number of keys whose load adds up to `excess`, the last unit in part.
 fn min_keys_moved(movable: &[Movable], mut excess: f64) -> f64 {
     let density = |it: &Movable| it.load / it.keys;
     let mut order: Vec<&Movable> = movable.iter().collect();
@@ -94,13 +95,13 @@
     moved
 }
 
-/// Each key of a member by itself.
+/// Returns each key of a member as a unit.
 pub(super) fn single_keys(view: &View<'_>, member: usize) -> Vec<Movable> {
     let own = (0..view.keys.len()).filter(|it| view.owners[*it] == Some(member));
     own.map(|it| Movable { keys: 1.0, load: view.loads_us_per_s[it] }).collect()
 }
 
-/// The hot keys of a member, and its slots without them.
+/// Returns the hot keys of a member, and each of its slots without them, as units.
 pub(super) fn slots_and_hot_keys(
     workload: &Workload,
 ) -> impl Fn(&View<'_>, usize) -> Vec<Movable> + '_ {
--- a/xtask/src/bench/ownership/measure.rs
+++ b/xtask/src/bench/ownership/measure.rs
@@ -1,4 +1,4 @@
-//! One run: a policy on a workload, second by second.
+//! Simulation of one policy on one workload, second by second.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     workload::{CAPACITY_US_PER_S, EndReason, Workload},
 };
 
-/// Share of a second's sample in the smoothed load.
+/// Weight of the latest second in the smoothed load.
 const SMOOTHING: f64 = 0.25;
-/// Mean service time, which a busy unit's hand-over waits for.
+/// Mean service time of a request, in seconds; it determines how long a handover takes.
 const SERVICE_S: f64 = 0.01;
-/// From a member's loss to the end of its lease: the same for all policies.
+/// Time from the loss of a member to the end of its lease, in seconds, the same for all policies.
 const LEASE_S: std::ops::Range<f64> = 0.75..0.9;
-/// Seconds after a loss in which moves count as its consequence.
+/// Seconds after a loss in which moves are attributed to it.
 const LOSS_WINDOW_S: u32 = 60;
 
 pub(super) struct Run<'a> {
     workload: &'a Workload,
     policy: Box<dyn Policy>,
-    /// Of their own, so that all policies see the same noise and the same lease times.
+    /// Separate generators, so that all policies see the same noise and the same lease times.
     noise_rng: Pcg64Mcg,
     lease_rng: Pcg64Mcg,
     handover_rng: Pcg64Mcg,
@@ -70,7 +70,7 @@
         self.measured
     }
 
-    /// Members come, warm up and go.
+    /// Updates the members' weights as they join, warm up and leave, and handles losses.
     fn update_members(&mut self, second: u32) {
         let lifetimes = self.workload.members.iter();
         let lost =
@@ -93,7 +93,8 @@
         }
     }
 
-    /// The keys of a lost member wait for its lease, and for the policy's write if it needs one.
+    /// Reassigns the keys of lost members. They are unavailable until the lease ends and, if the policy
+    /// needs it, until a write to the platform is done.
     fn reassign_lost(&mut self, second: u32) {
         let view = View {
             owners: &self.owners,
@@ -143,14 +144,15 @@
         self.owners = next;
     }
 
-    /// How long a unit waits for what is in flight: the longest of the requests that run.
+    /// Draws the time for which the handover of a unit waits for its requests in flight, the longest of
+    /// them.
     fn handover_s(&mut self, keys: &[usize]) -> f64 {
         let in_flight: f64 = keys.iter().map(|it| self.smoothed[*it]).sum::<f64>() / 1e6;
         let running = poisson(&mut self.handover_rng, in_flight);
         (0..running).map(|_| exponential(&mut self.handover_rng, SERVICE_S)).fold(0.0, f64::max)
     }
 
-    /// Measures the second under the placement that it starts with.
+    /// Records the second with the placement at its start.
     fn measure(&mut self, loads: &[f64]) {
         let is_placed = self.owners.iter().any(Option::is_some);
         if !is_placed || loads.iter().all(|it| *it == 0.0) {
@@ -190,11 +192,12 @@
     (0..from.len()).filter(|it| from[*it] != to[*it]).collect()
 }
 
-/// Requests a second up to which they are drawn one by one.
+/// Number of requests in a second up to which each is drawn separately.
 const EXACT_REQUESTS_MAX: f64 = 30.0;
 
-/// What one second shows of a load: requests come at random and take random times, so their sum
-/// has twice the variance of their number. On average it shows the load, also of idle keys.
+/// Draws the load that is measured in one second. Requests arrive at random and have random service
+/// times, so that the variance of the sum is twice that of their number. The mean is the true load,
+/// also for idle keys.
 fn sample_load(rng: &mut impl Rng, load_us_per_s: f64) -> f64 {
     let requests = load_us_per_s / (SERVICE_S * 1e6);
     if requests <= EXACT_REQUESTS_MAX {
--- a/xtask/src/bench/ownership/mod.rs
+++ b/xtask/src/bench/ownership/mod.rs
@@ -1,7 +1,8 @@
-//! The placement policy against three baselines, on seeded workloads in virtual time.
+//! Comparison of the placement policy with three baselines, on seeded workloads in virtual time.
 //!
-//! Each policy decides once a second on smoothed, noisy loads and is measured on the true ones.
-//! What is modelled and how is said in `docs/design/rebalance.md`.
+//! Each policy decides once a second, based on smoothed, noisy loads, and is evaluated on the true
+//! ones.
+//! The model is described in `docs/design/rebalance.md`.
 
 mod bound;
 mod measure;
--- a/xtask/src/bench/ownership/policy/bounded.rs
+++ b/xtask/src/bench/ownership/policy/bounded.rs
@@ -1,13 +1,13 @@
-//! Consistent hashing with bounded loads: each key on the first member of the ring, from its own
-//! hash on, that is under 1.15 times the mean. Keys move only when their member is over that or
-//! gone, or when a joining member comes before theirs.
+//! Consistent hashing with bounded loads: each key is placed on the first member of the ring, starting
+//! at the key's hash, whose load is below 1.15 times the mean. A key moves only if its member exceeds
+//! this bound or is unavailable, or if a joining member precedes it on the ring.
 
 use model::{KeyHash, key_hash};
 
 use super::{PLATFORM_WRITE_S, Policy, UnitId, View, Workload};
 
 const BOUND: f64 = 1.15;
-/// Points of one member on the ring.
+/// Number of points of each member on the ring.
 const POINTS: usize = 100;
 
 pub(super) struct BoundedLoad {
@@ -25,7 +25,7 @@
         BoundedLoad { ring, was_available: vec![false; members] }
     }
 
-    /// The members in the order of the ring, from a key on; some more than once.
+    /// Returns the members in ring order, starting at a key; members repeat, once for each point.
     fn ring_order(&self, key: KeyHash) -> impl Iterator<Item = usize> + '_ {
         let from = self.ring.partition_point(|it| it.0 < key);
         self.ring[from..].iter().chain(&self.ring[..from]).map(|it| it.1)
@@ -36,7 +36,8 @@
         was_available.map(|(was_available, member)| !was_available && member.weight > 0.0).collect()
     }
 
-    /// Its member is gone or over the bound, or a member that has just joined comes first.
+    /// Returns whether the key's member is unavailable or above the bound, or a newly joined member
+    /// precedes it.
     fn must_move(
         &self,
         view: &View<'_>,
@@ -53,7 +54,7 @@
         weight == 0.0 || is_overloaded || first.is_some_and(|it| joined[it])
     }
 
-    /// The first member with room; the least loaded if there is none.
+    /// Returns the first member below the bound, or the least loaded one if there is none.
     fn place(&self, view: &View<'_>, loads: &[f64], fair_load: f64, key: usize) -> Option<usize> {
         let load = view.loads_us_per_s[key];
         let has_room = |it: &usize| {
--- a/xtask/src/bench/ownership/policy/eager.rs
+++ b/xtask/src/bench/ownership/policy/eager.rs
@@ -1,9 +1,9 @@
-//! Rebalance without budget: slots go from the busiest member to the idlest, each second, while
-//! that evens them out. No hysteresis, no entries for single keys.
+//! Rebalance without a budget: each second slots move from the busiest member to the least loaded one
+//! as long as this reduces their difference. It has no hysteresis and no entries for single keys.
 
 use super::{PLATFORM_WRITE_S, Policy, UnitId, View, Workload};
 
-/// Members this close together are left alone.
+/// Ratio of the busiest member's load to the fair load up to which no slot moves.
 const BALANCED_BELOW: f64 = 1.02;
 
 pub(super) struct Eager {
@@ -60,7 +60,7 @@
                 .min_by(|a, b| key(a).partial_cmp(&key(b)).expect("no load is NaN"))
         };
         for (slot, owner) in self.owners.iter_mut().enumerate().filter(|(_, it)| it.is_none()) {
-            let to = least_loaded(&loads, &counts).expect("a member is able");
+            let to = least_loaded(&loads, &counts).expect("at least one member is available");
             loads[to] += slot_loads[slot];
             counts[to] += 1.0;
             *owner = Some(to);
--- a/xtask/src/bench/ownership/policy/mod.rs
+++ b/xtask/src/bench/ownership/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Placement policies that are compared.
 
 mod bounded;
 mod eager;
@@ -7,45 +7,45 @@
 
 use super::{view::View, workload::Workload};
 
-/// Keys that change their owner as a whole, by a number of the policy's own.
+/// Number, chosen by the policy, of a unit of keys that move together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct UnitId(pub(super) u64);
 
-/// Places keys on members.
+/// Policy that places keys on members.
 pub(super) trait Policy {
     fn name(&self) -> &'static str;
 
-    /// The unit in which a key moves.
+    /// Returns the unit in which a key moves.
     fn unit(&self, view: &View<'_>, key: usize) -> UnitId;
 
-    /// What it takes to give a lost member's keys to others once its lease has lapsed, in
-    /// seconds: a write to the platform, unless that is planned ahead.
+    /// Returns the seconds from the end of a lost member's lease until its keys have new owners: the
+    /// time of a write to the platform, or 0 if successors are planned in advance.
     fn loss_write_s(&self) -> f64;
 
-    /// New owners for the keys of members that were lost.
+    /// Returns the owners of all keys after the loss of members.
     fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>>;
 
-    /// The owners from now on; called once a second.
+    /// Returns the owners of all keys for the next second; called once a second.
     fn plan(&mut self, view: &View<'_>) -> Vec<Option<usize>>;
 
-    /// Entries for single keys.
+    /// Returns the number of entries for single keys.
     fn entries(&self) -> usize {
         0
     }
 
-    /// Writes of the plan to the platform.
+    /// Returns the number of plans written to the platform.
     fn plans_written(&self) -> u32 {
         0
     }
 }
 
-/// How many of the policies, after the first, are baselines.
+/// Number of policies after the first that are baselines.
 pub(super) const BASELINES: usize = 3;
-/// A conditional update of the platform, on which a policy without successors waits.
+/// Time of a conditional update at the platform, for which policies without successors wait.
 const PLATFORM_WRITE_S: f64 = 0.01;
 
-/// The product's own policy as it is set by default, the baselines, then the own policy at both
-/// ends of its weight.
+/// Returns the policy under test with its default weight, the baselines, and the policy under test
+/// with the lowest and the highest weight.
 pub(super) fn all(workload: &Workload) -> Vec<Box<dyn Policy>> {
     vec![
         Box::new(planned::Planned::new(workload, "pomelohill", 0.5)),
--- a/xtask/src/bench/ownership/policy/planned.rs
+++ b/xtask/src/bench/ownership/policy/planned.rs
@@ -1,4 +1,4 @@
-//! The product's own policy: `ownership::planner`, driven as a coordinator drives it.
+//! Policy under test: `ownership::planner`, called in the same way as by a coordinator.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -13,11 +13,11 @@
 
 use super::{Policy, UnitId, View, Workload};
 
-/// How long a slot that has moved for the sake of balance stays.
+/// Seconds for which a moved slot is not rebalanced again.
 const MIN_STAY_S: u64 = 10;
-/// Keys that each member reports.
+/// Number of keys that each member reports.
 const REPORTED_KEYS: usize = 16;
-/// What one moved key takes of the budget, in slots; as the planner counts it.
+/// Cost of a moved key in the churn budget, relative to a moved slot; same value as in the planner.
 const KEY_COST_RATIO: f64 = 0.05;
 
 pub(super) struct Planned {
@@ -25,10 +25,10 @@
     slot_count: SlotCount,
     slots: Vec<PlannerSlot>,
     entries: Vec<PlannerKey>,
-    /// The slot of each key.
+    /// Slot of each key.
     slot_of: Vec<usize>,
-    /// Shares of all keys moved for the sake of balance in the last minute, with the second.
-    spent: VecDeque<(u32, f64)>,
+    /// Churn of rebalancing moves in the last minute, as (second, share of all keys).
+    recent_churn: VecDeque<(u32, f64)>,
     limits: Limits,
     plans_written: u32,
 }
@@ -53,13 +53,13 @@
             slots: workload.slot_count.iter().map(slot).collect(),
             entries: Vec::new(),
             slot_of: workload.keys.iter().map(slot_of).collect(),
-            spent: VecDeque::new(),
+            recent_churn: VecDeque::new(),
             limits: Limits { availability_weight, ..Limits::default() },
             plans_written: 0,
         }
     }
 
-    /// The keys with an entry, and the heaviest that each member reports.
+    /// Returns the keys that have an entry, and the heaviest keys that each member reports.
     fn hot_keys(&self, view: &View<'_>) -> Vec<PlannerKey> {
         let mut order: Vec<usize> = (0..view.keys.len()).collect();
         let load = |it: usize| view.loads_us_per_s[it];
@@ -86,10 +86,10 @@
     }
 
     fn input(&mut self, view: &View<'_>) -> PlannerInput {
-        while self.spent.front().is_some_and(|it| it.0 + 60 <= view.second) {
-            self.spent.pop_front();
+        while self.recent_churn.front().is_some_and(|it| it.0 + 60 <= view.second) {
+            self.recent_churn.pop_front();
         }
-        let spent: f64 = self.spent.iter().map(|it| it.1).sum();
+        let spent: f64 = self.recent_churn.iter().map(|it| it.1).sum();
         let keys = self.hot_keys(view);
         let mut slots = self.slots.clone();
         slots.iter_mut().for_each(|it| it.load_us_per_s = 0.0);
@@ -126,12 +126,12 @@
             }
             MoveUnit::Key(hash) => {
                 let key = keys.iter_mut().find(|it| it.key_hash == hash);
-                key.expect("only known keys move").owner = it.to;
+                key.expect("the planner moves only keys of its input").owner = it.to;
                 KEY_COST_RATIO
             }
         };
         if it.reason == MoveReason::Rebalance {
-            self.spent.push_back((view.second, cost / slots));
+            self.recent_churn.push_back((view.second, cost / slots));
         }
     }
 
@@ -147,7 +147,7 @@
 }
 
 fn now(view: &View<'_>) -> Timestamp {
-    // The clock starts late enough that nothing is settled at first.
+    // The clock starts after `movable_from` of all slots, so that all of them may move at first.
     Timestamp::from_ms(u64::from(view.second + 1) * 1000)
 }
 
@@ -168,12 +168,12 @@
     }
 
     fn reassign_lost(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
-        let is_able = |it: u16| view.members[usize::from(it)].weight > 0.0;
+        let is_available = |it: u16| view.members[usize::from(it)].weight > 0.0;
         let slots = self.slots.iter_mut().map(|it| (&mut it.owner, &it.successors));
         let keys = self.entries.iter_mut().map(|it| (&mut it.owner, &it.successors));
         for (owner, successors) in slots.chain(keys) {
-            if owner.is_some_and(|it| !is_able(it)) {
-                *owner = successors.iter().copied().find(|it| is_able(*it));
+            if owner.is_some_and(|it| !is_available(it)) {
+                *owner = successors.iter().copied().find(|it| is_available(*it));
             }
         }
         self.owners(view)
@@ -194,7 +194,8 @@
         }
         for (hash, successors) in proposal.key_successors {
             let key = keys.iter_mut().find(|it| it.key_hash == hash);
-            key.expect("only known keys have successors").successors = successors;
+            key.expect("the planner returns successors only for keys of its input").successors =
+                successors;
         }
         keys.retain(|it| it.owner.is_some());
         self.entries = keys;
--- a/xtask/src/bench/ownership/policy/rendezvous.rs
+++ b/xtask/src/bench/ownership/policy/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Static rendezvous hashing: each key on the live member with the highest hash for it.
+//! Static rendezvous hashing: each key is placed on the available member that ranks first for it.
 
 use super::{Policy, UnitId, View, Workload};
 use model::key_hash;
 
 pub(super) struct Rendezvous {
-    /// For each key, the members from best to worst.
+    /// Members from best to worst, for each key.
     ranks: Vec<Vec<usize>>,
 }
 
@@ -37,7 +37,7 @@
     }
 
     fn plan(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
-        let is_able = |it: &usize| view.members[*it].weight > 0.0;
-        self.ranks.iter().map(|ranks| ranks.iter().copied().find(is_able)).collect()
+        let is_available = |it: &usize| view.members[*it].weight > 0.0;
+        self.ranks.iter().map(|ranks| ranks.iter().copied().find(is_available)).collect()
     }
 }
--- a/xtask/src/bench/ownership/report.rs
+++ b/xtask/src/bench/ownership/report.rs
@@ -1,18 +1,18 @@
-//! What was measured, as written out.
+//! Report of the measurement, as JSON and as a table.
 
 use serde::Serialize;
 
 use super::{bound::MinimalMoves, policy::BASELINES, workload::Workload};
 
-/// Busiest over mean that is aimed at.
+/// Highest imbalance, as busiest over mean, that meets the goal.
 const IMBALANCE_GOAL: f64 = 1.15;
-/// Moves over the least that any plan needs, that is aimed at.
+/// Highest ratio of moves to the lower bound of any plan that meets the goal.
 const CHURN_GOAL: f64 = 1.2;
 
 const HEADER: &str = "  policy                           busiest/mean: mean    p99  <=1.15 | \
     keys/min: moved   least | unavailable: key-s  longest | entries plans";
 
-/// The whole measurement.
+/// Results of all workloads.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct Report {
@@ -21,7 +21,7 @@
 }
 
 impl Report {
-    /// A short table.
+    /// Formats the report as a table.
     pub(crate) fn lines(&self) -> Vec<String> {
         let title =
             |it: &WorkloadReport| format!("{}, {} s, {} keys", it.workload, it.seconds, it.keys);
@@ -33,7 +33,7 @@
     }
 }
 
-/// All policies on one workload; the first is the product's own.
+/// Results of all policies on one workload; the first policy is the one under test.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct WorkloadReport {
@@ -41,24 +41,24 @@
     pub(crate) seconds: u32,
     pub(crate) keys: usize,
     pub(crate) slots: u16,
-    /// No placement of whole keys reaches the goal in this workload.
+    /// Whether some key exceeds a member's fair load, so that no placement of whole keys reaches the goal.
     pub(crate) has_key_over_fair_share: bool,
     pub(crate) policies: Vec<PolicyResult>,
     pub(crate) goals: Goals,
 }
 
-/// What the product's own policy reached.
+/// Results of the policy under test, compared with the goals.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct Goals {
     /// Share of the seconds with an imbalance of at most 1.15.
     pub(crate) imbalance_share: f64,
     pub(crate) churn_within_goal: bool,
-    /// For each baseline, in which of the three the policy is at least as good.
+    /// Comparison with each baseline.
     pub(crate) against: Vec<Comparison>,
 }
 
-/// The product's policy against one baseline.
+/// Measures in which the policy under test is at least as good as one baseline.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct Comparison {
@@ -68,7 +68,7 @@
     pub(crate) unavailable: bool,
 }
 
-/// One policy on one workload.
+/// Result of one policy on one workload.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct PolicyResult {
@@ -77,21 +77,21 @@
     pub(crate) imbalance_p99: f64,
     pub(crate) imbalance_max: f64,
     pub(crate) within_goal_share: f64,
-    /// Share of all keys moved in a minute, on average; keys of lost members left out.
+    /// Mean share of all keys that moved in a minute, without the keys of lost members.
     pub(crate) churn_per_minute: f64,
-    /// The least that any plan needs for the same imbalance from the same placements, if any key
-    /// may move alone.
+    /// Lower bound on the churn for the same imbalance from the same placements, if any key may move
+    /// alone.
     pub(crate) least_churn_per_minute: f64,
-    /// The same if keys move by slots, and only hot ones alone.
+    /// The same bound if keys move with their slot, and only hot keys may move alone.
     pub(crate) least_unit_churn_per_minute: f64,
-    /// Share of all keys moved by a loss and in the minute after it.
+    /// Mean share of all keys moved by a loss and in the minute after it.
     pub(crate) moved_per_loss: f64,
     pub(crate) unavailable_key_s: f64,
     pub(crate) unavailable_longest_ms: f64,
-    /// Keys on members asked for more than their capacity, times the share refused.
+    /// Keys on overloaded members times the share of their load above the capacity, in key-seconds.
     pub(crate) overloaded_key_s: f64,
     pub(crate) entries_max: usize,
-    /// Plans written to the platform, where the policy has any.
+    /// Number of plans written to the platform; 0 for policies without plans.
     pub(crate) plans_written: u32,
     #[serde(skip)]
     pub(super) losses: u32,
@@ -128,7 +128,10 @@
     }
 
     pub(super) fn record_churn(&mut self, share: f64, least: MinimalMoves) {
-        assert!(share >= least.by_key - 1e-9, "{share} moved, below the least: {least:?}");
+        assert!(
+            share >= least.by_key - 1e-9,
+            "moved a share of {share}, below the lower bound {least:?}"
+        );
         self.churn_per_minute += share;
         self.least_churn_per_minute += least.by_key;
         self.least_unit_churn_per_minute += least.by_unit;
@@ -159,7 +162,7 @@
         )
     }
 
-    /// Turns sums into means.
+    /// Turns the recorded sums into means.
     pub(super) fn finish(&mut self, seconds: u32) {
         let minutes = f64::from(seconds) / 60.0;
         self.churn_per_minute /= minutes;
@@ -193,7 +196,7 @@
 
 impl Goals {
     fn new(policies: &[PolicyResult]) -> Goals {
-        let (own, others) = policies.split_first().expect("there are policies");
+        let (own, others) = policies.split_first().expect("at least one policy was measured");
         let against = |it: &PolicyResult| Comparison {
             baseline: it.policy,
             imbalance: own.imbalance_mean <= it.imbalance_mean,
--- a/xtask/src/bench/ownership/tests.rs
+++ b/xtask/src/bench/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the measurement itself.
+//! Tests of the simulation and of the lower bound.
 
 use model::{Zone, key_hash};
 
@@ -11,7 +11,7 @@
     workload::{self, Workload},
 };
 
-/// A workload by its place in the list, cut short.
+/// Returns the workload with this index, shortened to the given seconds.
 fn short(index: usize, seconds: u32) -> Workload {
     let mut workload = workload::all(3).swap_remove(index);
     workload.seconds = seconds;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_bound_takes_the_busiest_keys_first() {
+fn the_bound_moves_the_heaviest_keys_first() {
     let keys: Vec<_> = (0..4_u8).map(|it| key_hash(&[it])).collect();
     let member = || ViewMember { zone: Zone::new("a").unwrap(), weight: 1.0 };
     let members = [member(), member()];
@@ -35,38 +35,39 @@
         owners: &[Some(0), Some(0), Some(0), Some(1)],
     };
     assert_eq!(imbalance(&members, view.owners, view.loads_us_per_s), 1.8);
-    // Down to 6 of a fair 5: either the two others, or the busiest, for which one must make room.
+    // From 9 down to 6, with a fair load of 5: either the two lighter keys move, or the heaviest moves
+    // and the new owner has to shed its key.
     assert!((least_moved(&view, 1.2, single_keys) - 2.0 / 4.0).abs() < 1e-9);
-    // Down to 8: half of the key of 2, since the busiest would need room.
+    // Down to 8: half of the key with load 2 moves, since the heaviest would not fit elsewhere.
     assert!((least_moved(&view, 1.6, single_keys) - 0.5 / 4.0).abs() < 1e-9);
     assert_eq!(least_moved(&view, 1.8, single_keys), 0.0);
 }
 
 #[test]
-fn a_run_is_the_same_each_time() {
+fn a_simulation_is_deterministic() {
     let workload = short(0, 20);
     assert_eq!(format!("{:?}", run(&workload)), format!("{:?}", run(&workload)));
 }
 
 #[test]
-fn without_changes_a_static_hash_moves_nothing() {
+fn a_static_hash_moves_no_keys_while_members_stay() {
     let measured = run(&short(2, 65));
     assert_eq!(measured[1].churn_per_minute, 0.0);
     assert!(measured[1].imbalance_mean > 1.0);
 }
 
 #[test]
-fn a_loss_makes_the_lost_members_keys_wait() {
+fn keys_of_a_lost_member_are_unavailable_until_its_lease_ends() {
     for it in run(&short(3, 125)) {
         assert!(it.unavailable_longest_ms >= 750.0, "{it:?}");
         assert!(it.moved_per_loss > 0.1, "{it:?}");
     }
 }
 
-/// Seed 1 as it was found: a member gave up all but its hot key, and the bound, summing in another
-/// order, took that for not enough.
+/// Guards against rounding in the bound: with seed 1 a member sheds all keys but its hot one, and a
+/// sum in a different order comes out slightly below the excess.
 #[test]
-fn the_bound_holds_where_only_a_hot_key_stays() {
+fn the_bound_holds_if_a_member_keeps_only_its_hot_key() {
     let mut workload = workload::all(1).swap_remove(1);
     workload.seconds = 200;
     for policy in policy::all(&workload).into_iter().skip(1).take(2) {
--- a/xtask/src/bench/ownership/view.rs
+++ b/xtask/src/bench/ownership/view.rs
@@ -1,16 +1,17 @@
-//! What a policy knows at one moment.
+//! Input of a policy at one time.
 
 use model::{KeyHash, Zone};
 
-/// A member, by index over all that ever live in a workload.
+/// Member; its index counts all members that exist at any time in the workload.
 #[derive(Debug, Clone)]
 pub(super) struct ViewMember {
     pub(super) zone: Zone,
-    /// 0 while it is not there, or has to give up all; less than 1 while it warms up.
+    /// Share of its full capacity that it may be assigned: 0 while it is absent or leaves, less than 1
+    /// while it warms up.
     pub(super) weight: f64,
 }
 
-/// The state of the fleet as the coordinator has it.
+/// State of the group as the coordinator sees it.
 #[derive(Debug)]
 pub(super) struct View<'a> {
     pub(super) second: u32,
@@ -18,7 +19,7 @@
     pub(super) members: &'a [ViewMember],
     /// Smoothed load of each key, in microseconds of upstream time a second.
     pub(super) loads_us_per_s: &'a [f64],
-    /// Owner of each key; none before the first plan.
+    /// Owner of each key; `None` before the first plan.
     pub(super) owners: &'a [Option<usize>],
 }
 
@@ -31,7 +32,7 @@
         member_loads(self.members.len(), self.owners, self.loads_us_per_s)
     }
 
-    /// The load of a member of weight 1 if all were even.
+    /// Returns the load of a member with weight 1 under a perfectly even placement.
     pub(super) fn fair_load(&self) -> f64 {
         fair_load(self.members, self.loads_us_per_s)
     }
@@ -51,7 +52,8 @@
     loads.iter().sum::<f64>() / members.iter().map(|it| it.weight).sum::<f64>()
 }
 
-/// Busiest over mean, each load over its member's weight.
+/// Returns the load of the busiest member over the mean, with each load divided by the member's
+/// weight.
 pub(super) fn imbalance(members: &[ViewMember], owners: &[Option<usize>], loads: &[f64]) -> f64 {
     let fair_load = fair_load(members, loads);
     let sums = member_loads(members.len(), owners, loads);
--- a/xtask/src/bench/ownership/workload.rs
+++ b/xtask/src/bench/ownership/workload.rs
@@ -1,19 +1,19 @@
-//! Seeded workloads: which keys are how busy, and which members live when.
+//! Seeded workloads: loads of keys and lifetimes of members.
 
 use model::{KeyHash, SlotCount, Zone, key_hash};
 use rand::{Rng, RngExt, SeedableRng, seq::SliceRandom};
 use rand_pcg::Pcg64Mcg;
 
 const ZONES: [&str; 3] = ["zone-1", "zone-2", "zone-3"];
-/// Upstream time that one member has, in microseconds a second: 12 slots.
+/// Capacity of one member, in microseconds of upstream time a second: 12 slots.
 pub(super) const CAPACITY_US_PER_S: f64 = 12e6;
-/// Share of the fleet's capacity that the callers ask for.
+/// Load of all callers, as a share of the capacity of all members.
 const UTILISATION: f64 = 0.65;
-/// How long a new member takes to get its full weight.
+/// Seconds until a new member has its full weight.
 const WARM_UP_S: u32 = 30;
 const DURATION_S: u32 = 900;
 
-/// How a member's life ends.
+/// Reason for which a member is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EndReason {
     Leave,
@@ -29,11 +29,11 @@
 
 impl MemberLifetime {
     fn new(index: usize, from_s: u32, end: Option<(u32, EndReason)>) -> MemberLifetime {
-        let zone = Zone::new(ZONES[index % ZONES.len()]).expect("zones have proper names");
+        let zone = Zone::new(ZONES[index % ZONES.len()]).expect("the zone has a valid name");
         MemberLifetime { zone, from_s, end }
     }
 
-    /// Its weight at a second: 0 while it is not there, rising while it warms up.
+    /// Returns the weight at a second: 0 while the member is absent, rising while it warms up.
     pub(super) fn weight(&self, second: u32) -> f64 {
         let is_gone = self.end.is_some_and(|(at, _)| second >= at);
         match second.checked_sub(self.from_s) {
@@ -45,17 +45,17 @@
     }
 }
 
-/// A share of all load that lies on a few keys for some time.
+/// Period in which a share of the load goes to a few hot keys.
 #[derive(Debug, Clone)]
 struct HotPeriod {
     from_s: u32,
     until_s: u32,
     keys: Vec<usize>,
-    /// Of all load, for all these keys together.
+    /// Share of the total load that goes to all these keys together.
     share: f64,
 }
 
-/// One workload.
+/// Workload: loads of keys over time, and lifetimes of members.
 #[derive(Debug, Clone)]
 pub(super) struct Workload {
     pub(super) name: &'static str,
@@ -63,10 +63,10 @@
     pub(super) keys: Vec<KeyHash>,
     pub(super) slot_count: SlotCount,
     pub(super) members: Vec<MemberLifetime>,
-    /// The share of the load that each key has, heat apart.
+    /// Share of the load of each key, outside of hot periods.
     base: Vec<f64>,
     hot_periods: Vec<HotPeriod>,
-    /// No load before this second.
+    /// Second at which the load starts.
     start_s: u32,
     total_us_per_s: f64,
 }
@@ -88,7 +88,7 @@
             name,
             seconds: DURATION_S,
             keys: (0..keys).map(|it| key_hash(format!("key-{it}").as_bytes())).collect(),
-            slot_count: SlotCount::new(slots).expect("a proper number of slots"),
+            slot_count: SlotCount::new(slots).expect("a valid number of slots"),
             members: (0..members).map(|it| MemberLifetime::new(it, 0, None)).collect(),
             base,
             hot_periods: Vec::new(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The true load of each key at a second, in microseconds of upstream time a second.
+    /// Returns the true load of each key at a second, in microseconds of upstream time a second.
     pub(super) fn loads_us_per_s(&self, second: u32) -> Vec<f64> {
         if second < self.start_s {
             return vec![0.0; self.keys.len()];
@@ -114,7 +114,7 @@
         shares.into_iter().map(|it| it * self.total_us_per_s).collect()
     }
 
-    /// Whether some key is ever hotter than a member's fair share.
+    /// Returns whether some key at some time has more load than a member's fair share.
     pub(super) fn has_key_over_fair_share(&self) -> bool {
         (0..self.seconds).any(|second| {
             let loads = self.loads_us_per_s(second);
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Heats of equal length, one after another, each on other keys.
+    /// Adds consecutive hot periods of equal length, each with newly drawn keys.
     fn add_hot_periods(&mut self, rng: &mut impl Rng, each_s: u32, keys: usize, share: f64) {
         for from_s in (0..self.seconds).step_by(each_s as usize) {
             let keys = (0..keys).map(|_| rng.random_range(0..self.keys.len())).collect();
@@ -133,7 +133,7 @@
     }
 }
 
-/// All workloads of the measurement.
+/// Returns all workloads of the measurement.
 pub(super) fn all(seed: u64) -> Vec<Workload> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let rng = &mut rng;
