--- a/xtask/src/bench/ownership/measure.rs
+++ b/xtask/src/bench/ownership/measure.rs
@@ -102,12 +102,12 @@
         };
         let next = self.policy.reassign_lost(&view);
         let gap_s = self.lease_rng.random_range(LEASE_S) + self.policy.loss_write_s();
-        let moved = moved(&self.owners, &next);
+        let moved_keys = moved_keys(&self.owners, &next);
         let lost =
-            moved.iter().filter(|it| is_unavailable(&self.members, self.owners[**it])).count();
+            moved_keys.iter().filter(|it| is_unavailable(&self.members, self.owners[**it])).count();
         self.measured.record_unavailable(lost as f64 * gap_s, gap_s);
-        let others = moved.len() - lost;
-        self.measured.record_loss_moves(moved.len() as f64 / self.owners.len() as f64);
+        let others = moved_keys.len() - lost;
+        self.measured.record_loss_moves(moved_keys.len() as f64 / self.owners.len() as f64);
         self.measured
             .record_churn(others as f64 / self.owners.len() as f64, MinimalMoves::default());
         self.owners = next;
@@ -117,14 +117,14 @@
         let view = view_of(self.workload, &self.members, &self.smoothed, second);
         let view = View { owners: &self.owners, ..view };
         let next = self.policy.plan(&view);
-        let moved = moved(&self.owners, &next);
+        let moved_keys = moved_keys(&self.owners, &next);
         let is_first = self.owners.iter().all(Option::is_none);
-        if is_first || moved.is_empty() {
+        if is_first || moved_keys.is_empty() {
             self.owners = next;
             return;
         }
         let mut units: BTreeMap<UnitId, Vec<usize>> = BTreeMap::new();
-        for key in &moved {
+        for key in &moved_keys {
             units.entry(self.policy.unit(&view, *key)).or_default().push(*key);
         }
         let level = imbalance(&self.members, &next, &self.smoothed);
@@ -132,7 +132,7 @@
             by_key: least_moved(&view, level, single_keys),
             by_unit: least_moved(&view, level, slots_and_hot_keys(self.workload)),
         };
-        let share = moved.len() as f64 / self.owners.len() as f64;
+        let share = moved_keys.len() as f64 / self.owners.len() as f64;
         self.measured.record_churn(share, least);
         if self.last_loss_s.is_some_and(|it| second < it + LOSS_WINDOW_S) {
             self.measured.record_loss_moves(share);
@@ -188,7 +188,7 @@
     owner.is_some_and(|it| members[it].weight == 0.0)
 }
 
-fn moved(from: &[Option<usize>], to: &[Option<usize>]) -> Vec<usize> {
+fn moved_keys(from: &[Option<usize>], to: &[Option<usize>]) -> Vec<usize> {
     (0..from.len()).filter(|it| from[*it] != to[*it]).collect()
 }
 
--- a/xtask/src/bench/ownership/policy/bounded.rs
+++ b/xtask/src/bench/ownership/policy/bounded.rs
@@ -31,7 +31,7 @@
         self.ring[from..].iter().chain(&self.ring[..from]).map(|it| it.1)
     }
 
-    fn joined(&self, view: &View<'_>) -> Vec<bool> {
+    fn newly_joined(&self, view: &View<'_>) -> Vec<bool> {
         let was_available = self.was_available.iter().zip(view.members);
         was_available.map(|(was_available, member)| !was_available && member.weight > 0.0).collect()
     }
@@ -43,7 +43,7 @@
         view: &View<'_>,
         loads: &[f64],
         fair_load: f64,
-        joined: &[bool],
+        newly_joined: &[bool],
         key: usize,
         owner: Option<usize>,
     ) -> bool {
@@ -51,7 +51,7 @@
         let weight = view.members[owner].weight;
         let is_overloaded = loads[owner] > BOUND * weight * fair_load;
         let first = self.ring_order(view.keys[key]).find(|it| view.members[*it].weight > 0.0);
-        weight == 0.0 || is_overloaded || first.is_some_and(|it| joined[it])
+        weight == 0.0 || is_overloaded || first.is_some_and(|it| newly_joined[it])
     }
 
     /// Returns the first member below the bound, or the least loaded one if there is none.
@@ -86,12 +86,12 @@
     }
 
     fn plan(&mut self, view: &View<'_>) -> Vec<Option<usize>> {
-        let joined = self.joined(view);
+        let newly_joined = self.newly_joined(view);
         let fair_load = view.fair_load();
         let mut loads = view.loads();
         let mut owners = view.owners.to_vec();
         for (key, owner) in owners.iter_mut().enumerate() {
-            if !self.must_move(view, &loads, fair_load, &joined, key, *owner) {
+            if !self.must_move(view, &loads, fair_load, &newly_joined, key, *owner) {
                 continue;
             }
             if let Some(owner) = *owner {
--- a/xtask/src/bench/ownership/tests.rs
+++ b/xtask/src/bench/ownership/tests.rs
@@ -12,7 +12,7 @@
 };
 
 /// Returns the workload with this index, shortened to the given seconds.
-fn short(index: usize, seconds: u32) -> Workload {
+fn shortened_workload(index: usize, seconds: u32) -> Workload {
     let mut workload = workload::all(3).swap_remove(index);
     workload.seconds = seconds;
     workload
@@ -45,20 +45,20 @@
 
 #[test]
 fn a_simulation_is_deterministic() {
-    let workload = short(0, 20);
+    let workload = shortened_workload(0, 20);
     assert_eq!(format!("{:?}", run(&workload)), format!("{:?}", run(&workload)));
 }
 
 #[test]
 fn a_static_hash_moves_no_keys_while_members_stay() {
-    let measured = run(&short(2, 65));
+    let measured = run(&shortened_workload(2, 65));
     assert_eq!(measured[1].churn_per_minute, 0.0);
     assert!(measured[1].imbalance_mean > 1.0);
 }
 
 #[test]
 fn keys_of_a_lost_member_are_unavailable_until_its_lease_ends() {
-    for it in run(&short(3, 125)) {
+    for it in run(&shortened_workload(3, 125)) {
         assert!(it.unavailable_longest_ms >= 750.0, "{it:?}");
         assert!(it.moved_per_loss > 0.1, "{it:?}");
     }
--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -72,12 +72,12 @@
         ports: &mut PortAllocator,
     ) -> anyhow::Result<Instance> {
         let zones = service.spec.zones;
-        let traits = &service.document.upstream;
-        let fence = if traits.checks_fence { "checked" } else { "unchecked" };
+        let properties = &service.document.upstream;
+        let fence = if properties.checks_fence { "checked" } else { "unchecked" };
         let flags = [
             ("--service", service.name().to_owned()),
-            ("--slots", traits.slots.to_string()),
-            ("--connections-max", traits.connections_max.to_string()),
+            ("--slots", properties.slots.to_string()),
+            ("--connections-max", properties.connections_max.to_string()),
             ("--service-ms", service.spec.service_ms.to_string()),
             ("--fence", fence.to_owned()),
         ];
@@ -226,8 +226,8 @@
             .with_context(|| format!("{}: the upstream has not been started", self.name))
     }
 
-    /// Returns whether the instance has neither been killed nor stopped. An upstream that crashed by
-    /// itself does not count.
+    /// Returns whether the instance has neither been killed nor stopped. A crash of the
+    /// upstream alone does not count as a stop.
     pub(crate) fn is_running(&self) -> bool {
         self.exited_ns.is_none()
     }
--- a/xtask/src/demo/config_probe.rs
+++ b/xtask/src/demo/config_probe.rs
@@ -125,7 +125,7 @@
     });
     let last_ns: Option<Vec<u64>> = first_applied_ns.collect();
     let last_ns = last_ns.and_then(|it| it.into_iter().max());
-    let reverted = agents.iter().map(|it| reversals(samples, *it)).sum();
+    let reverted = agents.iter().map(|it| count_reversals(samples, *it)).sum();
     ConfigProbe { in_force_ms: last_ns.map(|it| it.saturating_sub(from_ns) / 1_000_000), reverted }
 }
 
@@ -142,7 +142,7 @@
 }
 
 /// Counts how often an agent applied the previous document after the changed one.
-fn reversals(samples: &[Sample], agent: SocketAddr) -> usize {
+fn count_reversals(samples: &[Sample], agent: SocketAddr) -> usize {
     let decided: Vec<bool> =
         samples.iter().filter(|it| it.agent == agent).filter_map(|it| it.changed).collect();
     decided.windows(2).filter(|it| it[0] && !it[1]).count()
--- a/xtask/src/demo/load.rs
+++ b/xtask/src/demo/load.rs
@@ -72,12 +72,12 @@
 }
 
 fn loads_of(cluster: &Cluster, service: &Service, duration: Duration) -> Vec<Load> {
-    let steady = steady(cluster, service, duration);
+    let steady_load = steady_load(cluster, service, duration);
     let broad = Load {
         send_mode: SendMode::FixedRate { requests_per_s: BROAD_REQUESTS_PER_S },
         keys: (0..BROAD_KEYS).map(key).collect(),
         hot_share: 0.0,
-        ..steady.clone()
+        ..steady_load.clone()
     };
     let burst = Load {
         callers: BURST_CALLERS,
@@ -86,13 +86,13 @@
         ..broad.clone()
     };
     match service.document.keyed {
-        true => vec![burst, steady, broad],
-        false => vec![burst, steady],
+        true => vec![burst, steady_load, broad],
+        false => vec![burst, steady_load],
     }
 }
 
 /// Returns a steady load on the probed keys of a service.
-pub(crate) fn steady(cluster: &Cluster, service: &Service, duration: Duration) -> Load {
+pub(crate) fn steady_load(cluster: &Cluster, service: &Service, duration: Duration) -> Load {
     let requests_per_s = match service.document.keyed {
         true => STEADY_REQUESTS_PER_S,
         false => STEADY_REQUESTS_PER_S_WITHOUT_KEY,
--- a/xtask/src/demo/mod.rs
+++ b/xtask/src/demo/mod.rs
@@ -34,7 +34,7 @@
 };
 
 /// Start of the window without faults, after the burst of the first second.
-const QUIET_AFTER: Duration = Duration::from_secs(1);
+const FAULT_FREE_AFTER: Duration = Duration::from_secs(1);
 const FIRST_FAULT_AFTER: Duration = Duration::from_secs(4);
 const FAULTS_END_AFTER: Duration = Duration::from_secs(29);
 /// Duration of the load, longer than the faults: instances are stopped under load after them.
@@ -102,7 +102,7 @@
     let start_ns = wall_clock_ns() + 100_000_000;
     let at = |after: Duration| start_ns + u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
     evidence.probed_keys = load::probed_keys().collect();
-    evidence.fault_free = Window { from_ns: at(QUIET_AFTER), until_ns: at(FIRST_FAULT_AFTER) };
+    evidence.fault_free = Window { from_ns: at(FAULT_FREE_AFTER), until_ns: at(FIRST_FAULT_AFTER) };
     evidence.churn_window = Window { from_ns: start_ns, until_ns: at(FAULTS_END_AFTER) };
     evidence.observed = Window { from_ns: start_ns, until_ns: at(load) };
 
--- a/xtask/src/demo/verdict/mod.rs
+++ b/xtask/src/demo/verdict/mod.rs
@@ -41,7 +41,7 @@
     /// Time until the last agent applied a changed document; `None` if some agent never did.
     pub(crate) config_in_force_ms: Option<u64>,
     pub(crate) config_reverted: usize,
-    /// Longest time for which a key was not served.
+    /// Longest time for which a probed key was not served.
     pub(crate) unavailable_ms_max: u64,
     /// Runs on the busiest upstream over the mean, in the window without faults; the highest value of
     /// all sharded services.
--- a/xtask/src/demo/verdict/ownership.rs
+++ b/xtask/src/demo/verdict/ownership.rs
@@ -59,7 +59,7 @@
 fn describe_run(run: &Execution) -> String {
     let token = run.token.map_or("none".to_owned(), |it| it.to_string());
     format!(
-        "{}/{} on {} with token {token} at {} for {} us, {:?}, id {:x}",
+        "run of {}/{} on {} with token {token}, started at {} ns, lasted {} us, ended as {:?}, request {:x}",
         run.service,
         run.key,
         run.instance,
--- a/xtask/src/demo/verdict/tests.rs
+++ b/xtask/src/demo/verdict/tests.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_run_whose_deadline_passes_during_a_freeze_ends_with_its_start() {
+fn a_run_whose_deadline_passes_during_a_freeze_ends_when_the_freeze_starts() {
     let check = |end, until_ms, expected: &[&str]| {
         let mut builder = EvidenceBuilder::new().run("a", 1, "1.1", 10..until_ms, Some(end));
         let frozen = Window { from_ns: 20 * MS, until_ns: 500 * MS };
--- a/xtask/src/soak/harmful.rs
+++ b/xtask/src/soak/harmful.rs
@@ -31,7 +31,7 @@
 /// which a fault excuses the run.
 const CRASH_REPORT_DELAY_NS: u64 = 3_000_000_000;
 
-const OWN_STREAM: u64 = 1 << 63;
+const HARMFUL_STREAM: u64 = 1 << 63;
 /// Time after which a caller gives the request up; the next caller sends it again.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const REQUESTS_PER_S: Range<f64> = 0.5..4.0;
@@ -54,9 +54,9 @@
     seed: u64,
 ) {
     // A different random stream from that of the other callers, so that no request ids coincide.
-    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ OWN_STREAM);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ HARMFUL_STREAM);
     for service in &cluster.services {
-        let load = load::steady(cluster, service, duration);
+        let load = load::steady_load(cluster, service, duration);
         let harmful = Load {
             callers: rng.random_range(CALLERS),
             send_mode: SendMode::FixedRate { requests_per_s: rng.random_range(REQUESTS_PER_S) },
@@ -109,5 +109,5 @@
 
 /// Draws the delay after which a crashed upstream is restarted.
 pub(super) fn restart_delay_from_seed(seed: u64) -> Duration {
-    Duration::from_millis(Pcg64Mcg::seed_from_u64(seed ^ !OWN_STREAM).random_range(500..4_000))
+    Duration::from_millis(Pcg64Mcg::seed_from_u64(seed ^ !HARMFUL_STREAM).random_range(500..4_000))
 }
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -40,7 +40,7 @@
 }
 
 impl LinkState {
-    fn drops(self, direction: Direction) -> bool {
+    fn is_dropping(self, direction: Direction) -> bool {
         match direction {
             Direction::ToServer => matches!(self, LinkState::CutToServer | LinkState::Silent),
             Direction::ToClient => matches!(self, LinkState::CutToClient | LinkState::Silent),
@@ -122,7 +122,7 @@
         if let LinkState::Slow(delay) = now {
             sleep(delay).await;
         }
-        match now.drops(direction) {
+        match now.is_dropping(direction) {
             true => has_gap = true,
             false if has_gap => return Ok(()),
             false => to.write_all(&chunk[..length]).await?,
