--- a/crates/logging/src/json.rs
+++ b/crates/logging/src/json.rs
@@ -15,38 +15,38 @@
     time: impl fmt::Display,
     record: &Record<'_>,
 ) -> io::Result<()> {
-    let mut line = Line { out };
+    let mut line = JsonLine { out };
     write!(line.out, r#"{{"time":"{time}","level":"{}""#, record.level())?;
-    line.field("target", record.target())?;
-    line.field("message", &record.args().to_string())?;
+    line.write_string("target", record.target())?;
+    line.write_string("message", &record.args().to_string())?;
     record.key_values().visit(&mut line).map_err(io::Error::other)?;
     line.out.write_all(b"}\n")
 }
 
-struct Line<'a, W> {
+struct JsonLine<'a, W> {
     out: &'a mut W,
 }
 
-impl<W: Write> Line<'_, W> {
-    fn field(&mut self, name: &str, value: &str) -> io::Result<()> {
+impl<W: Write> JsonLine<'_, W> {
+    fn write_string(&mut self, name: &str, value: &str) -> io::Result<()> {
         let (name, value) = (serde_json::to_string(name)?, serde_json::to_string(value)?);
         write!(self.out, ",{name}:{value}")
     }
 
-    fn bare(&mut self, name: &str, value: impl fmt::Display) -> io::Result<()> {
+    fn write_unquoted(&mut self, name: &str, value: impl fmt::Display) -> io::Result<()> {
         let name = serde_json::to_string(name)?;
         write!(self.out, ",{name}:{value}")
     }
 }
 
-impl<'kvs, W: Write> VisitSource<'kvs> for Line<'_, W> {
+impl<'kvs, W: Write> VisitSource<'kvs> for JsonLine<'_, W> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let name = key.as_str();
-        let written = match (value.to_u64(), value.to_bool()) {
-            (Some(number), _) => self.bare(name, number),
-            (None, Some(truth)) => self.bare(name, truth),
-            (None, None) => self.field(name, &value.to_string()),
+        let result = match (value.to_u64(), value.to_bool()) {
+            (Some(number), _) => self.write_unquoted(name, number),
+            (None, Some(boolean)) => self.write_unquoted(name, boolean),
+            (None, None) => self.write_string(name, &value.to_string()),
         };
-        written.map_err(Error::boxed)
+        result.map_err(Error::boxed)
     }
 }
--- a/crates/logging/src/rate.rs
+++ b/crates/logging/src/rate.rs
@@ -9,20 +9,20 @@
 pub struct LineRateLimiter {
     lines_per_s: f64,
     burst: f64,
-    state: Mutex<State>,
+    state: Mutex<BucketState>,
 }
 
 #[derive(Debug)]
-struct State {
+struct BucketState {
     tokens: f64,
     refilled_at: Timestamp,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LineRateLimiter {
     /// At most `lines_per_s` in the long run, and `burst` in one go.
     pub fn new(lines_per_s: f64, burst: f64) -> LineRateLimiter {
-        let state = State { tokens: burst, refilled_at: Timestamp::ZERO, left_out: 0 };
+        let state = BucketState { tokens: burst, refilled_at: Timestamp::ZERO, suppressed: 0 };
         LineRateLimiter { lines_per_s, burst, state: Mutex::new(state) }
     }
 
@@ -33,10 +33,10 @@
         state.tokens = (state.tokens + passed * self.lines_per_s).min(self.burst);
         state.refilled_at = state.refilled_at.max(now);
         if state.tokens < 1.0 {
-            state.left_out += 1;
+            state.suppressed += 1;
             return None;
         }
         state.tokens -= 1.0;
-        Some(std::mem::take(&mut state.left_out))
+        Some(std::mem::take(&mut state.suppressed))
     }
 }
--- a/crates/logging/src/tests/mod.rs
+++ b/crates/logging/src/tests/mod.rs
@@ -46,13 +46,13 @@
 }
 
 /// A pipe that takes nothing until it is told to.
-struct Blocked {
+struct BlockedPipe {
     open: Receiver<()>,
     is_open: bool,
     written: Sender<Vec<u8>>,
 }
 
-impl Write for Blocked {
+impl Write for BlockedPipe {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if !self.is_open {
             self.open.recv().map_err(io::Error::other)?;
@@ -73,7 +73,7 @@
 fn a_log_that_is_not_read_holds_nobody_up() {
     let (open, opened) = channel();
     let (written, lines) = channel();
-    let out = Blocked { open: opened, is_open: false, written };
+    let out = BlockedPipe { open: opened, is_open: false, written };
     let (logging, mut writer) = LogGuard::start(out);
     for _ in 0..3_000 {
         writer.write_all(b"{}\n").unwrap();
@@ -84,12 +84,12 @@
     let text: Vec<u8> = lines.iter().flatten().collect();
     let text = String::from_utf8(text).unwrap();
     let kept = text.lines().filter(|it| *it == "{}").count();
-    let told: u64 = text
+    let dropped: u64 = text
         .lines()
         .filter_map(|it| {
             serde_json::from_str::<serde_json::Value>(it).unwrap()["left_out"].as_u64()
         })
         .sum();
     assert!((1_000..=1_100).contains(&kept), "{kept} lines were kept");
-    assert_eq!(kept as u64 + told, 3_000);
+    assert_eq!(kept as u64 + dropped, 3_000);
 }
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -13,10 +13,10 @@
 };
 
 /// Lines that may wait for the writer: about 400 KB of them, at 400 bytes a line.
-const WAITING_MAX: usize = 1_024;
+const QUEUED_LINES_MAX: usize = 1_024;
 /// How long the end of the process waits for its last lines. A pipe that is read takes them in less
 /// than a millisecond.
-const LAST_LINES_MAX: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Message {
     Line(Vec<u8>),
@@ -34,20 +34,20 @@
 #[derive(Debug)]
 pub(crate) struct LineWriter {
     messages: SyncSender<Message>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl LogGuard {
     /// Starts the thread that writes to `out`.
     pub(crate) fn start(out: impl Write + Send + 'static) -> (LogGuard, LineWriter) {
-        let (messages, received) = sync_channel(WAITING_MAX);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&left_out);
+        let (messages, received) = sync_channel(QUEUED_LINES_MAX);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let dropped = Arc::clone(&dropped_lines);
         thread::spawn(move || {
             // Nobody reads the log any more, and there is no other place to say so.
-            _ = write_all(&received, &counted, out);
+            _ = write_all(&received, &dropped, out);
         });
-        (LogGuard { messages: messages.clone() }, LineWriter { messages, left_out })
+        (LogGuard { messages: messages.clone() }, LineWriter { messages, dropped_lines })
     }
 }
 
@@ -56,7 +56,7 @@
         let (written, all_written) = channel();
         // If the writer is that far behind, the last lines are left out.
         if self.messages.try_send(Message::Flush(written)).is_ok() {
-            _ = all_written.recv_timeout(LAST_LINES_MAX);
+            _ = all_written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
@@ -66,7 +66,7 @@
         match self.messages.try_send(Message::Line(line.to_vec())) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.dropped_lines.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(line.len())
@@ -79,7 +79,7 @@
 
 fn write_all(
     messages: &Receiver<Message>,
-    left_out: &AtomicU64,
+    dropped_lines: &AtomicU64,
     mut out: impl Write,
 ) -> io::Result<()> {
     for message in messages {
@@ -91,7 +91,7 @@
                 _ = written.send(());
             }
         }
-        match left_out.swap(0, Ordering::Relaxed) {
+        match dropped_lines.swap(0, Ordering::Relaxed) {
             0 => {}
             count => writeln!(
                 out,
--- a/crates/standins/src/answer.rs
+++ b/crates/standins/src/answer.rs
@@ -12,7 +12,7 @@
 /// The first line of a body; the filler follows.
 #[derive(Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct AnswerHead {
     id: String,
     key: String,
     filler_bytes: usize,
@@ -23,17 +23,17 @@
 /// What is wrong with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-pub(crate) enum AnswerFault {
+pub(crate) enum AnswerError {
     #[error("the answer belongs to another request")]
-    Crossed,
+    OtherRequest,
     #[error("the answer is not whole")]
-    Broken,
+    Corrupt,
 }
 
 /// The body of the answer to a request.
 pub(crate) fn encode_answer(id: RequestId, key: &str, filler_bytes: usize) -> Bytes {
     let filler: Vec<u8> = id.0.to_be_bytes().into_iter().cycle().take(filler_bytes).collect();
-    let head = Head {
+    let head = AnswerHead {
         id: format!("{:x}", id.0),
         key: key.to_owned(),
         filler_bytes,
@@ -51,17 +51,17 @@
     id: RequestId,
     key: &str,
     filler_bytes: usize,
-) -> Result<(), AnswerFault> {
-    let head_end = body.iter().position(|it| *it == b'\n').ok_or(AnswerFault::Broken)?;
+) -> Result<(), AnswerError> {
+    let head_end = body.iter().position(|it| *it == b'\n').ok_or(AnswerError::Corrupt)?;
     let (head, filler) = (&body[..head_end], &body[head_end + 1..]);
-    let head: Head = serde_json::from_slice(head).map_err(|_| AnswerFault::Broken)?;
+    let head: AnswerHead = serde_json::from_slice(head).map_err(|_| AnswerError::Corrupt)?;
     if head.id != format!("{:x}", id.0) || head.key != key {
-        return Err(AnswerFault::Crossed);
+        return Err(AnswerError::OtherRequest);
     }
-    let whole = head.filler_bytes == filler_bytes
+    let is_intact = head.filler_bytes == filler_bytes
         && filler.len() == filler_bytes
         && head.checksum == checksum(filler);
-    if whole { Ok(()) } else { Err(AnswerFault::Broken) }
+    if is_intact { Ok(()) } else { Err(AnswerError::Corrupt) }
 }
 
 fn checksum(filler: &[u8]) -> String {
--- a/crates/standins/src/caller/attempt.rs
+++ b/crates/standins/src/caller/attempt.rs
@@ -14,7 +14,7 @@
 
 use super::{CallRequest, TargetKind};
 use crate::{
-    answer::{ANSWER_BYTES, AnswerFault, KEY, check_answer},
+    answer::{ANSWER_BYTES, AnswerError, KEY, check_answer},
     journal::AttemptResult,
 };
 
@@ -32,7 +32,7 @@
 
 /// How a sending ended, and when the agent wants to see the request again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Ending {
+pub(crate) struct AttemptEnd {
     pub(crate) result: AttemptResult,
     pub(crate) retry_after: Option<Duration>,
 }
@@ -46,17 +46,17 @@
     }
 
     /// Sends a request once. `age` is the time since its first sending, if this is not the first.
-    pub(crate) async fn attempt(
+    pub(crate) async fn send_attempt(
         &self,
         target: SocketAddr,
         request: &CallRequest,
         age: Option<Duration>,
         attempt_timeout: Duration,
         target_kind: TargetKind,
-    ) -> Ending {
+    ) -> AttemptEnd {
         match timeout(attempt_timeout, self.send(target, request, age, target_kind)).await {
-            Ok(ending) => ending,
-            Err(_) => Ending { result: AttemptResult::TimedOut, retry_after: None },
+            Ok(end) => end,
+            Err(_) => AttemptEnd { result: AttemptResult::TimedOut, retry_after: None },
         }
     }
 
@@ -66,7 +66,7 @@
         request: &CallRequest,
         age: Option<Duration>,
         target_kind: TargetKind,
-    ) -> Ending {
+    ) -> AttemptEnd {
         let mut builder = self
             .client
             .request(request.method.clone(), format!("http://{target}{}", request.path))
@@ -79,18 +79,18 @@
             builder = builder.header(FIRST_SENT, age.as_millis().to_string());
         }
         match builder.send().await {
-            Ok(response) => read(response, request, target_kind).await,
-            Err(error) if is_not_sent(&error) => {
-                Ending { result: AttemptResult::NotConnected, retry_after: None }
+            Ok(response) => read_response(response, request, target_kind).await,
+            Err(error) if was_not_sent(&error) => {
+                AttemptEnd { result: AttemptResult::NotConnected, retry_after: None }
             }
-            Err(_) => Ending { result: AttemptResult::ConnectionLost, retry_after: None },
+            Err(_) => AttemptEnd { result: AttemptResult::ConnectionLost, retry_after: None },
         }
     }
 }
 
 /// Whether no connection was made, or it ended before anything was written to it: then nothing was
 /// sent, and nothing was cut off.
-fn is_not_sent(error: &(dyn Error + 'static)) -> bool {
+fn was_not_sent(error: &(dyn Error + 'static)) -> bool {
     let mut next = Some(error);
     while let Some(error) = next {
         let refused = error
@@ -106,11 +106,15 @@
     false
 }
 
-async fn read(response: Response, request: &CallRequest, target_kind: TargetKind) -> Ending {
+async fn read_response(
+    response: Response,
+    request: &CallRequest,
+    target_kind: TargetKind,
+) -> AttemptEnd {
     let (parts, body) = response.into_parts();
     let retry_after = retry_after(&parts.headers);
     let Ok(body) = body.into_bytes().await else {
-        return Ending { result: AttemptResult::ConnectionLost, retry_after };
+        return AttemptEnd { result: AttemptResult::ConnectionLost, retry_after };
     };
     let outcome = match target_kind {
         TargetKind::Agent => parts.headers.get(OUTCOME_HEADER).and_then(|it| it.to_str().ok()),
@@ -119,7 +123,7 @@
         TargetKind::Upstream => Some("unknown"),
     };
     let result = classify(parts.status, outcome, &body, request);
-    Ending { result, retry_after }
+    AttemptEnd { result, retry_after }
 }
 
 /// What an answer means. One that tells of a failure in the service is checked as well; the request
@@ -138,8 +142,8 @@
         "answered" => match check_answer(body, request.id, &request.key, filler_bytes) {
             Ok(()) if status.is_success() => AttemptResult::Answered,
             Ok(()) => AttemptResult::Unknown { reason: format!("service-{}", status.as_u16()) },
-            Err(AnswerFault::Crossed) => AttemptResult::Crossed,
-            Err(AnswerFault::Broken) => AttemptResult::Broken,
+            Err(AnswerError::OtherRequest) => AttemptResult::Crossed,
+            Err(AnswerError::Corrupt) => AttemptResult::Broken,
         },
         "not-run" => AttemptResult::NotRun { reason },
         "unknown" => AttemptResult::Unknown { reason },
--- a/crates/standins/src/caller/call.rs
+++ b/crates/standins/src/caller/call.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{Instant, sleep};
 
-use super::{AgentClient, attempt::Ending};
+use super::{AgentClient, attempt::AttemptEnd};
 use crate::journal::{Attempt, AttemptResult, CallRecord, FinalOutcome, wall_clock_ns};
 
 /// A request as a caller means it.
@@ -74,12 +74,12 @@
 
 /// What a caller does after a sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Next {
+pub(crate) enum NextStep {
     Done,
     /// Send again through the same agent.
-    Same,
+    SameTarget,
     /// Send again through another one.
-    Other,
+    NextTarget,
 }
 
 impl Caller {
@@ -90,26 +90,26 @@
         let mut target = first_target;
         let mut attempts: Vec<Attempt> = Vec::new();
         loop {
-            let age = may_have_run_since_ns(&attempts)
+            let age = first_possible_run_ns(&attempts)
                 .map(|since_ns| Duration::from_nanos(wall_clock_ns().saturating_sub(since_ns)));
             let address = self.targets[target % self.targets.len()];
             let sent_ns = wall_clock_ns();
             let attempt_timeout = request.deadline + self.policy.attempt_margin;
-            let Ending { result, retry_after } = self
+            let AttemptEnd { result, retry_after } = self
                 .client
-                .attempt(address, request, age, attempt_timeout, self.policy.target_kind)
+                .send_attempt(address, request, age, attempt_timeout, self.policy.target_kind)
                 .await;
             let next = match (&result, retry_after) {
                 // The agent asks for the same id again: it may have the first answer then.
-                (AttemptResult::Unknown { .. }, Some(_)) => Next::Same,
-                _ => next(&result, request.idempotent),
+                (AttemptResult::Unknown { .. }, Some(_)) => NextStep::SameTarget,
+                _ => next_step(&result, request.idempotent),
             };
             let ended_ns = wall_clock_ns();
             attempts.push(Attempt { target: address, sent_ns, ended_ns, result });
-            if next == Next::Done || !self.policy.is_resend_enabled {
+            if next == NextStep::Done || !self.policy.is_resend_enabled {
                 break;
             }
-            if next == Next::Other {
+            if next == NextStep::NextTarget {
                 target += 1;
             }
             let jitter = rng.random_range(1.0..2.0);
@@ -142,28 +142,28 @@
 
 /// The same id makes it safe to ask again after a lost connection; an unknown end of a request that
 /// may not be repeated is left to people.
-pub(crate) fn next(result: &AttemptResult, idempotent: bool) -> Next {
+pub(crate) fn next_step(result: &AttemptResult, idempotent: bool) -> NextStep {
     match result {
-        AttemptResult::Answered | AttemptResult::Crossed => Next::Done,
-        AttemptResult::NotRun { reason } if reason == "bad-request" => Next::Done,
-        AttemptResult::NotRun { .. } => Next::Same,
-        AttemptResult::Unknown { .. } if idempotent => Next::Same,
-        AttemptResult::Unknown { .. } => Next::Done,
+        AttemptResult::Answered | AttemptResult::Crossed => NextStep::Done,
+        AttemptResult::NotRun { reason } if reason == "bad-request" => NextStep::Done,
+        AttemptResult::NotRun { .. } => NextStep::SameTarget,
+        AttemptResult::Unknown { .. } if idempotent => NextStep::SameTarget,
+        AttemptResult::Unknown { .. } => NextStep::Done,
         AttemptResult::NotConnected
         | AttemptResult::ConnectionLost
         | AttemptResult::TimedOut
         | AttemptResult::Broken
-        | AttemptResult::NoOutcome { .. } => Next::Other,
+        | AttemptResult::NoOutcome { .. } => NextStep::NextTarget,
     }
 }
 
 /// When the first sending was sent that may have run. Those before it provably did not, so that the
 /// next one counts as a first sending.
-pub(crate) fn may_have_run_since_ns(attempts: &[Attempt]) -> Option<u64> {
-    attempts.iter().find(|it| !is_safe(it)).map(|it| it.sent_ns)
+pub(crate) fn first_possible_run_ns(attempts: &[Attempt]) -> Option<u64> {
+    attempts.iter().find(|it| !has_not_run(it)).map(|it| it.sent_ns)
 }
 
-fn is_safe(attempt: &Attempt) -> bool {
+fn has_not_run(attempt: &Attempt) -> bool {
     matches!(attempt.result, AttemptResult::NotRun { .. } | AttemptResult::NotConnected)
 }
 
@@ -173,7 +173,9 @@
         Some(AttemptResult::Answered | AttemptResult::Crossed) => FinalOutcome::Answered,
         Some(AttemptResult::NotRun { .. }) => FinalOutcome::NotRun,
         Some(AttemptResult::Unknown { .. }) => FinalOutcome::Unknown,
-        Some(AttemptResult::NotConnected) if attempts.iter().all(is_safe) => FinalOutcome::NotRun,
+        Some(AttemptResult::NotConnected) if attempts.iter().all(has_not_run) => {
+            FinalOutcome::NotRun
+        }
         _ => FinalOutcome::Lost,
     }
 }
--- a/crates/standins/src/caller/load.rs
+++ b/crates/standins/src/caller/load.rs
@@ -55,7 +55,7 @@
     pub records: Vec<CallRecord>,
 }
 
-struct Shared {
+struct LoadRun {
     load: Load,
     journal: JournalWriter,
     records: Mutex<Vec<CallRecord>>,
@@ -65,24 +65,24 @@
 pub async fn run_load(load: Load, start: Instant) -> anyhow::Result<LoadReport> {
     anyhow::ensure!(!load.targets.is_empty(), "a load needs an agent to call");
     anyhow::ensure!(!load.keys.is_empty() && !load.routes.is_empty(), "a load needs keys, routes");
-    let shared = Arc::new(Shared {
+    let run = Arc::new(LoadRun {
         journal: JournalWriter::open(&load.journal)?,
         records: Mutex::default(),
         load,
     });
     let mut callers = JoinSet::new();
-    for index in 0..shared.load.callers {
-        callers.spawn(run_caller(Arc::clone(&shared), index, start));
+    for index in 0..run.load.callers {
+        callers.spawn(run_caller(Arc::clone(&run), index, start));
     }
     while let Some(ended) = callers.join_next().await {
         ended.context("a caller broke off")??;
     }
-    let records = std::mem::take(&mut *shared.lock_records());
+    let records = std::mem::take(&mut *run.lock_records());
     Ok(LoadReport { records })
 }
 
-async fn run_caller(shared: Arc<Shared>, index: usize, start: Instant) -> anyhow::Result<()> {
-    let load = &shared.load;
+async fn run_caller(run: Arc<LoadRun>, index: usize, start: Instant) -> anyhow::Result<()> {
+    let load = &run.load;
     // Callers are apart from each other, so each has connections of its own.
     let caller = Arc::new(Caller {
         client: AgentClient::new()?,
@@ -95,8 +95,8 @@
     match load.send_mode {
         SendMode::ClosedLoop => {
             while Instant::now() < end {
-                let request = load.draw(&mut rng);
-                shared.send(&caller, request, index).await?;
+                let request = load.draw_request(&mut rng);
+                run.send(&caller, request, index).await?;
             }
         }
         SendMode::FixedRate { requests_per_s } => {
@@ -107,9 +107,9 @@
             let mut calls = JoinSet::new();
             while due < end {
                 sleep_until(due).await;
-                let request = load.draw(&mut rng);
-                let (shared, caller) = (Arc::clone(&shared), Arc::clone(&caller));
-                calls.spawn(async move { shared.send(&caller, request, index).await });
+                let request = load.draw_request(&mut rng);
+                let (run, caller) = (Arc::clone(&run), Arc::clone(&caller));
+                calls.spawn(async move { run.send(&caller, request, index).await });
                 due += interval;
                 while let Some(ended) = calls.try_join_next() {
                     ended.context("a call broke off")??;
@@ -123,7 +123,7 @@
     Ok(())
 }
 
-impl Shared {
+impl LoadRun {
     async fn send(
         &self,
         caller: &Caller,
@@ -142,7 +142,7 @@
 }
 
 impl Load {
-    fn draw(&self, rng: &mut Pcg64Mcg) -> CallRequest {
+    fn draw_request(&self, rng: &mut Pcg64Mcg) -> CallRequest {
         let route = self.draw_route(rng);
         let key = match rng.random_bool(self.hot_share) {
             true => &self.keys[0],
@@ -167,10 +167,10 @@
         let total: f64 = self.routes.iter().map(|it| it.share).sum();
         let mut rest = rng.random_range(0.0..1.0) * total;
         let last = self.routes.len() - 1;
-        let found = self.routes.iter().position(|it| {
+        let index = self.routes.iter().position(|it| {
             rest -= it.share;
             rest < 0.0
         });
-        &self.routes[found.unwrap_or(last)]
+        &self.routes[index.unwrap_or(last)]
     }
 }
--- a/crates/standins/src/caller/tests.rs
+++ b/crates/standins/src/caller/tests.rs
@@ -14,7 +14,7 @@
 use super::{
     CallRequest, WeightedRoute,
     attempt::classify,
-    call::{Next, final_outcome, may_have_run_since_ns, next},
+    call::{NextStep, final_outcome, first_possible_run_ns, next_step},
 };
 
 fn not_run(reason: &str) -> AttemptResult {
@@ -39,7 +39,7 @@
 #[test]
 fn a_sending_that_did_not_run_leaves_the_next_one_the_first() {
     let check = |results: &[AttemptResult], expected| {
-        assert_eq!(may_have_run_since_ns(&attempts(results)), expected, "{results:?}");
+        assert_eq!(first_possible_run_ns(&attempts(results)), expected, "{results:?}");
     };
     check(&[], None);
     check(&[not_run("no-owner"), AttemptResult::NotConnected], None);
@@ -49,14 +49,14 @@
 #[test]
 fn what_is_sent_again() {
     let check = |result: AttemptResult, idempotent, expected| {
-        assert_eq!(next(&result, idempotent), expected, "{result:?}");
+        assert_eq!(next_step(&result, idempotent), expected, "{result:?}");
     };
-    check(AttemptResult::Answered, true, Next::Done);
-    check(not_run("overloaded"), false, Next::Same);
-    check(not_run("bad-request"), true, Next::Done);
-    check(unknown(), true, Next::Same);
-    check(unknown(), false, Next::Done);
-    check(AttemptResult::ConnectionLost, false, Next::Other);
+    check(AttemptResult::Answered, true, NextStep::Done);
+    check(not_run("overloaded"), false, NextStep::SameTarget);
+    check(not_run("bad-request"), true, NextStep::Done);
+    check(unknown(), true, NextStep::SameTarget);
+    check(unknown(), false, NextStep::Done);
+    check(AttemptResult::ConnectionLost, false, NextStep::NextTarget);
 }
 
 #[test]
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -24,17 +24,17 @@
 }
 
 /// An answer with a body.
-pub(crate) fn answer(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response {
+pub(crate) fn text_response(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response {
     let mut response = Response::new(Body::from(body.into()));
     *response.status_mut() = status;
     response
 }
 
 /// An answer with a JSON body.
-pub(crate) fn json(value: &impl Serialize) -> Response {
+pub(crate) fn json_response(value: &impl Serialize) -> Response {
     match serde_json::to_vec(value) {
-        Ok(body) => answer(StatusCode::OK, body),
-        Err(error) => answer(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+        Ok(body) => text_response(StatusCode::OK, body),
+        Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
@@ -53,6 +53,6 @@
 /// Ends the connection that carries the current request, without an answer.
 ///
 /// The server runs a connection as one task, and has no other way to drop it from a handler.
-pub(crate) fn hang_up() -> ! {
+pub(crate) fn close_connection() -> ! {
     std::panic::resume_unwind(Box::new("connection dropped on purpose"))
 }
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -27,9 +27,11 @@
 
 use super::{
     faults::{Counts, Faults},
-    store::{Conflict, Entry, Store},
+    store::{Conflict, ObjectEntry, Store},
+};
+use crate::http::{
+    bind, close_connection, json_response, print_address, text_response, with_header,
 };
-use crate::http::{answer, bind, hang_up, json, print_address, with_header};
 
 const VERSION: HeaderName = HeaderName::from_static("x-object-version");
 const EXPECTED_VERSION: HeaderName = HeaderName::from_static("if-object-version");
@@ -67,7 +69,7 @@
             let (parts, body) = request.into_parts();
             match body.into_bytes().await {
                 Ok(body) => server.call(parts, body).await,
-                Err(_) => answer(StatusCode::BAD_REQUEST, "the body broke off"),
+                Err(_) => text_response(StatusCode::BAD_REQUEST, "the body broke off"),
             }
         }
     };
@@ -80,14 +82,14 @@
 }
 
 struct PlatformServer {
-    state: Mutex<State>,
+    state: Mutex<ServerState>,
     /// The store's revision, for waiting watches.
     revision: watch::Sender<u64>,
     faults: watch::Sender<Faults>,
 }
 
 #[derive(Default)]
-struct State {
+struct ServerState {
     store: Store,
     counts: Counts,
 }
@@ -98,16 +100,16 @@
 }
 
 /// Counts a waiting watch for as long as it lives.
-struct WaitingWatch<'a>(&'a PlatformServer);
+struct WaitingWatchGuard<'a>(&'a PlatformServer);
 
-impl<'a> WaitingWatch<'a> {
-    fn new(server: &'a PlatformServer) -> WaitingWatch<'a> {
+impl<'a> WaitingWatchGuard<'a> {
+    fn new(server: &'a PlatformServer) -> WaitingWatchGuard<'a> {
         server.state().counts.watches_waiting += 1;
-        WaitingWatch(server)
+        WaitingWatchGuard(server)
     }
 }
 
-impl Drop for WaitingWatch<'_> {
+impl Drop for WaitingWatchGuard<'_> {
     fn drop(&mut self) {
         self.0.state().counts.watches_waiting -= 1;
     }
@@ -123,7 +125,7 @@
     }
 
     /// A connection dropped on purpose never holds the lock, so a poisoned one is sound.
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -133,22 +135,22 @@
         match path {
             "admin/fault" if method == Method::POST => return self.set_faults(&body),
             "admin/keep-copy" if method == Method::POST => {
-                self.state().store.keep_copy();
-                return answer(StatusCode::OK, "");
+                self.state().store.take_snapshot();
+                return text_response(StatusCode::OK, "");
             }
             "admin/roll-back" if method == Method::POST => {
                 let revision = {
                     let store = &mut self.state().store;
-                    store.roll_back();
+                    store.restore_snapshot();
                     store.revision()
                 };
                 self.revision.send_replace(revision);
-                return answer(StatusCode::OK, "");
+                return text_response(StatusCode::OK, "");
             }
-            "admin/counts" => return json(&self.state().counts),
+            "admin/counts" => return json_response(&self.state().counts),
             _ => {}
         }
-        self.fail_or_delay().await;
+        self.apply_faults().await;
         let era = self.state().store.era();
         let response = self.object_call(path, method, &uri, &headers, body).await;
         // An answer that was made before the store came back is of the era before.
@@ -173,7 +175,7 @@
             Some(("watch", prefix)) if method == Method::GET => {
                 self.watch(prefix, uri.query().unwrap_or("")).await
             }
-            _ => answer(StatusCode::NOT_FOUND, "no such call"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
@@ -184,19 +186,19 @@
             Ok(faults) => {
                 log::info!(target: "platform", "Faults are now {faults:?}.");
                 self.faults.send_replace(faults);
-                json(&faults)
+                json_response(&faults)
             }
-            Err(error) => answer(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 
-    async fn fail_or_delay(&self) {
+    async fn apply_faults(&self) {
         let faults = *self.faults.borrow();
         if faults.slow_ms > 0 {
             sleep(Duration::from_millis(faults.slow_ms)).await;
         }
         if self.faults.borrow().down {
-            hang_up();
+            close_connection();
         }
     }
 
@@ -204,29 +206,33 @@
         let mut state = self.state();
         state.counts.reads += 1;
         match state.store.read(path) {
-            Some((version, body)) => with_header(answer(StatusCode::OK, body), VERSION, version),
-            None => answer(StatusCode::NOT_FOUND, ""),
+            Some((version, body)) => {
+                with_header(text_response(StatusCode::OK, body), VERSION, version)
+            }
+            None => text_response(StatusCode::NOT_FOUND, ""),
         }
     }
 
     fn update(&self, path: &str, headers: &HeaderMap, body: Option<Bytes>) -> Response {
         if body.as_ref().is_some_and(|it| it.len() > BODY_MAX_BYTES) {
-            return answer(StatusCode::PAYLOAD_TOO_LARGE, "a value has at most 1 MB");
+            return text_response(StatusCode::PAYLOAD_TOO_LARGE, "a value has at most 1 MB");
         }
         let Ok(body) = body.map(|it| String::from_utf8(it.to_vec())).transpose() else {
-            return answer(StatusCode::BAD_REQUEST, "a value is UTF-8 text");
+            return text_response(StatusCode::BAD_REQUEST, "a value is UTF-8 text");
         };
         let expected = match headers.get(EXPECTED_VERSION).map(|it| it.to_str()) {
             None => None,
             Some(Ok(text)) if text.parse::<u64>().is_ok() => text.parse().ok(),
-            Some(_) => return answer(StatusCode::BAD_REQUEST, "if-object-version is a number"),
+            Some(_) => {
+                return text_response(StatusCode::BAD_REQUEST, "if-object-version is a number");
+            }
         };
         let written = self.write(path, expected, body);
         match written {
-            Ok(_) if self.loses_answer() => hang_up(),
-            Ok(version) => with_header(answer(StatusCode::OK, ""), VERSION, version),
+            Ok(_) if self.take_lost_answer() => close_connection(),
+            Ok(version) => with_header(text_response(StatusCode::OK, ""), VERSION, version),
             Err(Conflict { current }) => {
-                with_header(answer(StatusCode::CONFLICT, ""), VERSION, current)
+                with_header(text_response(StatusCode::CONFLICT, ""), VERSION, current)
             }
         }
     }
@@ -250,7 +256,7 @@
     }
 
     /// Whether this update's answer is one of those to be lost.
-    fn loses_answer(&self) -> bool {
+    fn take_lost_answer(&self) -> bool {
         self.faults.send_if_modified(|it| {
             let lost = it.lose_answers > 0;
             it.lose_answers = it.lose_answers.saturating_sub(1);
@@ -261,15 +267,15 @@
     fn list(&self, prefix: &str) -> Response {
         let mut state = self.state();
         state.counts.lists += 1;
-        entries(&state.store.list(prefix), state.store.revision())
+        entries_response(&state.store.list(prefix), state.store.revision())
     }
 
     async fn watch(&self, prefix: &str, query: &str) -> Response {
         let Some(query) = parse_watch_query(query) else {
-            return answer(StatusCode::BAD_REQUEST, "a watch needs after and wait_ms");
+            return text_response(StatusCode::BAD_REQUEST, "a watch needs after and wait_ms");
         };
         self.state().counts.watches += 1;
-        let _waiting = WaitingWatch::new(self);
+        let _waiting = WaitingWatchGuard::new(self);
         let deadline = Instant::now() + Duration::from_millis(query.wait_ms).min(WATCH_MAX);
         let mut revision = self.revision.subscribe();
         let mut faults = self.faults.subscribe();
@@ -277,19 +283,19 @@
         loop {
             revision.mark_unchanged();
             if !self.has_history(era, query.after) {
-                return answer(StatusCode::GONE, "the history has been lost");
+                return text_response(StatusCode::GONE, "the history has been lost");
             }
-            if let Some(found) = self.changed(prefix, query.after) {
-                return found;
+            if let Some(response) = self.changes_after(prefix, query.after) {
+                return response;
             }
             let event = timeout_at(deadline, async {
                 tokio::select! {
                     _ = revision.changed() => {}
-                    _ = faults.wait_for(|it| it.down) => hang_up(),
+                    _ = faults.wait_for(|it| it.down) => close_connection(),
                 }
             });
             if event.await.is_err() {
-                return answer(StatusCode::NO_CONTENT, "");
+                return text_response(StatusCode::NO_CONTENT, "");
             }
         }
     }
@@ -300,15 +306,15 @@
         state.store.era() == era && after <= state.store.revision()
     }
 
-    fn changed(&self, prefix: &str, after: u64) -> Option<Response> {
+    fn changes_after(&self, prefix: &str, after: u64) -> Option<Response> {
         let state = self.state();
-        let changed = state.store.changed(prefix, after);
-        (!changed.is_empty()).then(|| entries(&changed, state.store.revision()))
+        let changed = state.store.changes_after(prefix, after);
+        (!changed.is_empty()).then(|| entries_response(&changed, state.store.revision()))
     }
 }
 
-fn entries(entries: &[Entry], revision: u64) -> Response {
-    let response = with_header(json(&entries), REVISION, revision);
+fn entries_response(entries: &[ObjectEntry], revision: u64) -> Response {
+    let response = with_header(json_response(&entries), REVISION, revision);
     with_header(response, CONTENT_TYPE, "application/json")
 }
 
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -7,7 +7,7 @@
 /// One entry of a list or watch; a deleted object has no body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
-pub(crate) struct Entry {
+pub(crate) struct ObjectEntry {
     pub(crate) path: String,
     pub(crate) version: u64,
     pub(crate) body: Option<String>,
@@ -23,19 +23,19 @@
 pub(crate) struct Store {
     /// How often it has come back from an older copy.
     era: u64,
-    now: State,
-    copy: State,
+    current: Objects,
+    snapshot: Objects,
 }
 
 #[derive(Debug, Clone, Default)]
-struct State {
+struct Objects {
     revision: u64,
-    objects: BTreeMap<String, Stored>,
+    objects: BTreeMap<String, StoredObject>,
 }
 
 /// A deleted object is kept without its body, so that watches see the deletion.
 #[derive(Debug, Clone)]
-struct Stored {
+struct StoredObject {
     version: u64,
     body: Option<String>,
 }
@@ -46,22 +46,22 @@
     }
 
     pub(crate) fn revision(&self) -> u64 {
-        self.now.revision
+        self.current.revision
     }
 
     /// Keeps a copy of all that there is.
-    pub(crate) fn keep_copy(&mut self) {
-        self.copy = self.now.clone();
+    pub(crate) fn take_snapshot(&mut self) {
+        self.snapshot = self.current.clone();
     }
 
     /// Comes back from the copy: what was written since is lost, and its revisions are given out again.
-    pub(crate) fn roll_back(&mut self) {
-        self.now = self.copy.clone();
+    pub(crate) fn restore_snapshot(&mut self) {
+        self.current = self.snapshot.clone();
         self.era += 1;
     }
 
     pub(crate) fn read(&self, path: &str) -> Option<(u64, String)> {
-        let stored = self.now.objects.get(path)?;
+        let stored = self.current.objects.get(path)?;
         Some((stored.version, stored.body.clone()?))
     }
 
@@ -77,26 +77,26 @@
         if expected.is_some_and(|it| it != current) {
             return Err(Conflict { current });
         }
-        self.now.revision += 1;
-        let stored = Stored { version: self.now.revision, body };
-        self.now.objects.insert(path.to_owned(), stored);
-        Ok(self.now.revision)
+        self.current.revision += 1;
+        let stored = StoredObject { version: self.current.revision, body };
+        self.current.objects.insert(path.to_owned(), stored);
+        Ok(self.current.revision)
     }
 
-    pub(crate) fn list(&self, prefix: &str) -> Vec<Entry> {
-        self.under(prefix).filter(|it| it.body.is_some()).collect()
+    pub(crate) fn list(&self, prefix: &str) -> Vec<ObjectEntry> {
+        self.entries_under(prefix).filter(|it| it.body.is_some()).collect()
     }
 
-    pub(crate) fn changed(&self, prefix: &str, after: u64) -> Vec<Entry> {
-        self.under(prefix).filter(|it| it.version > after).collect()
+    pub(crate) fn changes_after(&self, prefix: &str, after: u64) -> Vec<ObjectEntry> {
+        self.entries_under(prefix).filter(|it| it.version > after).collect()
     }
 
-    fn under(&self, prefix: &str) -> impl Iterator<Item = Entry> {
-        self.now
+    fn entries_under(&self, prefix: &str) -> impl Iterator<Item = ObjectEntry> {
+        self.current
             .objects
             .range(prefix.to_owned()..)
             .take_while(move |(path, _)| path.starts_with(prefix))
-            .map(|(path, it)| Entry {
+            .map(|(path, it)| ObjectEntry {
                 path: path.clone(),
                 version: it.version,
                 body: it.body.clone(),
--- a/crates/standins/src/platform/tests.rs
+++ b/crates/standins/src/platform/tests.rs
@@ -32,9 +32,9 @@
     store.write("a/b", None, Some("x".to_owned())).unwrap();
     store.write("a/b", Some(1), None).unwrap();
     assert!(store.list("a/").is_empty());
-    let changed = store.changed("a/", 1);
+    let changed = store.changes_after("a/", 1);
     assert_eq!(changed.iter().map(|it| (it.version, &it.body)).collect::<Vec<_>>(), [(2, &None)]);
-    assert!(store.changed("a/", 2).is_empty());
+    assert!(store.changes_after("a/", 2).is_empty());
     assert_eq!(store.write("a/b", Some(0), Some("y".to_owned())), Ok(3));
 }
 
@@ -42,9 +42,9 @@
 fn a_store_that_comes_back_from_its_copy_gives_revisions_out_again() {
     let mut store = Store::default();
     store.write("a/b", None, Some("x".to_owned())).unwrap();
-    store.keep_copy();
+    store.take_snapshot();
     store.write("a/b", None, Some("y".to_owned())).unwrap();
-    store.roll_back();
+    store.restore_snapshot();
     assert_eq!((store.era(), store.revision(), store.read("a/b")), (1, 1, Some((1, "x".into()))));
     assert_eq!(store.write("a/c", Some(0), Some("z".to_owned())), Ok(2));
 }
--- a/crates/standins/src/upstream/announce.rs
+++ b/crates/standins/src/upstream/announce.rs
@@ -6,18 +6,18 @@
 use tokio::time::{sleep, timeout};
 use volo_http::{body::Body, client::Client};
 
-use super::state::{Stage, Upstream};
+use super::state::{Upstream, UpstreamState};
 
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 /// While the agent has not heard of a change yet.
-const ANNOUNCE_AGAIN: Duration = Duration::from_millis(50);
+const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_millis(50);
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct Announcement<'a> {
     service: &'a str,
     address: SocketAddr,
-    state: Stage,
+    state: UpstreamState,
     slots: u16,
     checks_fence: bool,
     clock_ms: u64,
@@ -33,12 +33,12 @@
         }
     };
     loop {
-        let stage = upstream.stage();
-        let heard = send(&client, upstream, agent, address, stage).await;
-        let wait = if heard { ANNOUNCE_EVERY } else { ANNOUNCE_AGAIN };
+        let state = upstream.state();
+        let is_acknowledged = send(&client, upstream, agent, address, state).await;
+        let wait = if is_acknowledged { ANNOUNCE_INTERVAL } else { ANNOUNCE_RETRY_DELAY };
         let changed = async {
-            while upstream.stage() == stage {
-                sleep(ANNOUNCE_AGAIN).await;
+            while upstream.state() == state {
+                sleep(ANNOUNCE_RETRY_DELAY).await;
             }
         };
         // Either the time or the change ends the wait.
@@ -51,9 +51,9 @@
     upstream: &Upstream,
     agent: SocketAddr,
     address: SocketAddr,
-    state: Stage,
+    state: UpstreamState,
 ) -> bool {
-    upstream.thaw().await;
+    upstream.wait_while_frozen().await;
     let announcement = Announcement {
         service: &upstream.config.service,
         address,
--- a/crates/standins/src/upstream/control.rs
+++ b/crates/standins/src/upstream/control.rs
@@ -9,13 +9,13 @@
 
 use super::{
     execution::parse_token,
-    state::{FaultRequest, Stage, Upstream},
+    state::{FaultRequest, Upstream, UpstreamState},
 };
-use crate::http::{answer, json};
+use crate::http::{json_response, text_response};
 
 #[derive(Serialize)]
 struct Health {
-    state: Stage,
+    state: UpstreamState,
     slots: u16,
 }
 
@@ -43,7 +43,7 @@
 }
 
 /// Answers a call of the control port; `None` if the path is not one.
-pub(crate) async fn control(
+pub(crate) async fn handle_control_call(
     upstream: &Upstream,
     method: &Method,
     path: &str,
@@ -53,20 +53,20 @@
         return Some(set_faults(upstream, body));
     }
     let call = path.strip_prefix("/control/")?;
-    upstream.thaw().await;
+    upstream.wait_while_frozen().await;
     let response = match call {
         "health" if method == Method::GET => {
             let report = upstream.report();
-            json(&Health { state: report.stage, slots: upstream.config.slots })
+            json_response(&Health { state: report.state, slots: upstream.config.slots })
         }
         "load" if method == Method::GET => {
             let report = upstream.report();
-            json(&Load { in_flight: report.in_flight, queued: report.queued })
+            json_response(&Load { in_flight: report.in_flight, queued: report.queued })
         }
         "grant" if method == Method::POST => grant(body),
         "prepare" if method == Method::POST => prepare(upstream, body).await,
         "cancel" if method == Method::POST => cancel(upstream, body),
-        _ => answer(StatusCode::NOT_FOUND, "no such call"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such call"),
     };
     Some(response)
 }
@@ -75,9 +75,9 @@
     match serde_json::from_slice::<FaultRequest>(body) {
         Ok(request) => {
             upstream.set_faults(request);
-            answer(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
-        Err(error) => answer(StatusCode::BAD_REQUEST, error.to_string()),
+        Err(error) => text_response(StatusCode::BAD_REQUEST, error.to_string()),
     }
 }
 
@@ -89,20 +89,20 @@
                 target: "upstream",
                 "Granted slot {} with token {} for {} ms.", grant.slot, grant.token, grant.until_ms
             );
-            answer(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
-        Ok(_) => answer(StatusCode::BAD_REQUEST, "a token is TERM.SEQUENCE"),
-        Err(error) => answer(StatusCode::BAD_REQUEST, error.to_string()),
+        Ok(_) => text_response(StatusCode::BAD_REQUEST, "a token is TERM.SEQUENCE"),
+        Err(error) => text_response(StatusCode::BAD_REQUEST, error.to_string()),
     }
 }
 
 async fn prepare(upstream: &Upstream, body: &[u8]) -> Response {
     let Ok(prepare) = serde_json::from_slice::<Prepare>(body) else {
-        return answer(StatusCode::BAD_REQUEST, "prepare needs a slot");
+        return text_response(StatusCode::BAD_REQUEST, "prepare needs a slot");
     };
     sleep_until(upstream.ready_at()).await;
     log::debug!(target: "upstream", "Prepared slot {}.", prepare.slot);
-    answer(StatusCode::OK, "")
+    text_response(StatusCode::OK, "")
 }
 
 fn cancel(upstream: &Upstream, body: &[u8]) -> Response {
@@ -112,8 +112,8 @@
     match id {
         Some(id) => {
             upstream.cancel(RequestId(id));
-            answer(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
-        None => answer(StatusCode::BAD_REQUEST, "cancel needs a hexadecimal request_id"),
+        None => text_response(StatusCode::BAD_REQUEST, "cancel needs a hexadecimal request_id"),
     }
 }
--- a/crates/standins/src/upstream/execution.rs
+++ b/crates/standins/src/upstream/execution.rs
@@ -10,10 +10,10 @@
 };
 use volo_http::response::Response;
 
-use super::state::{Stage, Upstream};
+use super::state::{Upstream, UpstreamState};
 use crate::{
     answer::{ANSWER_BYTES, KEY, encode_answer},
-    http::{answer, with_header},
+    http::{text_response, with_header},
     journal::{RefusedReason, RunEnd, RunEntry, wall_clock_ns},
 };
 
@@ -27,7 +27,7 @@
 const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
 
 /// What a request says of itself.
-struct Call {
+struct IncomingRequest {
     id: RequestId,
     key: String,
     /// The last segment of the path.
@@ -45,74 +45,76 @@
     id: RequestId,
     run: u64,
     cancelled: Arc<Notify>,
-    ended: bool,
+    has_ended: bool,
 }
 
 pub(crate) async fn execute(upstream: &Upstream, uri: &Uri, headers: &HeaderMap) -> Response {
-    let Some(call) = Call::parse(upstream, uri, headers) else {
-        return answer(StatusCode::BAD_REQUEST, "a request needs x-request-id and x-key");
+    let Some(request) = IncomingRequest::parse(upstream, uri, headers) else {
+        return text_response(StatusCode::BAD_REQUEST, "a request needs x-request-id and x-key");
     };
-    upstream.thaw().await;
-    let _taken = upstream.take();
-    if let Some(reason) = refusal(upstream, &call) {
-        return refuse(upstream, &call, reason);
+    upstream.wait_while_frozen().await;
+    let _accepted = upstream.accept();
+    if let Some(reason) = refusal_reason(upstream, &request) {
+        return refuse(upstream, &request, reason);
     }
-    let Ok(Ok(_slot)) = timeout_at(call.deadline, upstream.slots.acquire()).await else {
-        return refuse(upstream, &call, RefusedReason::DeadlineExceeded);
+    let Ok(Ok(_slot)) = timeout_at(request.deadline, upstream.slots.acquire()).await else {
+        return refuse(upstream, &request, RefusedReason::DeadlineExceeded);
     };
     match () {
-        _ if call.start_before.is_some_and(|it| it <= Instant::now()) => {
-            refuse(upstream, &call, RefusedReason::GrantEnded)
+        _ if request.start_before.is_some_and(|it| it <= Instant::now()) => {
+            refuse(upstream, &request, RefusedReason::GrantEnded)
         }
-        _ if call.token.is_some_and(|it| !upstream.passes_fence(&call.key, it)) => {
-            refuse(upstream, &call, RefusedReason::Fenced)
+        _ if request.token.is_some_and(|it| !upstream.passes_fence(&request.key, it)) => {
+            refuse(upstream, &request, RefusedReason::Fenced)
         }
-        _ if call.deadline <= Instant::now() => {
-            refuse(upstream, &call, RefusedReason::DeadlineExceeded)
+        _ if request.deadline <= Instant::now() => {
+            refuse(upstream, &request, RefusedReason::DeadlineExceeded)
         }
-        _ => Run::start(upstream, &call).finish(&call).await,
+        _ => Run::start(upstream, &request).finish(&request).await,
     }
 }
 
-fn refusal(upstream: &Upstream, call: &Call) -> Option<RefusedReason> {
+fn refusal_reason(upstream: &Upstream, request: &IncomingRequest) -> Option<RefusedReason> {
     match () {
-        _ if upstream.stage() == Stage::Starting => Some(RefusedReason::Starting),
+        _ if upstream.state() == UpstreamState::Starting => Some(RefusedReason::Starting),
         _ if upstream.is_closed() => Some(RefusedReason::Draining),
-        _ if upstream.taken() > upstream.config.connections_max => Some(RefusedReason::Connections),
-        _ if upstream.sheds() || upstream.taken() > upstream.config.shed_above => {
+        _ if upstream.accepted_count() > upstream.config.connections_max => {
+            Some(RefusedReason::Connections)
+        }
+        _ if upstream.is_shedding() || upstream.accepted_count() > upstream.config.shed_above => {
             Some(RefusedReason::Shed)
         }
-        _ if upstream.config.checks_fence && call.token.is_none() => Some(RefusedReason::Fenced),
+        _ if upstream.config.checks_fence && request.token.is_none() => Some(RefusedReason::Fenced),
         _ => None,
     }
 }
 
-fn refuse(upstream: &Upstream, call: &Call, reason: RefusedReason) -> Response {
-    let (id, key) = (call.id, call.key.clone());
+fn refuse(upstream: &Upstream, request: &IncomingRequest, reason: RefusedReason) -> Response {
+    let (id, key) = (request.id, request.key.clone());
     upstream.record(&RunEntry::Refused { at_ns: wall_clock_ns(), id, key, reason });
-    with_header(answer(StatusCode::SERVICE_UNAVAILABLE, "not run"), NOT_RUN, 1)
+    with_header(text_response(StatusCode::SERVICE_UNAVAILABLE, "not run"), NOT_RUN, 1)
 }
 
-impl Call {
-    fn parse(upstream: &Upstream, uri: &Uri, headers: &HeaderMap) -> Option<Call> {
+impl IncomingRequest {
+    fn parse(upstream: &Upstream, uri: &Uri, headers: &HeaderMap) -> Option<IncomingRequest> {
         let text = |name: &str| headers.get(name)?.to_str().ok();
         let id = RequestId(u128::from_str_radix(text(REQUEST_ID_HEADER)?, 16).ok()?);
         let deadline = match text(DEADLINE.as_str()) {
             Some(ms) => Duration::from_millis(ms.parse().ok()?),
             None => DEADLINE_DEFAULT,
         };
-        let point = |name: &HeaderName| {
+        let parse_instant = |name: &HeaderName| {
             let ms = text(name.as_str())?.parse().ok()?;
-            Some(upstream.instant(ms))
+            Some(upstream.instant_at(ms))
         };
         let deadline = Instant::now() + deadline;
-        Some(Call {
+        Some(IncomingRequest {
             id,
             key: text(KEY.as_str())?.to_owned(),
             class: uri.path().rsplit('/').next().unwrap_or_default().to_owned(),
             token: text(TOKEN_HEADER).and_then(parse_token),
-            deadline: point(&END_BEFORE).map_or(deadline, |it| it.min(deadline)),
-            start_before: point(&START_BEFORE),
+            deadline: parse_instant(&END_BEFORE).map_or(deadline, |it| it.min(deadline)),
+            start_before: parse_instant(&START_BEFORE),
             answer_bytes: text(ANSWER_BYTES.as_str()).and_then(|it| it.parse().ok()).unwrap_or(0),
         })
     }
@@ -125,53 +127,54 @@
 }
 
 impl<'a> Run<'a> {
-    fn start(upstream: &'a Upstream, call: &Call) -> Run<'a> {
-        let (run, cancelled) = upstream.begin_run(call.id);
+    fn start(upstream: &'a Upstream, request: &IncomingRequest) -> Run<'a> {
+        let (run, cancelled) = upstream.register_run(request.id);
         upstream.record(&RunEntry::Started {
             at_ns: wall_clock_ns(),
             run,
-            id: call.id,
-            key: call.key.clone(),
-            class: call.class.clone(),
-            token: call.token.map(|it| it.to_string()),
+            id: request.id,
+            key: request.key.clone(),
+            class: request.class.clone(),
+            token: request.token.map(|it| it.to_string()),
         });
-        Run { upstream, id: call.id, run, cancelled, ended: false }
+        Run { upstream, id: request.id, run, cancelled, has_ended: false }
     }
 
-    async fn finish(mut self, call: &Call) -> Response {
+    async fn finish(mut self, request: &IncomingRequest) -> Response {
         let started_ns = wall_clock_ns();
         let started = Instant::now();
-        let end = self.work(call.deadline).await;
-        if self.upstream.config.ends_on.as_ref() == Some(&call.key) {
+        let end = self.run_until_end(request.deadline).await;
+        if self.upstream.config.ends_on.as_ref() == Some(&request.key) {
             self.upstream.record(&RunEntry::EndsUnder { at_ns: wall_clock_ns(), run: self.run });
             std::process::exit(CRASH_EXIT_CODE);
         }
         // After a freeze nothing more takes effect, so the run ended at its deadline.
         let at_ns = match end {
             RunEnd::DeadlineExceeded => {
-                let until = u64::try_from((call.deadline - started).as_nanos()).unwrap_or(u64::MAX);
+                let until =
+                    u64::try_from((request.deadline - started).as_nanos()).unwrap_or(u64::MAX);
                 wall_clock_ns().min(started_ns.saturating_add(until))
             }
             _ => wall_clock_ns(),
         };
         self.end(at_ns, end);
         let (status, answer_bytes) = match end {
-            RunEnd::Ran => (StatusCode::OK, call.answer_bytes),
+            RunEnd::Ran => (StatusCode::OK, request.answer_bytes),
             RunEnd::Cancelled => (StatusCode::INTERNAL_SERVER_ERROR, 0),
             RunEnd::DeadlineExceeded => (StatusCode::GATEWAY_TIMEOUT, 0),
         };
-        let response = answer(status, encode_answer(call.id, &call.key, answer_bytes));
-        with_header(response, KEY, &call.key)
+        let response = text_response(status, encode_answer(request.id, &request.key, answer_bytes));
+        with_header(response, KEY, &request.key)
     }
 
     /// The deadline is looked at first: a process that was frozen past it does nothing more.
-    async fn work(&self, deadline: Instant) -> RunEnd {
+    async fn run_until_end(&self, deadline: Instant) -> RunEnd {
         let done = Instant::now() + self.upstream.draw_service_time();
         let work = async {
             if done > Instant::now() {
                 sleep_until(done).await;
             }
-            self.upstream.thaw().await;
+            self.upstream.wait_while_frozen().await;
         };
         let end = tokio::select! {
             biased;
@@ -187,15 +190,15 @@
     }
 
     fn end(&mut self, at_ns: u64, end: RunEnd) {
-        self.ended = true;
-        self.upstream.end_run(self.id);
+        self.has_ended = true;
+        self.upstream.remove_run(self.id);
         self.upstream.record(&RunEntry::Ended { at_ns, run: self.run, end });
     }
 }
 
 impl Drop for Run<'_> {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             self.end(wall_clock_ns(), RunEnd::Cancelled);
         }
     }
--- a/crates/standins/src/upstream/server.rs
+++ b/crates/standins/src/upstream/server.rs
@@ -13,16 +13,16 @@
 
 use super::{
     announce::announce,
-    control::control,
+    control::handle_control_call,
     execution::execute,
     options::{Config, UpstreamOptions},
     state::Upstream,
 };
-use crate::http::{answer, bind, print_address};
+use crate::http::{bind, print_address, text_response};
 
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// For the last answers to leave the process.
-const LINGER: Duration = Duration::from_millis(100);
+const EXIT_DELAY: Duration = Duration::from_millis(100);
 
 /// Serves until a signal ends the process: announces that it leaves, stays open for a while,
 /// finishes what is in flight and exits.
@@ -44,9 +44,9 @@
         move |request: Request| async move {
             let (parts, body) = request.into_parts();
             let Ok(body) = body.into_bytes().await else {
-                return answer(StatusCode::BAD_REQUEST, "the body broke off");
+                return text_response(StatusCode::BAD_REQUEST, "the body broke off");
             };
-            match control(&upstream, &parts.method, parts.uri.path(), &body).await {
+            match handle_control_call(&upstream, &parts.method, parts.uri.path(), &body).await {
                 Some(response) => response,
                 None => execute(&upstream, &parts.uri, &parts.headers).await,
             }
@@ -60,10 +60,10 @@
 }
 
 async fn stop(upstream: &Upstream) {
-    upstream.drain();
-    while !upstream.is_closed() || upstream.taken() > 0 {
-        sleep(DRAIN_POLL).await;
+    upstream.start_drain();
+    while !upstream.is_closed() || upstream.accepted_count() > 0 {
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
-    sleep(LINGER).await;
+    sleep(EXIT_DELAY).await;
     std::process::exit(0);
 }
--- a/crates/standins/src/upstream/state.rs
+++ b/crates/standins/src/upstream/state.rs
@@ -22,13 +22,13 @@
 use crate::journal::{JournalWriter, RunEntry, wall_clock_ns};
 
 /// Service times lie between half and one and a half times their mean.
-const JITTER: std::ops::Range<f64> = 0.5..1.5;
+const SERVICE_TIME_FACTORS: std::ops::Range<f64> = 0.5..1.5;
 
 /// What `GET /control/health` and the announcements say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum Stage {
+pub(crate) enum UpstreamState {
     Starting,
     Ready,
     Draining,
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Report {
     at: Instant,
-    pub(crate) stage: Stage,
+    pub(crate) state: UpstreamState,
     pub(crate) in_flight: usize,
     pub(crate) queued: usize,
 }
@@ -63,13 +63,13 @@
     pub(crate) journal: JournalWriter,
     started: Instant,
     /// Requests taken and not answered, those that wait for a slot included.
-    taken: AtomicUsize,
+    accepted_count: AtomicUsize,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
     rng: Pcg64Mcg,
-    runs: u64,
+    run_count: u64,
     draining_since: Option<Instant>,
     frozen_until: Instant,
     shed: bool,
@@ -81,11 +81,11 @@
 }
 
 /// Counts a request as taken for as long as it lives.
-pub(crate) struct Taken<'a>(&'a Upstream);
+pub(crate) struct AcceptedGuard<'a>(&'a Upstream);
 
-impl Drop for Taken<'_> {
+impl Drop for AcceptedGuard<'_> {
     fn drop(&mut self) {
-        self.0.taken.fetch_sub(1, Ordering::Relaxed);
+        self.0.accepted_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -94,7 +94,7 @@
         let now = Instant::now();
         let inner = Inner {
             rng: Pcg64Mcg::seed_from_u64(config.seed),
-            runs: 0,
+            run_count: 0,
             draining_since: None,
             frozen_until: now,
             shed: false,
@@ -107,7 +107,7 @@
             slots: Semaphore::new(usize::from(config.slots)),
             journal: JournalWriter::open(&config.journal)?,
             started: now,
-            taken: AtomicUsize::new(0),
+            accepted_count: AtomicUsize::new(0),
             inner: Mutex::new(inner),
             config,
         })
@@ -119,7 +119,7 @@
     }
 
     /// A point on that clock.
-    pub(crate) fn instant(&self, clock_ms: u64) -> Instant {
+    pub(crate) fn instant_at(&self, clock_ms: u64) -> Instant {
         self.started + Duration::from_millis(clock_ms)
     }
 
@@ -136,11 +136,11 @@
         }
     }
 
-    pub(crate) fn stage(&self) -> Stage {
+    pub(crate) fn state(&self) -> UpstreamState {
         match self.inner().draining_since {
-            Some(_) => Stage::Draining,
-            None if self.started.elapsed() < self.config.warmup => Stage::Starting,
-            None => Stage::Ready,
+            Some(_) => UpstreamState::Draining,
+            None if self.started.elapsed() < self.config.warmup => UpstreamState::Starting,
+            None => UpstreamState::Ready,
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Begins to leave.
-    pub(crate) fn drain(&self) {
+    pub(crate) fn start_drain(&self) {
         self.inner().draining_since.get_or_insert_with(Instant::now);
         self.record(&RunEntry::Draining { at_ns: wall_clock_ns() });
     }
@@ -159,16 +159,16 @@
         self.inner().draining_since.is_some_and(|it| it.elapsed() >= self.config.drain)
     }
 
-    pub(crate) fn take(&self) -> Taken<'_> {
-        self.taken.fetch_add(1, Ordering::Relaxed);
-        Taken(self)
+    pub(crate) fn accept(&self) -> AcceptedGuard<'_> {
+        self.accepted_count.fetch_add(1, Ordering::Relaxed);
+        AcceptedGuard(self)
     }
 
-    pub(crate) fn taken(&self) -> usize {
-        self.taken.load(Ordering::Relaxed)
+    pub(crate) fn accepted_count(&self) -> usize {
+        self.accepted_count.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn sheds(&self) -> bool {
+    pub(crate) fn is_shedding(&self) -> bool {
         self.inner().shed
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Waits while frozen.
-    pub(crate) async fn thaw(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         let until = self.inner().frozen_until;
         if until > Instant::now() {
             sleep_until(until).await;
@@ -192,7 +192,7 @@
         let fresh = self.measure();
         let mut inner = self.inner();
         if inner.lie {
-            return Report { stage: Stage::Ready, in_flight: 0, queued: 0, ..fresh };
+            return Report { state: UpstreamState::Ready, in_flight: 0, queued: 0, ..fresh };
         }
         match inner.report {
             Some(report) if report.at.elapsed() < self.config.health_lag => report,
@@ -202,25 +202,25 @@
 
     fn measure(&self) -> Report {
         let in_flight = usize::from(self.config.slots) - self.slots.available_permits();
-        let queued = self.taken().saturating_sub(in_flight);
-        Report { at: Instant::now(), stage: self.stage(), in_flight, queued }
+        let queued = self.accepted_count().saturating_sub(in_flight);
+        Report { at: Instant::now(), state: self.state(), in_flight, queued }
     }
 
     pub(crate) fn draw_service_time(&self) -> Duration {
-        let factor = self.inner().rng.random_range(JITTER);
+        let factor = self.inner().rng.random_range(SERVICE_TIME_FACTORS);
         self.config.service_time.mul_f64(factor)
     }
 
     /// Numbers a new run and lets it be cancelled by its id.
-    pub(crate) fn begin_run(&self, id: RequestId) -> (u64, Arc<Notify>) {
+    pub(crate) fn register_run(&self, id: RequestId) -> (u64, Arc<Notify>) {
         let mut inner = self.inner();
-        inner.runs += 1;
-        let run = inner.runs;
+        inner.run_count += 1;
+        let run = inner.run_count;
         let cancelled = Arc::clone(inner.running.entry(id).or_default());
         (run, cancelled)
     }
 
-    pub(crate) fn end_run(&self, id: RequestId) {
+    pub(crate) fn remove_run(&self, id: RequestId) {
         self.inner().running.remove(&id);
     }
 
