--- a/crates/logging/src/json.rs
+++ b/crates/logging/src/json.rs
@@ -1,4 +1,4 @@
-//! A log record as one line of JSON: time, level, target, message, then its fields in their order.
+//! Formats a log record as one line of JSON: time, level, target, message, then its key-value pairs in order.
 
 use std::{
     fmt,
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,5 +1,5 @@
-//! The log of a process: one JSON object a line on standard output, written without ever making the
-//! process wait, and a bound on lines that come with requests.
+//! Logging to standard output: one JSON object per line, written by a background thread so that logging never
+//! blocks, and a rate limiter for lines that are logged per request.
 
 mod json;
 mod rate;
@@ -11,8 +11,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Starts the log of this process, with filters as `env_logger` reads them. Lines still on their way
-/// when the guard is dropped are written first.
+/// Installs the logger of the process. `filters` has the syntax of `env_logger`. Dropping the guard waits a short
+/// time until the queued lines are written.
 pub fn init(filters: &str) -> LogGuard {
     let (logging, lines) = LogGuard::start(std::io::stdout());
     env_logger::Builder::new()
--- a/crates/logging/src/rate.rs
+++ b/crates/logging/src/rate.rs
@@ -1,10 +1,10 @@
-//! A bound on lines of one kind, so that a flood of requests is no flood of lines.
+//! Rate limit for log lines of one kind, so that many requests don't flood the log.
 
 use std::sync::{Mutex, PoisonError};
 
 use model::Timestamp;
 
-/// A token bucket that counts what it turns away.
+/// A token bucket that counts the suppressed lines.
 #[derive(Debug)]
 pub struct LineRateLimiter {
     lines_per_s: f64,
@@ -20,13 +20,13 @@
 }
 
 impl LineRateLimiter {
-    /// At most `lines_per_s` in the long run, and `burst` in one go.
+    /// Creates a limiter for `lines_per_s` on average and bursts of `burst` lines.
     pub fn new(lines_per_s: f64, burst: f64) -> LineRateLimiter {
         let state = BucketState { tokens: burst, refilled_at: Timestamp::ZERO, suppressed: 0 };
         LineRateLimiter { lines_per_s, burst, state: Mutex::new(state) }
     }
 
-    /// Whether a line may be written now. If so: how many were left out since the last one.
+    /// Returns the number of lines suppressed since the last admitted one, or `None` if this line is suppressed.
     pub fn admit(&self, now: Timestamp) -> Option<u64> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let passed = now.since(state.refilled_at).as_secs_f64();
--- a/crates/logging/src/tests/mod.rs
+++ b/crates/logging/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The form of lines, their bound, and a log that nobody reads.
+//! Tests of the line format, the rate limit, and an output that is not read.
 
 use std::{
     io::{self, Write},
@@ -33,19 +33,19 @@
 }
 
 #[test]
-fn lines_beyond_the_rate_are_counted_and_the_count_is_told_with_the_next() {
+fn the_next_admitted_line_gets_the_number_of_suppressed_lines() {
     let rate = LineRateLimiter::new(10.0, 3.0);
     let start = Timestamp::ZERO + Duration::from_secs(1);
     let taken = (0..8).filter(|_| rate.admit(start).is_some()).count();
     assert_eq!(taken, 3);
     assert_eq!(rate.admit(start + Duration::from_millis(50)), None);
     assert_eq!(rate.admit(start + Duration::from_millis(110)), Some(6));
-    // The whole allowance comes back, and no more than that.
+    // After a long pause the burst is available again, and not more.
     let later = start + Duration::from_secs(60);
     assert_eq!((0..8).filter(|_| rate.admit(later).is_some()).count(), 3);
 }
 
-/// A pipe that takes nothing until it is told to.
+/// An output that blocks until `open` receives a message.
 struct BlockedPipe {
     open: Receiver<()>,
     is_open: bool,
@@ -67,10 +67,10 @@
     }
 }
 
-/// 3,000 lines into a pipe that nobody reads: whoever logs comes back from each of them. Once the
-/// pipe is read, the lines that waited come, and the number of those that did not.
+/// Logs 3,000 lines while the output is blocked, which must not block the caller. Once the output is unblocked,
+/// the queued lines and the number of dropped lines are written.
 #[test]
-fn a_log_that_is_not_read_holds_nobody_up() {
+fn an_output_that_is_not_read_does_not_block_logging() {
     let (open, opened) = channel();
     let (written, lines) = channel();
     let out = BlockedPipe { open: opened, is_open: false, written };
@@ -90,6 +90,6 @@
             serde_json::from_str::<serde_json::Value>(it).unwrap()["left_out"].as_u64()
         })
         .sum();
-    assert!((1_000..=1_100).contains(&kept), "{kept} lines were kept");
+    assert!((1_000..=1_100).contains(&kept), "{kept} lines were written, expected 1,000 to 1,100");
     assert_eq!(kept as u64 + dropped, 3_000);
 }
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -1,5 +1,5 @@
-//! Lines go through a bounded channel to a thread that writes them. Whoever logs never waits: a pipe
-//! that nobody reads costs lines, not requests, and the number of lines lost is written later.
+//! Writes log lines in a background thread behind a bounded channel, so that logging never blocks. If the
+//! output is not read, lines are dropped, and their number is logged once writing continues.
 
 use std::{
     io::{self, Write},
@@ -12,25 +12,25 @@
     time::Duration,
 };
 
-/// Lines that may wait for the writer: about 400 KB of them, at 400 bytes a line.
+/// Capacity of the channel in lines: about 400 KB with 400 bytes per line.
 const QUEUED_LINES_MAX: usize = 1_024;
-/// How long the end of the process waits for its last lines. A pipe that is read takes them in less
-/// than a millisecond.
+/// Maximum wait for the queued lines when the process exits. An output that is read accepts them in less than
+/// a millisecond.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Message {
     Line(Vec<u8>),
-    /// Says so when all earlier lines are written.
+    /// Requests a confirmation once all earlier lines are written.
     Flush(Sender<()>),
 }
 
-/// Keeps the log going; dropped, it waits for the last lines.
+/// Guard of the logger. Dropping it waits until the queued lines are written, at most `FLUSH_TIMEOUT`.
 #[derive(Debug)]
 pub struct LogGuard {
     messages: SyncSender<Message>,
 }
 
-/// Where the logger writes its lines, each with one call.
+/// Output of the logger, which makes one `write` call per line.
 #[derive(Debug)]
 pub(crate) struct LineWriter {
     messages: SyncSender<Message>,
@@ -38,13 +38,13 @@
 }
 
 impl LogGuard {
-    /// Starts the thread that writes to `out`.
+    /// Starts the thread that writes to `out`. Returns the guard and the writer for the logger.
     pub(crate) fn start(out: impl Write + Send + 'static) -> (LogGuard, LineWriter) {
         let (messages, received) = sync_channel(QUEUED_LINES_MAX);
         let dropped_lines = Arc::new(AtomicU64::new(0));
         let dropped = Arc::clone(&dropped_lines);
         thread::spawn(move || {
-            // Nobody reads the log any more, and there is no other place to say so.
+            // The output is closed, and there is no other place to report the error.
             _ = write_all(&received, &dropped, out);
         });
         (LogGuard { messages: messages.clone() }, LineWriter { messages, dropped_lines })
@@ -54,7 +54,7 @@
 impl Drop for LogGuard {
     fn drop(&mut self) {
         let (written, all_written) = channel();
-        // If the writer is that far behind, the last lines are left out.
+        // If the channel is full, the flush is skipped and the last lines may be lost.
         if self.messages.try_send(Message::Flush(written)).is_ok() {
             _ = all_written.recv_timeout(FLUSH_TIMEOUT);
         }
@@ -87,7 +87,7 @@
             Message::Line(line) => out.write_all(&line)?,
             Message::Flush(written) => {
                 out.flush()?;
-                // Whoever asked may have stopped waiting.
+                // The receiver may have timed out.
                 _ = written.send(());
             }
         }
@@ -95,7 +95,7 @@
             0 => {}
             count => writeln!(
                 out,
-                r#"{{"level":"WARN","target":"logging","message":"Lines were left out: the log was not read fast enough.","left_out":{count}}}"#
+                r#"{{"level":"WARN","target":"logging","message":"Log lines were dropped: the log was not read fast enough.","left_out":{count}}}"#
             )?,
         }
     }
