--- a/crates/standins/src/answer.rs
+++ b/crates/standins/src/answer.rs
@@ -1,15 +1,16 @@
-//! Bodies of answers, from which a caller sees whether one is its own and whole.
+//! Bodies of answers. Callers detect from them whether an answer belongs to their request and is complete.
 
 use bytes::Bytes;
 use http::header::HeaderName;
 use model::{RequestId, key_hash};
 use serde::{Deserialize, Serialize};
 
-/// How many bytes of filler the caller asks for.
+/// Request header: number of filler bytes in the answer.
 pub(crate) const ANSWER_BYTES: HeaderName = HeaderName::from_static("x-answer-bytes");
+/// Header with the shard key.
 pub(crate) const KEY: HeaderName = HeaderName::from_static("x-key");
 
-/// The first line of a body; the filler follows.
+/// The first line of an answer's body, as JSON. The filler follows.
 #[derive(Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 struct AnswerHead {
@@ -20,17 +21,17 @@
     checksum: String,
 }
 
-/// What is wrong with an answer.
+/// The reason why an answer is wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 pub(crate) enum AnswerError {
     #[error("the answer belongs to another request")]
     OtherRequest,
-    #[error("the answer is not whole")]
+    #[error("the answer is truncated or corrupt")]
     Corrupt,
 }
 
-/// The body of the answer to a request.
+/// Returns the body of the answer to a request.
 pub(crate) fn encode_answer(id: RequestId, key: &str, filler_bytes: usize) -> Bytes {
     let filler: Vec<u8> = id.0.to_be_bytes().into_iter().cycle().take(filler_bytes).collect();
     let head = AnswerHead {
@@ -45,7 +46,7 @@
     Bytes::from(body)
 }
 
-/// Checks that a body answers this request and is whole.
+/// Checks that a body answers this request and is complete.
 pub(crate) fn check_answer(
     body: &[u8],
     id: RequestId,
--- a/crates/standins/src/bin/standin-caller.rs
+++ b/crates/standins/src/bin/standin-caller.rs
@@ -1,4 +1,4 @@
-//! Callers, for development only. Prints one JSON object at the end.
+//! Simulates callers, for development only. Prints a summary as one JSON object when the load has ended.
 
 use std::io::Write;
 
--- a/crates/standins/src/bin/standin-platform.rs
+++ b/crates/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, for development only.
+//! Runs an in-memory platform, for development only.
 
 use gumdrop::Options;
 use standins::platform::{PlatformOptions, run};
--- a/crates/standins/src/bin/standin-upstream.rs
+++ b/crates/standins/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream, for development only.
+//! Runs an upstream, for development only.
 
 use gumdrop::Options;
 use standins::upstream::{UpstreamOptions, run};
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP servers share.
+//! Helpers of the HTTP servers.
 
 use std::{io::Write, net::SocketAddr};
 
@@ -8,29 +8,30 @@
 use tokio::net::TcpListener;
 use volo_http::{body::Body, response::Response};
 
-/// Listens at an address; port 0 takes a free one.
+/// Binds a listener and returns it with its address; port 0 selects a free port.
 pub async fn bind(address: SocketAddr) -> anyhow::Result<(TcpListener, SocketAddr)> {
-    let listener =
-        TcpListener::bind(address).await.with_context(|| format!("listening at {address}"))?;
-    let bound = listener.local_addr().context("reading the bound address")?;
+    let listener = TcpListener::bind(address)
+        .await
+        .with_context(|| format!("listening on {address}"))?;
+    let bound = listener.local_addr().context("reading the address of the listener")?;
     Ok((listener, bound))
 }
 
-/// Prints the bound address as the first line on standard output, for whoever started the process.
+/// Prints the address as the first line on standard output, where the parent process reads it.
 pub fn print_address(address: SocketAddr) -> anyhow::Result<()> {
     let mut stdout = std::io::stdout().lock();
     writeln!(stdout, "{address}").context("printing the bound address")?;
     stdout.flush().context("printing the bound address")
 }
 
-/// An answer with a body.
+/// Returns a response with a text body.
 pub(crate) fn text_response(status: StatusCode, body: impl Into<bytes::Bytes>) -> Response {
     let mut response = Response::new(Body::from(body.into()));
     *response.status_mut() = status;
     response
 }
 
-/// An answer with a JSON body.
+/// Returns a response with a JSON body.
 pub(crate) fn json_response(value: &impl Serialize) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => text_response(StatusCode::OK, body),
@@ -38,7 +39,7 @@
     }
 }
 
-/// Adds a header whose value is a number or another plain text.
+/// Adds a header; a value that is not valid in a header is skipped.
 pub(crate) fn with_header(
     mut response: Response,
     name: HeaderName,
@@ -50,9 +51,9 @@
     response
 }
 
-/// Ends the connection that carries the current request, without an answer.
+/// Closes the connection of the current request without an answer, by a panic in the handler.
 ///
-/// The server runs a connection as one task, and has no other way to drop it from a handler.
+/// The server runs each connection as one task and offers no other way to close it from a handler.
 pub(crate) fn close_connection() -> ! {
     std::panic::resume_unwind(Box::new("connection dropped on purpose"))
 }
--- a/crates/standins/src/journal/call.rs
+++ b/crates/standins/src/journal/call.rs
@@ -1,11 +1,11 @@
-//! What a caller was told.
+//! Journal entries of callers.
 
 use std::net::SocketAddr;
 
 use model::RequestId;
 use serde::{Deserialize, Serialize};
 
-/// One line of a caller's journal: a request with all its sendings.
+/// One line of a caller's journal: a request with all its attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallRecord {
@@ -20,34 +20,34 @@
 }
 
 impl CallRecord {
-    /// When the first attempt was sent.
+    /// Returns the time at which the first attempt was sent.
     pub fn first_sent_ns(&self) -> u64 {
         self.attempts.first().map_or(0, |it| it.sent_ns)
     }
 
-    /// When the last attempt ended.
+    /// Returns the time at which the last attempt ended.
     pub fn ended_ns(&self) -> u64 {
         self.attempts.last().map_or(0, |it| it.ended_ns)
     }
 }
 
-/// One sending of a request through one agent.
+/// One attempt to send a request through one agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Attempt {
-    /// The agent's caller address.
+    /// Address of the agent that callers connect to.
     pub target: SocketAddr,
     pub sent_ns: u64,
     pub ended_ns: u64,
     pub result: AttemptResult,
 }
 
-/// How one sending ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum AttemptResult {
-    /// The caller's own answer, whole.
+    /// A complete answer to this request.
     Answered,
     NotRun {
         reason: String,
@@ -55,32 +55,32 @@
     Unknown {
         reason: String,
     },
-    /// No connection could be made, so nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     NotConnected,
-    /// The connection broke, or the answer's body did.
+    /// The connection was lost before the whole answer was received.
     ConnectionLost,
-    /// The caller gave up waiting.
+    /// The attempt timed out.
     TimedOut,
-    /// Marked as answered, but the answer to another request.
+    /// Outcome `answered`, but with the answer to another request.
     Crossed,
-    /// Marked as answered and ended in good order, but not whole.
+    /// Outcome `answered` and a complete HTTP message, but its body is truncated or corrupt.
     Broken,
-    /// No outcome header.
+    /// The answer has no outcome header, or one with an unknown outcome.
     NoOutcome {
         status: u16,
     },
 }
 
-/// What the caller holds to be true of its request in the end.
+/// Outcome of a request from the caller's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalOutcome {
     Answered,
-    /// Each sending ended as not run or found no agent.
+    /// The last answer was `not-run`, or each attempt did not run or could not connect.
     NotRun,
-    /// It may have run, and an agent said so.
+    /// The request may have run, as reported by an agent.
     Unknown,
-    /// It may have run, and nobody told the caller anything.
+    /// The request may have run, and the caller received no outcome.
     Lost,
 }
--- a/crates/standins/src/journal/file.rs
+++ b/crates/standins/src/journal/file.rs
@@ -1,4 +1,4 @@
-//! Writing and reading of journal files.
+//! Writes and reads journal files.
 
 use std::{
     fs::{File, OpenOptions},
@@ -10,15 +10,15 @@
 use anyhow::Context;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Appends entries to a file. Each is handed to the system whole before `append` returns, so that
-/// it outlives the process; without a file, entries are dropped.
+/// Appends entries to a file. `append` passes each complete entry to the operating system before it returns, so
+/// that the entry survives a crash of the process. Without a file, entries are discarded.
 #[derive(Debug)]
 pub struct JournalWriter {
     file: Option<Mutex<File>>,
 }
 
 impl JournalWriter {
-    /// Appends to a file, which is made if there is none; an empty path keeps no journal.
+    /// Opens a journal for appending and creates the file if needed. With an empty path, entries are discarded.
     pub fn open(path: &str) -> anyhow::Result<JournalWriter> {
         if path.is_empty() {
             return Ok(JournalWriter { file: None });
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads a whole journal. A last line cut short by the end of its writer is left out.
+/// Reads all entries of a journal. A truncated last line, as after a crash of the writer, is skipped.
 pub fn read_journal<T: DeserializeOwned>(path: &Path) -> anyhow::Result<Vec<T>> {
     let step = || format!("reading journal {}", path.display());
     let mut reader = BufReader::new(File::open(path).with_context(step)?);
--- a/crates/standins/src/journal/mod.rs
+++ b/crates/standins/src/journal/mod.rs
@@ -1,7 +1,7 @@
-//! Append-only journals in JSON lines: what upstreams ran and what callers were told.
+//! Append-only journals in JSON lines: requests that upstreams ran, and outcomes that callers received.
 //!
-//! All times are nanoseconds of the machine's wall clock (`SystemTime`), which its processes share;
-//! the monotonic clock of the standard library cannot be compared between processes.
+//! All times are nanoseconds since the Unix epoch by the machine's wall clock (`SystemTime`), which all processes
+//! share. Times of the standard library's monotonic clock can't be compared between processes.
 
 mod call;
 mod file;
@@ -13,13 +13,13 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Nanoseconds of the wall clock.
+/// Returns the nanoseconds since the Unix epoch by the wall clock.
 pub fn wall_clock_ns() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// Request ids as hexadecimal text, as in their HTTP header.
+/// Serializes request ids as hexadecimal text, as in their HTTP header.
 mod hex_id {
     use model::RequestId;
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
--- a/crates/standins/src/journal/run.rs
+++ b/crates/standins/src/journal/run.rs
@@ -1,4 +1,4 @@
-//! What an upstream ran.
+//! Journal entries of upstreams.
 
 use model::RequestId;
 use serde::{Deserialize, Serialize};
@@ -8,10 +8,10 @@
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum RunEntry {
-    /// A request began to run. From here on it counts as run, whatever its end.
+    /// A request started to run. It counts as run from here on, however it ends.
     Started {
         at_ns: u64,
-        /// Numbers the runs of one upstream.
+        /// Sequence number of the run within one upstream process.
         run: u64,
         #[serde(with = "super::hex_id")]
         id: RequestId,
@@ -20,7 +20,7 @@
         /// The fence token as received: `TERM.SEQUENCE`.
         token: Option<String>,
     },
-    /// A run ended. Its effects fall between its start and this time.
+    /// A run ended. Its effects happened between its start and this time.
     Ended { at_ns: u64, run: u64, end: RunEnd },
     /// A request was refused before it ran.
     Refused {
@@ -30,9 +30,9 @@
         key: String,
         reason: RefusedReason,
     },
-    /// The process ends under a run.
+    /// The process is about to exit during a run.
     EndsUnder { at_ns: u64, run: u64 },
-    /// The upstream began to leave.
+    /// The upstream started to drain.
     Draining { at_ns: u64 },
 }
 
@@ -41,11 +41,11 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// To its end.
+    /// The run completed.
     Ran,
-    /// Broken off by a cancellation or a closed connection.
+    /// The run was aborted by a cancellation or a closed connection.
     Cancelled,
-    /// Broken off by its deadline.
+    /// The run was aborted at its deadline.
     DeadlineExceeded,
 }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the platform, upstreams and callers, for development only.
+//! Stand-ins for the platform, upstreams and callers, for development and tests only.
 //!
-//! They count the ground truth on their own: upstreams keep a journal of what ran, callers one of
-//! what they were told.
+//! They record the ground truth independently of agents: upstreams write a journal of the requests that ran,
+//! callers a journal of the answers that they received.
 
 pub mod caller;
 pub mod journal;
