--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory: its object API, and switches that break it.
+//! An in-memory platform with the object API and configurable faults.
 
 mod faults;
 mod server;
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP of the object API over the store.
+//! The HTTP server of the object API.
 
 use std::{
     net::SocketAddr,
@@ -37,9 +37,9 @@
 const EXPECTED_VERSION: HeaderName = HeaderName::from_static("if-object-version");
 const REVISION: HeaderName = HeaderName::from_static("x-revision");
 const ERA: HeaderName = HeaderName::from_static("x-store-era");
-/// The largest value of an object.
+/// Maximum size of an object's value.
 const BODY_MAX_BYTES: usize = 1 << 20;
-/// The longest that a watch waits.
+/// Maximum time for which a watch waits.
 const WATCH_MAX: Duration = Duration::from_secs(300);
 
 /// Flags of `standin-platform`.
@@ -48,11 +48,11 @@
 pub struct PlatformOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(help = "IP:PORT to listen at; port 0 takes a free one", default = "127.0.0.1:0")]
+    #[options(help = "IP:PORT to listen on; port 0 selects a free port", default = "127.0.0.1:0")]
     pub listen: String,
 }
 
-/// Serves until a signal ends the process.
+/// Runs the server until a signal ends the process.
 pub async fn run(options: PlatformOptions) -> anyhow::Result<()> {
     let address: SocketAddr = options.listen.parse()?;
     let (listener, bound) = bind(address).await?;
@@ -60,7 +60,7 @@
     serve(listener).await
 }
 
-/// Serves an empty store at a listener.
+/// Serves an empty store on a listener.
 pub(crate) async fn serve(listener: TcpListener) -> anyhow::Result<()> {
     let server = Arc::new(PlatformServer::new());
     let handler = {
@@ -74,7 +74,7 @@
         }
     };
     Server::new(Router::new().fallback(handler))
-        // Nothing has to outlive the process, so waiting watches are not waited for.
+        // The store is only in memory, so the process exits at once, without waiting for watches.
         .register_shutdown_hook(|| Box::pin(async { std::process::exit(0) }))
         .run(DefaultIncoming::from(listener))
         .await
@@ -83,7 +83,7 @@
 
 struct PlatformServer {
     state: Mutex<ServerState>,
-    /// The store's revision, for waiting watches.
+    /// The store's revision; a change wakes waiting watches.
     revision: watch::Sender<u64>,
     faults: watch::Sender<Faults>,
 }
@@ -99,7 +99,7 @@
     wait_ms: u64,
 }
 
-/// Counts a waiting watch for as long as it lives.
+/// Guard that counts a watch as waiting until it is dropped.
 struct WaitingWatchGuard<'a>(&'a PlatformServer);
 
 impl<'a> WaitingWatchGuard<'a> {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// A connection dropped on purpose never holds the lock, so a poisoned one is sound.
+    /// Locks the state. A poisoned lock is ignored: `close_connection` panics only while the lock is not held.
     fn state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -153,7 +153,7 @@
         self.apply_faults().await;
         let era = self.state().store.era();
         let response = self.object_call(path, method, &uri, &headers, body).await;
-        // An answer that was made before the store came back is of the era before.
+        // The era is read before the call: an answer made before a rollback belongs to the earlier era.
         if era == 0 { response } else { with_header(response, ERA, era) }
     }
 
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Takes over the fields that the body names and leaves the others.
+    /// Sets the faults that the body names and leaves the others unchanged.
     fn set_faults(&self, body: &[u8]) -> Response {
         let current = *self.faults.borrow();
         match merge_faults(current, body) {
             Ok(faults) => {
-                log::info!(target: "platform", "Faults are now {faults:?}.");
+                log::info!(target: "platform", "Faults were set to {faults:?}.");
                 self.faults.send_replace(faults);
                 json_response(&faults)
             }
@@ -255,7 +255,7 @@
         written
     }
 
-    /// Whether this update's answer is one of those to be lost.
+    /// Returns whether the answer to this update is to be lost, and counts down `lose_answers`.
     fn take_lost_answer(&self) -> bool {
         self.faults.send_if_modified(|it| {
             let lost = it.lose_answers > 0;
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Whether a watch of this era can go on from the revision.
+    /// Returns whether the store still has the changes after a revision of the given era. A rollback loses them.
     fn has_history(&self, era: u64, after: u64) -> bool {
         let state = self.state();
         state.store.era() == era && after <= state.store.revision()
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,10 +1,10 @@
-//! Objects with versions; one revision counter for the whole store.
+//! The object store: objects with versions, and one revision counter for the whole store.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// One entry of a list or watch; a deleted object has no body.
+/// An object in the answer to a list or watch. The body of a deleted object is `None`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize)]
 pub(crate) struct ObjectEntry {
@@ -13,7 +13,7 @@
     pub(crate) body: Option<String>,
 }
 
-/// The object has another version than the one expected.
+/// Error of a conditional write: the object's current version differs from the expected one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Conflict {
     pub(crate) current: u64,
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Store {
-    /// How often it has come back from an older copy.
+    /// Number of rollbacks to the snapshot.
     era: u64,
     current: Objects,
     snapshot: Objects,
@@ -33,7 +33,7 @@
     objects: BTreeMap<String, StoredObject>,
 }
 
-/// A deleted object is kept without its body, so that watches see the deletion.
+/// A stored object. A deleted object is kept without a body, so that watches report the deletion.
 #[derive(Debug, Clone)]
 struct StoredObject {
     version: u64,
@@ -49,12 +49,12 @@
         self.current.revision
     }
 
-    /// Keeps a copy of all that there is.
+    /// Saves a snapshot of all objects and the revision.
     pub(crate) fn take_snapshot(&mut self) {
         self.snapshot = self.current.clone();
     }
 
-    /// Comes back from the copy: what was written since is lost, and its revisions are given out again.
+    /// Rolls back to the snapshot. Later writes are lost, and their revisions are assigned again to new writes.
     pub(crate) fn restore_snapshot(&mut self) {
         self.current = self.snapshot.clone();
         self.era += 1;
@@ -65,8 +65,8 @@
         Some((stored.version, stored.body.clone()?))
     }
 
-    /// Writes a body, or deletes with `None`. `expected`: `None` for any version, 0 for "does not
-    /// exist". Returns the new version.
+    /// Writes a body, or deletes the object if `body` is `None`, and returns the new version. With `expected`, the
+    /// object must have this version; 0 means that it must not exist.
     pub(crate) fn write(
         &mut self,
         path: &str,
--- a/crates/standins/src/platform/tests.rs
+++ b/crates/standins/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the store's versions and of the API over a socket.
+//! Tests of the store, and of the API over a socket.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn updates_are_conditional() {
+fn a_write_with_another_expected_version_is_a_conflict() {
     let mut store = Store::default();
     let mut check = |expected, result| {
         assert_eq!(store.write("a/b", expected, Some("x".to_owned())), result);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_deletion_is_seen_by_watches_only() {
+fn watches_report_a_deletion_and_lists_omit_it() {
     let mut store = Store::default();
     store.write("a/b", None, Some("x".to_owned())).unwrap();
     store.write("a/b", Some(1), None).unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_store_that_comes_back_from_its_copy_gives_revisions_out_again() {
+fn revisions_are_assigned_again_after_a_rollback() {
     let mut store = Store::default();
     store.write("a/b", None, Some("x".to_owned())).unwrap();
     store.take_snapshot();
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_follows_an_update_that_took_effect() {
+async fn an_update_whose_answer_is_lost_is_applied() {
     let (address, client) = start().await;
     fault(&client, address, r#"{"lose_answers": 1}"#).await;
     assert_eq!(put(&client, address, 0, "x").await, None);
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_cuts_calls_and_ends() {
+async fn calls_fail_during_an_outage_and_succeed_after_it() {
     let (address, client) = start().await;
     fault(&client, address, r#"{"down": true}"#).await;
     assert_eq!(put(&client, address, 0, "x").await, None);
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_waits_for_a_change() {
+async fn a_waiting_watch_returns_the_next_change() {
     let (address, client) = start().await;
     let watch = tokio::spawn({
         let client = client.clone();
