--- a/crates/standins/src/upstream/announce.rs
+++ b/crates/standins/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements to the agent beside the upstream.
+//! Announces the upstream to the agent beside it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,7 +9,7 @@
 use super::state::{Upstream, UpstreamState};
 
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// While the agent has not heard of a change yet.
+/// Retry delay until the agent acknowledges a change, and interval of checks for the next change.
 const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_millis(50);
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -23,12 +23,12 @@
     clock_ms: u64,
 }
 
-/// Announces the upstream for ever, at once whenever its stage changes.
+/// Announces the upstream periodically, and at once when its state changes. Never returns.
 pub(crate) async fn announce(upstream: &Upstream, agent: SocketAddr, address: SocketAddr) {
     let client = match Client::builder().build() {
         Ok(client) => client,
         Err(error) => {
-            log::error!(target: "upstream", "No HTTP client: {error}.");
+            log::error!(target: "upstream", "Could not create an HTTP client, so the upstream is not announced: {error}.");
             return;
         }
     };
@@ -41,7 +41,7 @@
                 sleep(ANNOUNCE_RETRY_DELAY).await;
             }
         };
-        // Either the time or the change ends the wait.
+        // The wait ends after its time or with a change, so the result doesn't matter.
         let _ = timeout(wait, changed).await;
     }
 }
--- a/crates/standins/src/upstream/control.rs
+++ b/crates/standins/src/upstream/control.rs
@@ -1,4 +1,4 @@
-//! The control port: health, load, grants, preparation, cancellation and faults.
+//! Control calls: health, load, grants, preparation, cancellation and faults.
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
@@ -42,7 +42,7 @@
     request_id: String,
 }
 
-/// Answers a call of the control port; `None` if the path is not one.
+/// Handles a control call. Returns `None` if the path is not that of a control call.
 pub(crate) async fn handle_control_call(
     upstream: &Upstream,
     method: &Method,
@@ -81,13 +81,13 @@
     }
 }
 
-/// Tokens are checked where requests carry them; a grant alone changes nothing here.
+/// Accepts a grant without storing it: this upstream checks the tokens of requests against each other only.
 fn grant(body: &[u8]) -> Response {
     match serde_json::from_slice::<Grant>(body) {
         Ok(grant) if parse_token(&grant.token).is_some() => {
             log::debug!(
                 target: "upstream",
-                "Granted slot {} with token {} for {} ms.", grant.slot, grant.token, grant.until_ms
+                "Received the grant of slot {} with token {} until {} ms on the upstream's clock.", grant.slot, grant.token, grant.until_ms
             );
             text_response(StatusCode::OK, "")
         }
@@ -101,7 +101,7 @@
         return text_response(StatusCode::BAD_REQUEST, "prepare needs a slot");
     };
     sleep_until(upstream.ready_at()).await;
-    log::debug!(target: "upstream", "Prepared slot {}.", prepare.slot);
+    log::debug!(target: "upstream", "Slot {} is prepared.", prepare.slot);
     text_response(StatusCode::OK, "")
 }
 
--- a/crates/standins/src/upstream/execution.rs
+++ b/crates/standins/src/upstream/execution.rs
@@ -1,4 +1,4 @@
-//! One request: refused, or run in a slot until it ends, is cancelled or meets its deadline.
+//! Runs a request: it is refused, or runs in a slot until it completes, is cancelled or reaches its deadline.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,25 +21,25 @@
 const START_BEFORE: HeaderName = HeaderName::from_static("x-start-before-ms");
 const END_BEFORE: HeaderName = HeaderName::from_static("x-end-before-ms");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-/// How the process exits when a request has ended it.
+/// Exit code of the process after a request for the key of `--ends-on`, which simulates a crash.
 pub const CRASH_EXIT_CODE: i32 = 70;
-/// The deadline of a request that names none.
+/// Deadline of a request without the deadline header.
 const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
 
-/// What a request says of itself.
+/// A request, parsed from its path and headers.
 struct IncomingRequest {
     id: RequestId,
     key: String,
-    /// The last segment of the path.
+    /// Class of the request: the last segment of the path.
     class: String,
     token: Option<Token>,
     deadline: Instant,
-    /// None: no bound but the deadline.
+    /// Time before which the run must start; `None` if only the deadline applies.
     start_before: Option<Instant>,
     answer_bytes: usize,
 }
 
-/// A started run. Dropped before its end, which is what a closed connection does, it is cancelled.
+/// A started run. If it is dropped before its end, as when the connection is closed, it is recorded as cancelled.
 struct Run<'a> {
     upstream: &'a Upstream,
     id: RequestId,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Parses `TERM.SEQUENCE`.
+/// Parses a fence token in the form `TERM.SEQUENCE`.
 pub(crate) fn parse_token(text: &str) -> Option<Token> {
     let (term, sequence) = text.split_once('.')?;
     Some(Token { term: Term(term.parse().ok()?), sequence: sequence.parse().ok()? })
@@ -148,7 +148,7 @@
             self.upstream.record(&RunEntry::EndsUnder { at_ns: wall_clock_ns(), run: self.run });
             std::process::exit(CRASH_EXIT_CODE);
         }
-        // After a freeze nothing more takes effect, so the run ended at its deadline.
+        // A process that was frozen past the deadline has no effects after it, so the run ended at its deadline.
         let at_ns = match end {
             RunEnd::DeadlineExceeded => {
                 let until =
@@ -167,7 +167,8 @@
         with_header(response, KEY, &request.key)
     }
 
-    /// The deadline is looked at first: a process that was frozen past it does nothing more.
+    /// Waits until the run ends and returns how. The deadline has priority over completion: a process that was
+    /// frozen past the deadline must not complete the run.
     async fn run_until_end(&self, deadline: Instant) -> RunEnd {
         let done = Instant::now() + self.upstream.draw_service_time();
         let work = async {
--- a/crates/standins/src/upstream/mod.rs
+++ b/crates/standins/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! An upstream: slots, drain, cold start, shedding, cancellation, deadlines, fence tokens, health
-//! and load that may lag or lie, and a journal of what ran.
+//! A stand-in upstream with slots, drain, cold start, load shedding, cancellation, deadlines and fence tokens. Its
+//! reports of health and load can be delayed or false. A journal records the requests that ran.
 
 mod announce;
 mod control;
--- a/crates/standins/src/upstream/options.rs
+++ b/crates/standins/src/upstream/options.rs
@@ -10,40 +10,56 @@
 pub struct UpstreamOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(help = "IP:PORT to listen at; port 0 takes a free one", default = "127.0.0.1:0")]
+    #[options(help = "IP:PORT to listen on; port 0 selects a free port", default = "127.0.0.1:0")]
     pub listen: String,
-    #[options(help = "IP:PORT of the agent's caller port; empty: announce to nobody")]
+    #[options(help = "caller address of the agent, IP:PORT; empty: no announcements")]
     pub agent: String,
     #[options(help = "the service to announce")]
     pub service: String,
-    #[options(no_short, help = "requests run at once", default = "12")]
+    #[options(no_short, help = "maximum number of running requests", default = "12")]
     pub slots: u16,
-    #[options(no_short, help = "requests taken at once, waiting ones included", default = "120")]
+    #[options(
+        no_short,
+        help = "maximum number of accepted requests, queued ones included",
+        default = "120"
+    )]
     pub connections_max: usize,
-    #[options(no_short, help = "mean time to run a request", default = "5")]
+    #[options(no_short, help = "mean run time of a request", default = "5")]
     pub service_ms: f64,
-    #[options(no_short, help = "time from the start until it is ready", default = "0")]
+    #[options(no_short, help = "time from the start until the upstream is ready", default = "0")]
     pub warmup_ms: u64,
-    #[options(no_short, help = "checked or unchecked", default = "unchecked")]
+    #[options(
+        no_short,
+        help = "whether fence tokens are checked: checked or unchecked",
+        default = "unchecked"
+    )]
     pub fence: String,
-    #[options(no_short, help = "refuse when this many run or wait", default = "100")]
+    #[options(
+        no_short,
+        help = "refuse requests above this number of accepted ones",
+        default = "100"
+    )]
     pub shed_above: usize,
-    #[options(no_short, help = "age that health and load may have", default = "0")]
+    #[options(no_short, help = "maximum age of reported health and load", default = "0")]
     pub health_lag_ms: u64,
-    #[options(no_short, help = "time it stays open after it began to leave", default = "3000")]
+    #[options(
+        no_short,
+        help = "time for which a draining upstream accepts requests",
+        default = "3000"
+    )]
     pub drain_ms: u64,
-    #[options(no_short, help = "seed of its service times", default = "1")]
+    #[options(no_short, help = "seed of the random run times", default = "1")]
     pub seed: u64,
     #[options(
         no_short,
-        help = "the process ends when it runs a request for this key; empty: none"
+        help = "exit during a request for this key, to simulate a crash; empty: never"
     )]
     pub ends_on: String,
-    #[options(no_short, help = "file of the journal; empty: none")]
+    #[options(no_short, help = "journal file; empty: no journal")]
     pub journal: String,
 }
 
-/// The flags, checked.
+/// The parsed flags.
 #[derive(Debug, Clone)]
 pub(crate) struct Config {
     pub(crate) listen: SocketAddr,
@@ -58,7 +74,7 @@
     pub(crate) health_lag: Duration,
     pub(crate) drain: Duration,
     pub(crate) seed: u64,
-    /// None: no request ends it.
+    /// Key whose requests end the process; `None` if no key does.
     pub(crate) ends_on: Option<String>,
     pub(crate) journal: String,
 }
@@ -69,17 +85,17 @@
     fn try_from(options: UpstreamOptions) -> anyhow::Result<Config> {
         let agent = match options.agent.as_str() {
             "" => None,
-            text => Some(text.parse().context("--agent is IP:PORT")?),
+            text => Some(text.parse().context("invalid --agent, expected IP:PORT")?),
         };
         let checks_fence = match options.fence.as_str() {
             "checked" => true,
             "unchecked" => false,
-            other => anyhow::bail!("--fence is checked or unchecked, not {other:?}"),
+            other => anyhow::bail!("invalid --fence {other:?}, expected checked or unchecked"),
         };
         let service_time = Duration::try_from_secs_f64(options.service_ms / 1e3)
-            .context("--service-ms is a time")?;
+            .context("invalid --service-ms, expected a number of milliseconds")?;
         Ok(Config {
-            listen: options.listen.parse().context("--listen is IP:PORT")?,
+            listen: options.listen.parse().context("invalid --listen, expected IP:PORT")?,
             agent,
             service: options.service,
             slots: options.slots,
--- a/crates/standins/src/upstream/server.rs
+++ b/crates/standins/src/upstream/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of an upstream and its graceful stop.
+//! The HTTP server of the upstream and its graceful shutdown.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,11 +21,11 @@
 use crate::http::{bind, print_address, text_response};
 
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// For the last answers to leave the process.
+/// Delay before the process exits, so that the last answers are sent.
 const EXIT_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves until a signal ends the process: announces that it leaves, stays open for a while,
-/// finishes what is in flight and exits.
+/// Runs the upstream until a signal ends the process. On the signal the upstream announces that it is draining,
+/// accepts requests for the drain time, completes requests in flight and exits.
 pub async fn run(options: UpstreamOptions) -> anyhow::Result<()> {
     let config = Config::try_from(options)?;
     let (listener, address) = bind(config.listen).await?;
--- a/crates/standins/src/upstream/state.rs
+++ b/crates/standins/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! What an upstream knows of itself.
+//! State of the upstream that all requests and control calls share.
 
 use std::{
     collections::HashMap,
@@ -21,10 +21,10 @@
 use super::options::Config;
 use crate::journal::{JournalWriter, RunEntry, wall_clock_ns};
 
-/// Service times lie between half and one and a half times their mean.
+/// Range of random factors by which the mean service time is multiplied.
 const SERVICE_TIME_FACTORS: std::ops::Range<f64> = 0.5..1.5;
 
-/// What `GET /control/health` and the announcements say.
+/// State of the upstream as reported by `GET /control/health` and in announcements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -34,20 +34,20 @@
     Draining,
 }
 
-/// `POST /admin/fault`: each call replaces all of it.
+/// Body of `POST /admin/fault`. Each call replaces all faults.
 #[derive(Debug, Clone, Copy, Default)]
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct FaultRequest {
-    /// Nothing goes on for this long: no answers, no health, no progress.
+    /// Time for which the upstream is frozen: no answers, no health and no progress of requests.
     pub(crate) freeze_ms: u64,
-    /// Refuse every request.
+    /// Whether every request is refused.
     pub(crate) shed: bool,
-    /// Claim to be ready and idle.
+    /// Whether the upstream always reports to be ready and idle.
     pub(crate) lie: bool,
 }
 
-/// Health and load as last measured.
+/// Health and load at the time of a measurement.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Report {
     at: Instant,
@@ -56,13 +56,13 @@
     pub(crate) queued: usize,
 }
 
-/// State shared by all calls.
+/// An upstream; shared by all requests and control calls.
 pub(crate) struct Upstream {
     pub(crate) config: Config,
     pub(crate) slots: Semaphore,
     pub(crate) journal: JournalWriter,
     started: Instant,
-    /// Requests taken and not answered, those that wait for a slot included.
+    /// Number of accepted requests without an answer, including those that wait for a slot.
     accepted_count: AtomicUsize,
     inner: Mutex<Inner>,
 }
@@ -76,11 +76,11 @@
     lie: bool,
     report: Option<Report>,
     running: HashMap<RequestId, Arc<Notify>>,
-    /// The highest token seen for each key.
+    /// Highest token received for each key.
     fences: HashMap<String, Token>,
 }
 
-/// Counts a request as taken for as long as it lives.
+/// Guard that counts a request as accepted until it is dropped.
 pub(crate) struct AcceptedGuard<'a>(&'a Upstream);
 
 impl Drop for AcceptedGuard<'_> {
@@ -113,25 +113,25 @@
         })
     }
 
-    /// What its monotonic clock shows, in milliseconds from its start.
+    /// Returns the time of the upstream's monotonic clock in milliseconds since its start.
     pub(crate) fn clock_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// A point on that clock.
+    /// Converts a time of the upstream's clock to an instant.
     pub(crate) fn instant_at(&self, clock_ms: u64) -> Instant {
         self.started + Duration::from_millis(clock_ms)
     }
 
-    /// No holder panics half-way through a change, so a poisoned lock is sound.
+    /// Locks the inner state. A poisoned lock is ignored, because no holder panics in the middle of a change.
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes to the journal. Without it there is no ground truth, so a failure ends the process.
+    /// Writes an entry to the journal. Exits the process on failure, since the ground truth would be incomplete.
     pub(crate) fn record(&self, entry: &RunEntry) {
         if let Err(error) = self.journal.append(entry) {
-            log::error!(target: "upstream", "The journal failed: {error:#}.");
+            log::error!(target: "upstream", "Writing to the journal failed, exiting: {error:#}.");
             std::process::exit(1);
         }
     }
@@ -148,13 +148,13 @@
         self.started + self.config.warmup
     }
 
-    /// Begins to leave.
+    /// Starts to drain: reports the state `Draining` and still accepts requests for the drain time.
     pub(crate) fn start_drain(&self) {
         self.inner().draining_since.get_or_insert_with(Instant::now);
         self.record(&RunEntry::Draining { at_ns: wall_clock_ns() });
     }
 
-    /// Whether it has been leaving for so long that it takes no new work.
+    /// Returns whether the drain time is over, so that new requests are refused.
     pub(crate) fn is_closed(&self) -> bool {
         self.inner().draining_since.is_some_and(|it| it.elapsed() >= self.config.drain)
     }
@@ -179,7 +179,7 @@
         inner.lie = request.lie;
     }
 
-    /// Waits while frozen.
+    /// Waits until the freeze is over, if the upstream is frozen.
     pub(crate) async fn wait_while_frozen(&self) {
         let until = self.inner().frozen_until;
         if until > Instant::now() {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Health and load, at most `health_lag` old, or a lie.
+    /// Returns health and load, at most `health_lag` old, or a false report if that fault is set.
     pub(crate) fn report(&self) -> Report {
         let fresh = self.measure();
         let mut inner = self.inner();
@@ -211,7 +211,7 @@
         self.config.service_time.mul_f64(factor)
     }
 
-    /// Numbers a new run and lets it be cancelled by its id.
+    /// Registers a run. Returns its number and the signal by which `cancel` ends it.
     pub(crate) fn register_run(&self, id: RequestId) -> (u64, Arc<Notify>) {
         let mut inner = self.inner();
         inner.run_count += 1;
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Raises the key's fence; false if the token is below it.
+    /// Raises the fence of the key to the token. Returns false if the token is below the fence.
     pub(crate) fn passes_fence(&self, key: &str, token: Token) -> bool {
         if !self.config.checks_fence {
             return true;
--- a/crates/standins/src/upstream/tests.rs
+++ b/crates/standins/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what an upstream refuses, runs and writes down.
+//! Tests of the requests that an upstream refuses, runs and records.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc};
 
@@ -64,7 +64,7 @@
         assert_eq!(request.send().await.unwrap().status(), StatusCode::OK);
     }
 
-    /// The journal without its times.
+    /// Compares the journal, without its times, to the expected entries.
     fn check_journal(&self, expected: &[&str]) {
         let entries: Vec<RunEntry> = read_journal(&self.journal).unwrap();
         let actual: Vec<String> = entries.iter().map(render).collect();
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_its_own_and_whole() {
+async fn an_answer_of_another_request_or_a_truncated_one_is_detected() {
     let fixture = Fixture::start("answer", "--service-ms 0").await;
     let (status, body) = fixture.call(10, &[("x-answer-bytes", "70000")]).await;
     assert_eq!(status, StatusCode::OK);
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn what_is_refused_does_not_run() {
+async fn fenced_and_shed_requests_do_not_run() {
     let fixture = Fixture::start("refused", "--service-ms 0 --fence checked").await;
     fixture.call(1, &[("x-fence-token", "2.1")]).await;
     let (status, _) = fixture.call(2, &[("x-fence-token", "1.9")]).await;
@@ -123,8 +123,8 @@
 }
 
 #[tokio::test]
-async fn what_is_read_after_its_bounds_does_not_run() {
-    // As after a freeze: the remaining time begins when the request is read, the bounds do not.
+async fn a_request_read_after_its_time_bounds_does_not_run() {
+    // After a freeze, x-deadline-ms still counts from reading the request, but the bounds are absolute times.
     let fixture = Fixture::start("bounds", "--service-ms 0").await;
     let far = "3600000";
     let bounds = [("x-start-before-ms", "0"), ("x-end-before-ms", far), ("x-deadline-ms", far)];
