--- a/crates/standins/src/caller/attempt.rs
+++ b/crates/standins/src/caller/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request.
+//! One attempt to send a request.
 
 use std::{error::Error, io, net::SocketAddr, time::Duration};
 
@@ -24,13 +24,13 @@
 const RETRY_AFTER: &str = "retry-after";
 const RETRY_AFTER_MS: &str = "retry-after-ms";
 
-/// An HTTP client that keeps its connections to agents.
+/// An HTTP client that reuses its connections.
 #[derive(Clone)]
 pub struct AgentClient {
     client: Client,
 }
 
-/// How a sending ended, and when the agent wants to see the request again.
+/// Result of an attempt, and the delay after which the agent asks for a retry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AttemptEnd {
     pub(crate) result: AttemptResult,
@@ -45,7 +45,8 @@
         Ok(AgentClient { client })
     }
 
-    /// Sends a request once. `age` is the time since its first sending, if this is not the first.
+    /// Sends a request once. `age` is the time since the first attempt that may have run; `None` if no earlier
+    /// attempt may have run.
     pub(crate) async fn send_attempt(
         &self,
         target: SocketAddr,
@@ -88,15 +89,15 @@
     }
 }
 
-/// Whether no connection was made, or it ended before anything was written to it: then nothing was
-/// sent, and nothing was cut off.
+/// Returns whether nothing of the request was sent: no connection was opened, or it was closed before the client
+/// wrote to it.
 fn was_not_sent(error: &(dyn Error + 'static)) -> bool {
     let mut next = Some(error);
     while let Some(error) = next {
         let refused = error
             .downcast_ref::<io::Error>()
             .is_some_and(|it| it.kind() == io::ErrorKind::ConnectionRefused);
-        // hyper's word for a request that it never began to write.
+        // hyper marks a request as canceled if it never started to write it.
         let unwritten = error.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_canceled);
         if refused || unwritten {
             return true;
@@ -126,8 +127,8 @@
     AttemptEnd { result, retry_after }
 }
 
-/// What an answer means. One that tells of a failure in the service is checked as well; the request
-/// may have run in part.
+/// Returns the result for an answer. The body of an answer with an error status is checked as well; its request
+/// may have run partly, so the result is `Unknown`.
 pub(crate) fn classify(
     status: StatusCode,
     outcome: Option<&str>,
--- a/crates/standins/src/caller/call.rs
+++ b/crates/standins/src/caller/call.rs
@@ -1,4 +1,4 @@
-//! One request with all its sendings.
+//! A request with all its attempts.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
 use super::{AgentClient, attempt::AttemptEnd};
 use crate::journal::{Attempt, AttemptResult, CallRecord, FinalOutcome, wall_clock_ns};
 
-/// A request as a caller means it.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
     pub id: RequestId,
@@ -23,32 +23,32 @@
     pub key: String,
     pub class: String,
     pub idempotent: bool,
-    /// How long one sending may take.
+    /// Deadline of each attempt, relative to its start.
     pub deadline: Duration,
-    /// Filler that the answer is to hold.
+    /// Number of filler bytes requested in the answer.
     pub answer_bytes: usize,
     pub body: Bytes,
 }
 
-/// What callers talk to.
+/// The kind of server that a caller sends to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetKind {
-    /// Whose answers carry an outcome.
+    /// An agent, whose answers have an outcome header.
     Agent,
-    /// An upstream without an agent in between, to compare with.
+    /// An upstream, called directly to compare it with calls through an agent.
     Upstream,
 }
 
-/// How callers go about a request that did not succeed.
+/// Timeouts and retries of a caller.
 #[derive(Debug, Clone)]
 pub struct CallPolicy {
-    /// Time from the first sending after which a caller gives up.
+    /// Time from the first attempt after which a request is not sent again.
     pub call_timeout: Duration,
-    /// Beyond the deadline, the longest that a caller waits for the end of one sending.
+    /// Time that a caller waits for an answer beyond the deadline of an attempt.
     pub attempt_margin: Duration,
-    /// Time until the next sending where the agent names none.
+    /// Minimum delay before the next attempt if the agent names none. The delay is random, up to twice this time.
     pub resend_delay: Duration,
-    /// Whether anything is sent more than once.
+    /// Whether a request may be sent more than once.
     pub is_resend_enabled: bool,
     pub target_kind: TargetKind,
 }
@@ -65,25 +65,26 @@
     }
 }
 
-/// A caller that knows the addresses of some agents.
+/// A caller with the addresses of its targets.
 pub struct Caller {
     pub client: AgentClient,
     pub targets: Vec<SocketAddr>,
     pub policy: CallPolicy,
 }
 
-/// What a caller does after a sending.
+/// The next step of a caller after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NextStep {
     Done,
-    /// Send again through the same agent.
+    /// Send again to the same target.
     SameTarget,
-    /// Send again through another one.
+    /// Send again to the next target.
     NextTarget,
 }
 
 impl Caller {
-    /// Sends a request until its end is known or patience runs out.
+    /// Sends a request until its outcome is final or the call times out. The first attempt goes to the target with
+    /// index `first_target`.
     pub async fn call(&self, request: &CallRequest, first_target: usize) -> CallRecord {
         let mut rng = Pcg64Mcg::seed_from_u64(request.id.0 as u64);
         let first_sent = Instant::now();
@@ -100,7 +101,7 @@
                 .send_attempt(address, request, age, attempt_timeout, self.policy.target_kind)
                 .await;
             let next = match (&result, retry_after) {
-                // The agent asks for the same id again: it may have the first answer then.
+                // The agent asks for a retry with the same id, as it may have the answer of the first attempt by then.
                 (AttemptResult::Unknown { .. }, Some(_)) => NextStep::SameTarget,
                 _ => next_step(&result, request.idempotent),
             };
@@ -140,8 +141,8 @@
     }
 }
 
-/// The same id makes it safe to ask again after a lost connection; an unknown end of a request that
-/// may not be repeated is left to people.
+/// Returns the next step after an attempt. A retry after a lost connection is safe because it has the same request
+/// id. An unknown outcome of a non-idempotent request is final and left to operators.
 pub(crate) fn next_step(result: &AttemptResult, idempotent: bool) -> NextStep {
     match result {
         AttemptResult::Answered | AttemptResult::Crossed => NextStep::Done,
@@ -157,8 +158,8 @@
     }
 }
 
-/// When the first sending was sent that may have run. Those before it provably did not, so that the
-/// next one counts as a first sending.
+/// Returns the time of the first attempt that may have run. Attempts before it provably did not run, so the age of
+/// the request doesn't count from them.
 pub(crate) fn first_possible_run_ns(attempts: &[Attempt]) -> Option<u64> {
     attempts.iter().find(|it| !has_not_run(it)).map(|it| it.sent_ns)
 }
@@ -167,7 +168,7 @@
     matches!(attempt.result, AttemptResult::NotRun { .. } | AttemptResult::NotConnected)
 }
 
-/// What the caller holds to be true in the end.
+/// Returns the outcome of a request from the results of its attempts.
 pub(crate) fn final_outcome(attempts: &[Attempt]) -> FinalOutcome {
     match attempts.last().map(|it| &it.result) {
         Some(AttemptResult::Answered | AttemptResult::Crossed) => FinalOutcome::Answered,
--- a/crates/standins/src/caller/load.rs
+++ b/crates/standins/src/caller/load.rs
@@ -1,4 +1,4 @@
-//! Many callers that start at the same instant.
+//! Generates load by many callers that start at the same instant.
 
 use std::{
     net::SocketAddr,
@@ -19,16 +19,16 @@
 use super::{AgentClient, CallPolicy, CallRequest, Caller, WeightedRoute};
 use crate::journal::{CallRecord, JournalWriter};
 
-/// How fast callers send.
+/// The rate at which callers send requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SendMode {
-    /// Each caller sends its next request once the former has ended.
+    /// Each caller sends its next request when its previous request has ended.
     ClosedLoop,
-    /// All callers together send at this rate, whatever the answers.
+    /// All callers together send at this rate, without waiting for answers.
     FixedRate { requests_per_s: f64 },
 }
 
-/// A load on one service.
+/// Parameters of a load on one service.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub service: String,
@@ -38,20 +38,20 @@
     pub duration: Duration,
     pub routes: Vec<WeightedRoute>,
     pub keys: Vec<String>,
-    /// Share of the requests that goes to the first key.
+    /// Share of the requests that are for the first key.
     pub hot_share: f64,
     pub answer_bytes: usize,
     pub deadline: Duration,
     pub policy: CallPolicy,
     pub seed: u64,
-    /// File of the journal; empty: none.
+    /// Path of the journal; empty for no journal.
     pub journal: String,
 }
 
-/// What became of a load.
+/// Result of a load.
 #[derive(Debug, Clone, Default)]
 pub struct LoadReport {
-    /// In the order of their ends.
+    /// The requests in the order in which they ended.
     pub records: Vec<CallRecord>,
 }
 
@@ -61,10 +61,13 @@
     records: Mutex<Vec<CallRecord>>,
 }
 
-/// Runs a load from an instant on and waits for its last request.
+/// Runs a load that begins at `start`, and waits until its last request has ended.
 pub async fn run_load(load: Load, start: Instant) -> anyhow::Result<LoadReport> {
-    anyhow::ensure!(!load.targets.is_empty(), "a load needs an agent to call");
-    anyhow::ensure!(!load.keys.is_empty() && !load.routes.is_empty(), "a load needs keys, routes");
+    anyhow::ensure!(!load.targets.is_empty(), "the load has no targets");
+    anyhow::ensure!(
+        !load.keys.is_empty() && !load.routes.is_empty(),
+        "the load has no keys or no routes"
+    );
     let run = Arc::new(LoadRun {
         journal: JournalWriter::open(&load.journal)?,
         records: Mutex::default(),
@@ -75,7 +78,7 @@
         callers.spawn(run_caller(Arc::clone(&run), index, start));
     }
     while let Some(ended) = callers.join_next().await {
-        ended.context("a caller broke off")??;
+        ended.context("a caller task failed")??;
     }
     let records = std::mem::take(&mut *run.lock_records());
     Ok(LoadReport { records })
@@ -83,7 +86,7 @@
 
 async fn run_caller(run: Arc<LoadRun>, index: usize, start: Instant) -> anyhow::Result<()> {
     let load = &run.load;
-    // Callers are apart from each other, so each has connections of its own.
+    // Each caller has its own client and connections, like a separate process.
     let caller = Arc::new(Caller {
         client: AgentClient::new()?,
         targets: load.targets.clone(),
@@ -101,7 +104,7 @@
         }
         SendMode::FixedRate { requests_per_s } => {
             let interval = Duration::from_secs_f64(load.callers as f64 / requests_per_s);
-            // Callers are spread over one interval; the first requests come at once.
+            // The callers' first requests are spread evenly over one interval.
             let offset = interval.mul_f64(index as f64 / load.callers as f64);
             let mut due = start + offset;
             let mut calls = JoinSet::new();
@@ -112,11 +115,11 @@
                 calls.spawn(async move { run.send(&caller, request, index).await });
                 due += interval;
                 while let Some(ended) = calls.try_join_next() {
-                    ended.context("a call broke off")??;
+                    ended.context("a call task failed")??;
                 }
             }
             while let Some(ended) = calls.join_next().await {
-                ended.context("a call broke off")??;
+                ended.context("a call task failed")??;
             }
         }
     }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Routes are drawn in proportion to their shares.
+    /// Draws a route with a probability proportional to its share.
     fn draw_route(&self, rng: &mut Pcg64Mcg) -> &WeightedRoute {
         let total: f64 = self.routes.iter().map(|it| it.share).sum();
         let mut rest = rng.random_range(0.0..1.0) * total;
--- a/crates/standins/src/caller/mod.rs
+++ b/crates/standins/src/caller/mod.rs
@@ -1,5 +1,5 @@
-//! Callers: many at one instant, each request with an id of its own, resent with the same id until
-//! its end is known; every answer is checked.
+//! Stand-in callers. Each request has a unique id and is sent again with the same id until its outcome is final.
+//! Every answer is checked.
 
 mod attempt;
 mod call;
--- a/crates/standins/src/caller/options.rs
+++ b/crates/standins/src/caller/options.rs
@@ -8,19 +8,19 @@
 
 use super::{CallPolicy, Load, LoadSummary, SendMode, TargetKind, run_load};
 
-/// One kind of request within a load.
+/// A kind of request within a load, and its share.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedRoute {
     pub method: Method,
-    /// `/SERVICE/...`, with `{key}` where the key stands.
+    /// `/SERVICE/...`, with `{key}` as the placeholder of the key.
     pub path: String,
     pub idempotent: bool,
-    /// Share among the routes of the load; they need not add up to one.
+    /// Weight among the routes of the load; the weights need not add up to one.
     pub share: f64,
 }
 
 impl WeightedRoute {
-    /// The last segment of the path.
+    /// Returns the class of the requests: the last segment of the path.
     pub fn class(&self) -> &str {
         self.path.rsplit('/').next().unwrap_or_default()
     }
@@ -33,18 +33,18 @@
     fn from_str(text: &str) -> anyhow::Result<WeightedRoute> {
         let parts: Vec<&str> = text.split(':').collect();
         let [method, path, repeat, share] = parts[..] else {
-            anyhow::bail!("a route is METHOD:PATH:repeat|once:SHARE, not {text:?}");
+            anyhow::bail!("invalid route {text:?}, expected METHOD:PATH:repeat|once:SHARE");
         };
         let idempotent = match repeat {
             "repeat" => true,
             "once" => false,
-            other => anyhow::bail!("a request is sent repeat or once, not {other:?}"),
+            other => anyhow::bail!("invalid part {other:?} of a route, expected repeat or once"),
         };
         Ok(WeightedRoute {
-            method: method.parse().context("the method of a route")?,
+            method: method.parse().context("parsing the method of a route")?,
             path: path.to_owned(),
             idempotent,
-            share: share.parse().context("the share of a route")?,
+            share: share.parse().context("parsing the share of a route")?,
         })
     }
 }
@@ -55,35 +55,35 @@
 pub struct CallerOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(help = "caller addresses of agents, IP:PORT,IP:PORT", required)]
+    #[options(help = "caller addresses of agents: IP:PORT,IP:PORT", required)]
     pub targets: String,
     #[options(help = "the service to call", required)]
     pub service: String,
-    #[options(help = "METHOD:PATH:repeat|once:SHARE, may be given again", required)]
+    #[options(help = "METHOD:PATH:repeat|once:SHARE; can be given several times", required)]
     pub route: Vec<WeightedRoute>,
-    #[options(no_short, help = "callers that start at once", default = "100")]
+    #[options(no_short, help = "number of callers; all start at the same time", default = "100")]
     pub callers: usize,
-    #[options(no_short, help = "total rate; 0: each waits for its answer", default = "0")]
+    #[options(no_short, help = "total rate; 0: each caller waits for its answer", default = "0")]
     pub requests_per_s: f64,
-    #[options(no_short, help = "how long they send", default = "10000")]
+    #[options(no_short, help = "time for which callers send requests", default = "10000")]
     pub duration_ms: u64,
     #[options(no_short, help = "number of keys", default = "100")]
     pub keys: usize,
-    #[options(no_short, help = "share of requests on the first key", default = "0")]
+    #[options(no_short, help = "share of the requests for the first key", default = "0")]
     pub hot_share: f64,
-    #[options(no_short, help = "filler in each answer", default = "64")]
+    #[options(no_short, help = "filler bytes in each answer", default = "64")]
     pub answer_bytes: usize,
-    #[options(no_short, help = "time for one sending", default = "1000")]
+    #[options(no_short, help = "deadline of each attempt", default = "1000")]
     pub deadline_ms: u64,
-    #[options(no_short, help = "time until a caller gives up", default = "10000")]
+    #[options(no_short, help = "time after which a request is not sent again", default = "10000")]
     pub patience_ms: u64,
-    #[options(no_short, help = "send each request once")]
+    #[options(no_short, help = "send each request only once")]
     pub no_resend: bool,
-    #[options(no_short, help = "the targets are upstreams")]
+    #[options(no_short, help = "the targets are upstreams, called without agents")]
     pub direct: bool,
-    #[options(no_short, help = "seed of keys, routes and ids", default = "1")]
+    #[options(no_short, help = "seed of random keys, routes and ids", default = "1")]
     pub seed: u64,
-    #[options(no_short, help = "file of the journal; empty: none")]
+    #[options(no_short, help = "journal file; empty: no journal")]
     pub journal: String,
 }
 
@@ -91,7 +91,7 @@
     type Error = anyhow::Error;
 
     fn try_from(options: CallerOptions) -> anyhow::Result<Load> {
-        let targets = options.targets.split(',').map(|it| it.parse().context("--targets"));
+        let targets = options.targets.split(',').map(|it| it.parse().context("parsing --targets"));
         let send_mode = match options.requests_per_s {
             rate if rate > 0.0 => SendMode::FixedRate { requests_per_s: rate },
             _ => SendMode::ClosedLoop,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Runs the load and tells how many requests came to which end.
+/// Runs the load and returns its summary.
 pub async fn run(options: CallerOptions) -> anyhow::Result<LoadSummary> {
     let report = run_load(Load::try_from(options)?, Instant::now()).await?;
     LoadSummary::new(&report.records)
--- a/crates/standins/src/caller/summary.rs
+++ b/crates/standins/src/caller/summary.rs
@@ -1,31 +1,32 @@
-//! What a load comes to, in figures.
+//! Summary of a load: counts by outcome, and latencies.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 use crate::journal::{AttemptResult, CallRecord, FinalOutcome};
 
-/// The longest time that is told apart.
+/// Upper bound of the histogram; longer latencies count as this one.
 const LATENCY_MAX_US: u64 = 60_000_000;
 
-/// Counts of the ends of requests, and how long the answered ones took.
+/// Number of requests by outcome, and latencies of the answered ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadSummary {
     pub requests: usize,
+    /// Number of attempts of all requests.
     pub sendings: usize,
     pub answered: usize,
     pub not_run: usize,
     pub unknown: usize,
     pub lost: usize,
-    /// Answers that belonged to another request or were not whole.
+    /// Number of requests with an answer that belonged to another request or was truncated or corrupt.
     pub wrong_answers: usize,
-    /// From the first sending to the last end.
+    /// Time from the first attempt of all requests to the end of the last one.
     pub elapsed_ms: u64,
     pub latency: Latency,
 }
 
-/// From the first sending to the answer.
+/// Percentiles of the time from the first attempt of a request to its answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Latency {
@@ -37,7 +38,7 @@
 }
 
 impl LoadSummary {
-    /// Counts the requests of a load.
+    /// Summarizes the requests of a load.
     pub fn new(records: &[CallRecord]) -> anyhow::Result<LoadSummary> {
         let count = |outcome| records.iter().filter(|it| it.outcome == outcome).count();
         let mut latencies = Histogram::<u64>::new_with_bounds(1, LATENCY_MAX_US, 3)?;
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Answered requests a second, over the whole time.
+    /// Returns the mean number of answered requests per second of the elapsed time.
     pub fn answered_per_s(&self) -> f64 {
         match self.elapsed_ms {
             0 => 0.0,
--- a/crates/standins/src/caller/tests.rs
+++ b/crates/standins/src/caller/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what callers make of the ends of their sendings.
+//! Tests of results of attempts, the steps that follow them, and outcomes of requests.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     AttemptResult::Unknown { reason: "no-record".to_owned() }
 }
 
-/// Sendings at 0, 1, 2, ... ns.
+/// Returns attempts with these results, sent at 0, 1, 2, ... ns.
 fn attempts(results: &[AttemptResult]) -> Vec<Attempt> {
     let attempt = |(at_ns, result): (usize, &AttemptResult)| Attempt {
         target: "127.0.0.1:1".parse().unwrap(),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_sending_that_did_not_run_leaves_the_next_one_the_first() {
+fn the_age_counts_from_the_first_attempt_that_may_have_run() {
     let check = |results: &[AttemptResult], expected| {
         assert_eq!(first_possible_run_ns(&attempts(results)), expected, "{results:?}");
     };
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_sent_again() {
+fn the_next_step_depends_on_the_result_and_idempotency() {
     let check = |result: AttemptResult, idempotent, expected| {
         assert_eq!(next_step(&result, idempotent), expected, "{result:?}");
     };
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_a_caller_holds_to_be_true() {
+fn the_outcome_follows_from_the_results_of_all_attempts() {
     let check = |results: &[AttemptResult], expected| {
         assert_eq!(final_outcome(&attempts(results)), expected, "{results:?}");
     };
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn answers_are_checked_whatever_their_status() {
+fn answers_with_any_status_are_checked() {
     let request = CallRequest {
         id: RequestId(7),
         method: Method::GET,
