--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -10,9 +10,8 @@
 
 /// Binds a listener and returns it with its address; port 0 selects a free port.
 pub async fn bind(address: SocketAddr) -> anyhow::Result<(TcpListener, SocketAddr)> {
-    let listener = TcpListener::bind(address)
-        .await
-        .with_context(|| format!("listening on {address}"))?;
+    let listener =
+        TcpListener::bind(address).await.with_context(|| format!("listening on {address}"))?;
     let bound = listener.local_addr().context("reading the address of the listener")?;
     Ok((listener, bound))
 }
--- a/crates/standins/src/upstream/control.rs
+++ b/crates/standins/src/upstream/control.rs
@@ -87,7 +87,7 @@
         Ok(grant) if parse_token(&grant.token).is_some() => {
             log::debug!(
                 target: "upstream",
-                "Received the grant of slot {} with token {} until {} ms on the upstream's clock.", grant.slot, grant.token, grant.until_ms
+                "Received the grant of slot {} with token {} for {} ms.", grant.slot, grant.token, grant.until_ms
             );
             text_response(StatusCode::OK, "")
         }
