--- a/xtask/src/cluster/instance.rs
+++ b/xtask/src/cluster/instance.rs
@@ -1,4 +1,4 @@
-//! An instance: an upstream with the agent beside it.
+//! An instance: the processes of an upstream and of its agent.
 
 use std::{
     net::SocketAddr,
@@ -14,15 +14,15 @@
     upstream::CRASH_EXIT_CODE,
 };
 
-use super::{Binaries, Ports, Process, RunDir, Service};
-use crate::demo::evidence::{PlannedStop, SickIngress, UpstreamJournal, Window};
+use super::{Binaries, PortAllocator, Process, RunDir, Service};
+use crate::demo::evidence::{IngressOutage, PlannedStop, UpstreamJournal, Window};
 
-/// Shared by all agents of a run; what it is does not matter on loopback.
+/// Link key of all agents of a run; it needs no secrecy on loopback.
 const LINK_KEY: &str = "a key for loopback only";
-/// How long a graceful stop may take.
+/// Longest time that a process may take to exit after a signal.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An instance, planned or running.
+/// Instance with its addresses, and with its processes once they are started.
 #[derive(Debug)]
 pub(crate) struct Instance {
     pub(crate) name: String,
@@ -37,39 +37,39 @@
     upstream_flags: Vec<String>,
     agent: Option<Process>,
     upstream: Option<Process>,
-    gone_ns: Option<u64>,
+    exited_ns: Option<u64>,
     frozen: Vec<Window>,
-    /// Counts the lives of the upstream; each writes a journal of its own.
-    life: u32,
-    past: Vec<PastLife>,
+    /// Number of the upstream's current incarnation, from 1; each incarnation writes its own journal.
+    incarnation: u32,
+    past_incarnations: Vec<PastIncarnation>,
 }
 
-/// What an instance is started with.
+/// Parameters for the start of an instance's processes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct StartWith<'a> {
+pub(crate) struct StartContext<'a> {
     pub(crate) binaries: &'a Binaries,
     pub(crate) dir: &'a RunDir,
-    /// Where it reaches the platform.
+    /// Address at which the agent calls the platform, possibly that of a proxy.
     pub(crate) platform: SocketAddr,
     /// Control addresses of the instances of its service.
     pub(crate) peers: &'a [SocketAddr],
     pub(crate) seed: u64,
 }
 
-/// A life of an upstream that has ended, with its journal.
+/// Incarnation of an upstream that has exited.
 #[derive(Debug)]
-struct PastLife {
-    life: u32,
-    gone_ns: u64,
+struct PastIncarnation {
+    incarnation: u32,
+    exited_ns: u64,
     frozen: Vec<Window>,
 }
 
 impl Instance {
-    /// Gives an instance its name, zone and addresses.
+    /// Assigns a name, a zone and free addresses to an instance, without starting it.
     pub(crate) fn plan(
         service: &Service,
         number: usize,
-        ports: &mut Ports,
+        ports: &mut PortAllocator,
     ) -> anyhow::Result<Instance> {
         let zones = service.spec.zones;
         let traits = &service.document.upstream;
@@ -97,69 +97,86 @@
                 .collect(),
             agent: None,
             upstream: None,
-            gone_ns: None,
+            exited_ns: None,
             frozen: Vec::new(),
-            life: 1,
-            past: Vec::new(),
+            incarnation: 1,
+            past_incarnations: Vec::new(),
         })
     }
 
-    pub(crate) fn start(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
-        self.start_agent(with)?;
-        self.start_upstream(with)
+    pub(crate) fn start(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
+        self.start_agent(start_context)?;
+        self.start_upstream(start_context)
     }
 
-    fn start_upstream(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
+    fn start_upstream(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
         let mut arguments = self.upstream_flags.clone();
         let flags = [
             ("--listen", self.upstream_address.to_string()),
             ("--agent", self.caller.to_string()),
-            ("--journal", self.journal_file(with.dir, self.life).display().to_string()),
-            ("--seed", with.seed.to_string()),
+            (
+                "--journal",
+                self.journal_file(start_context.dir, self.incarnation).display().to_string(),
+            ),
+            ("--seed", start_context.seed.to_string()),
         ];
         arguments.extend(flags.into_iter().flat_map(|(name, it)| [name.to_owned(), it]));
         let name = format!("{}-upstream", self.name);
-        let program = &with.binaries.upstream;
-        self.upstream = Some(Process::spawn(&name, program, &arguments, with.dir)?);
+        let program = &start_context.binaries.upstream;
+        self.upstream = Some(Process::spawn(&name, program, &arguments, start_context.dir)?);
         Ok(())
     }
 
-    /// Starts the agent alone, beside an upstream that lives on or is started next.
-    pub(crate) fn start_agent(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
-        let settings = self.write_settings(with.dir, with.platform, with.peers)?;
+    /// Starts the agent alone; the upstream is running already or is started next.
+    pub(crate) fn start_agent(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
+        let settings =
+            self.write_settings(start_context.dir, start_context.platform, start_context.peers)?;
         let arguments = ["--settings".to_owned(), settings.display().to_string()];
         let name = format!("{}-agent", self.name);
-        let program = &with.binaries.agent;
-        self.agent = Some(Process::spawn(&name, program, &arguments, with.dir)?);
+        let program = &start_context.binaries.agent;
+        self.agent = Some(Process::spawn(&name, program, &arguments, start_context.dir)?);
         Ok(())
     }
 
-    /// Starts both parts again at their addresses, once both have ended.
-    pub(crate) fn start_again(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
-        let gone_ns = self.gone_ns.take().with_context(|| format!("{} is up", self.name))?;
+    /// Restarts agent and upstream at their former addresses, after both have exited.
+    pub(crate) fn restart(&mut self, start_context: &StartContext<'_>) -> anyhow::Result<()> {
+        let exited_ns = self.exited_ns.take().with_context(|| {
+            format!("{} cannot be restarted: it has not been stopped", self.name)
+        })?;
         let frozen = std::mem::take(&mut self.frozen);
-        self.past.push(PastLife { life: self.life, gone_ns, frozen });
-        self.life += 1;
-        self.start(with)
+        self.past_incarnations.push(PastIncarnation {
+            incarnation: self.incarnation,
+            exited_ns,
+            frozen,
+        });
+        self.incarnation += 1;
+        self.start(start_context)
     }
 
-    /// From its next start on, a request for this key ends its upstream.
-    pub(crate) fn ends_on(&mut self, key: &str) {
+    /// Makes the upstream crash on requests for this key, from its next start.
+    pub(crate) fn crash_on_key(&mut self, key: &str) {
         self.upstream_flags.extend(["--ends-on".to_owned(), key.to_owned()]);
     }
 
-    /// Whether a request has ended the upstream.
-    pub(crate) fn has_ended_under_a_run(&self) -> anyhow::Result<bool> {
+    /// Returns whether a request has crashed the upstream.
+    pub(crate) fn has_crashed_in_request(&self) -> anyhow::Result<bool> {
         let status = self.upstream()?.exit_status()?;
         Ok(status.is_some_and(|it| it.code() == Some(CRASH_EXIT_CODE)))
     }
 
-    /// Starts the upstream again, which has ended by itself beside a live agent.
-    pub(crate) fn start_upstream_again(&mut self, with: &StartWith<'_>) -> anyhow::Result<()> {
+    /// Restarts the upstream after it has crashed while its agent keeps running.
+    pub(crate) fn restart_upstream(
+        &mut self,
+        start_context: &StartContext<'_>,
+    ) -> anyhow::Result<()> {
         let frozen = std::mem::take(&mut self.frozen);
-        self.past.push(PastLife { life: self.life, gone_ns: wall_clock_ns(), frozen });
-        self.life += 1;
-        self.start_upstream(with)
+        self.past_incarnations.push(PastIncarnation {
+            incarnation: self.incarnation,
+            exited_ns: wall_clock_ns(),
+            frozen,
+        });
+        self.incarnation += 1;
+        self.start_upstream(start_context)
     }
 
     fn write_settings(
@@ -183,31 +200,37 @@
             "peers": peers,
         });
         let path = dir.file(&format!("{}.jsonc", self.name));
-        let text = serde_json::to_string_pretty(&settings).context("encoding settings")?;
+        let text =
+            serde_json::to_string_pretty(&settings).context("encoding the agent's settings")?;
         std::fs::write(&path, text).with_context(|| format!("writing {}", path.display()))?;
         Ok(path)
     }
 
-    fn journal_file(&self, dir: &RunDir, life: u32) -> PathBuf {
-        dir.file(&format!("{}-{}.jsonl", self.name, life))
+    fn journal_file(&self, dir: &RunDir, incarnation: u32) -> PathBuf {
+        dir.file(&format!("{}-{}.jsonl", self.name, incarnation))
     }
 
-    pub(crate) async fn wait_listening(&self) -> anyhow::Result<()> {
-        self.agent()?.wait_listening(self.caller).await?;
-        self.upstream()?.wait_listening(self.upstream_address).await
+    pub(crate) async fn wait_until_listening(&self) -> anyhow::Result<()> {
+        self.agent()?.wait_until_listening(self.caller).await?;
+        self.upstream()?.wait_until_listening(self.upstream_address).await
     }
 
     pub(crate) fn agent(&self) -> anyhow::Result<&Process> {
-        self.agent.as_ref().with_context(|| format!("{} has no agent", self.name))
+        self.agent
+            .as_ref()
+            .with_context(|| format!("{}: the agent has not been started", self.name))
     }
 
     pub(crate) fn upstream(&self) -> anyhow::Result<&Process> {
-        self.upstream.as_ref().with_context(|| format!("{} has no upstream", self.name))
+        self.upstream
+            .as_ref()
+            .with_context(|| format!("{}: the upstream has not been started", self.name))
     }
 
-    /// Whether neither part has been ended.
-    pub(crate) fn is_up(&self) -> bool {
-        self.gone_ns.is_none()
+    /// Returns whether the instance has neither been killed nor stopped. An upstream that crashed by
+    /// itself does not count.
+    pub(crate) fn is_running(&self) -> bool {
+        self.exited_ns.is_none()
     }
 
     fn signal(&self, signal: Signal) -> anyhow::Result<()> {
@@ -215,99 +238,103 @@
         self.upstream()?.signal(signal)
     }
 
-    /// Kills both parts at once.
-    pub(crate) async fn kill(&mut self) -> anyhow::Result<SickIngress> {
+    /// Kills agent and upstream together.
+    pub(crate) async fn kill(&mut self) -> anyhow::Result<IngressOutage> {
         let from_ns = wall_clock_ns();
         self.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
         self.upstream()?.wait(STOP_TIMEOUT).await?;
-        self.gone_ns = Some(wall_clock_ns());
-        Ok(self.sick(from_ns, u64::MAX))
+        self.exited_ns = Some(wall_clock_ns());
+        Ok(self.outage(from_ns, u64::MAX))
     }
 
-    /// Kills the agent alone; the upstream lives on.
-    pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<SickIngress> {
+    /// Kills the agent alone; the upstream keeps running.
+    pub(crate) async fn kill_agent(&mut self) -> anyhow::Result<IngressOutage> {
         let from_ns = wall_clock_ns();
         self.agent()?.signal(Signal::SIGKILL)?;
         self.agent()?.wait(STOP_TIMEOUT).await?;
-        Ok(self.sick(from_ns, u64::MAX))
+        Ok(self.outage(from_ns, u64::MAX))
     }
 
-    /// Freezes both parts. The signals have reached both when this returns; a process of several
-    /// threads stops a moment later.
+    /// Suspends agent and upstream and returns the time. Both signals are sent when this returns; a
+    /// process with several threads stops a moment later.
     pub(crate) fn freeze(&self) -> anyhow::Result<u64> {
         self.signal(Signal::SIGSTOP)?;
         Ok(wall_clock_ns())
     }
 
-    /// Lets both parts go on.
-    pub(crate) fn thaw(&mut self, frozen_ns: u64) -> anyhow::Result<SickIngress> {
+    /// Resumes agent and upstream after [`Instance::freeze`].
+    pub(crate) fn resume(&mut self, frozen_ns: u64) -> anyhow::Result<IngressOutage> {
         self.frozen.push(Window { from_ns: frozen_ns, until_ns: wall_clock_ns() });
         self.signal(Signal::SIGCONT)?;
-        Ok(self.sick(frozen_ns, wall_clock_ns()))
+        Ok(self.outage(frozen_ns, wall_clock_ns()))
     }
 
-    /// Freezes the agent alone.
+    /// Suspends the agent alone and returns the time.
     pub(crate) fn pause_agent(&self) -> anyhow::Result<u64> {
         self.agent()?.signal(Signal::SIGSTOP)?;
         Ok(wall_clock_ns())
     }
 
-    /// Lets the agent go on.
-    pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<SickIngress> {
+    /// Resumes the agent after [`Instance::pause_agent`].
+    pub(crate) fn resume_agent(&self, paused_ns: u64) -> anyhow::Result<IngressOutage> {
         self.agent()?.signal(Signal::SIGCONT)?;
-        Ok(self.sick(paused_ns, wall_clock_ns()))
+        Ok(self.outage(paused_ns, wall_clock_ns()))
     }
 
-    fn sick(&self, from_ns: u64, until_ns: u64) -> SickIngress {
-        SickIngress { caller_address: self.caller, window: Window { from_ns, until_ns } }
+    fn outage(&self, from_ns: u64, until_ns: u64) -> IngressOutage {
+        IngressOutage { caller_address: self.caller, window: Window { from_ns, until_ns } }
     }
 
-    /// Tells both parts to leave and waits for their ends.
+    /// Sends SIGTERM to agent and upstream and waits until both have exited.
     pub(crate) async fn leave(&mut self) -> anyhow::Result<PlannedStop> {
         let from_ns = wall_clock_ns();
-        let began = Instant::now();
+        let started = Instant::now();
         self.signal(Signal::SIGTERM)?;
         for process in [self.agent()?, self.upstream()?] {
             let status = process.wait(STOP_TIMEOUT).await?;
-            let in_order = status.success() || status.code() == Some(CRASH_EXIT_CODE);
-            anyhow::ensure!(in_order, "{} ended with {status} when told to", self.name);
+            let is_graceful = status.success() || status.code() == Some(CRASH_EXIT_CODE);
+            anyhow::ensure!(is_graceful, "{} exited with {status} after SIGTERM", self.name);
         }
-        log::info!(target: "demo", "{} left within {:?}.", self.name, began.elapsed());
-        self.gone_ns = Some(wall_clock_ns());
+        log::info!(target: "demo", "{} stopped gracefully within {:?}.", self.name, started.elapsed());
+        self.exited_ns = Some(wall_clock_ns());
         let window = Window { from_ns, until_ns: wall_clock_ns() };
         let instance = self.name.clone();
         Ok(PlannedStop { instance, caller_address: self.caller, window })
     }
 
-    /// The journals of all lives of the upstream.
+    /// Reads the journals of all incarnations of the upstream.
     pub(crate) fn journals(
         &self,
         dir: &RunDir,
         keyed: bool,
     ) -> anyhow::Result<Vec<UpstreamJournal>> {
-        let gone_ns = self.gone_ns.unwrap_or_else(wall_clock_ns);
-        let last = PastLife { life: self.life, gone_ns, frozen: self.frozen.clone() };
-        let lives = self.past.iter().chain([&last]);
-        lives.map(|it| self.journal_of(it, dir, keyed)).collect()
+        let exited_ns = self.exited_ns.unwrap_or_else(wall_clock_ns);
+        let last = PastIncarnation {
+            incarnation: self.incarnation,
+            exited_ns,
+            frozen: self.frozen.clone(),
+        };
+        let incarnations = self.past_incarnations.iter().chain([&last]);
+        incarnations.map(|it| self.journal_of(it, dir, keyed)).collect()
     }
 
     fn journal_of(
         &self,
-        life: &PastLife,
+        incarnation: &PastIncarnation,
         dir: &RunDir,
         keyed: bool,
     ) -> anyhow::Result<UpstreamJournal> {
-        let file = self.journal_file(dir, life.life);
-        // An upstream opens its journal before it serves: one that was killed earlier has run nothing.
+        let file = self.journal_file(dir, incarnation.incarnation);
+        // An upstream creates its journal before it serves: without one, it was killed before any run.
         let entries = if file.exists() { read_journal(&file)? } else { Vec::new() };
         Ok(UpstreamJournal {
             instance: self.name.clone(),
             service: self.service.clone(),
             keyed,
             entries,
-            gone_ns: life.gone_ns,
-            frozen: life.frozen.clone(),
+            exited_ns: incarnation.exited_ns,
+            frozen: incarnation.frozen.clone(),
         })
     }
 }
