--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -1,5 +1,5 @@
-//! Lines go through a bounded channel to a thread that writes them. Whoever logs never waits: a pipe
-//! that nobody reads costs lines, not requests, and the number of lines lost is written later.
+//! Writes log lines in a background thread behind a bounded channel, so that logging never blocks. If the
+//! output is not read, lines are dropped, and their number is logged once writing continues.
 
 use std::{
     io::{self, Write},
@@ -12,51 +12,51 @@
     time::Duration,
 };
 
-/// Lines that may wait for the writer: about 400 KB of them, at 400 bytes a line.
-const WAITING_MAX: usize = 1_024;
-/// How long the end of the process waits for its last lines. A pipe that is read takes them in less
-/// than a millisecond.
-const LAST_LINES_MAX: Duration = Duration::from_millis(200);
+/// Capacity of the channel in lines: about 400 KB with 400 bytes per line.
+const QUEUED_LINES_MAX: usize = 1_024;
+/// Maximum wait for the queued lines when the process exits. An output that is read accepts them in less than
+/// a millisecond.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Message {
     Line(Vec<u8>),
-    /// Says so when all earlier lines are written.
+    /// Requests a confirmation once all earlier lines are written.
     Flush(Sender<()>),
 }
 
-/// Keeps the log going; dropped, it waits for the last lines.
+/// Guard of the logger. Dropping it waits until the queued lines are written, at most `FLUSH_TIMEOUT`.
 #[derive(Debug)]
 pub struct LogGuard {
     messages: SyncSender<Message>,
 }
 
-/// Where the logger writes its lines, each with one call.
+/// Output of the logger, which makes one `write` call per line.
 #[derive(Debug)]
 pub(crate) struct LineWriter {
     messages: SyncSender<Message>,
-    left_out: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
 }
 
 impl LogGuard {
-    /// Starts the thread that writes to `out`.
+    /// Starts the thread that writes to `out`. Returns the guard and the writer for the logger.
     pub(crate) fn start(out: impl Write + Send + 'static) -> (LogGuard, LineWriter) {
-        let (messages, received) = sync_channel(WAITING_MAX);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&left_out);
+        let (messages, received) = sync_channel(QUEUED_LINES_MAX);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let dropped = Arc::clone(&dropped_lines);
         thread::spawn(move || {
-            // Nobody reads the log any more, and there is no other place to say so.
-            _ = write_all(&received, &counted, out);
+            // The output is closed, and there is no other place to report the error.
+            _ = write_all(&received, &dropped, out);
         });
-        (LogGuard { messages: messages.clone() }, LineWriter { messages, left_out })
+        (LogGuard { messages: messages.clone() }, LineWriter { messages, dropped_lines })
     }
 }
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
         let (written, all_written) = channel();
-        // If the writer is that far behind, the last lines are left out.
+        // If the channel is full, the flush is skipped and the last lines may be lost.
         if self.messages.try_send(Message::Flush(written)).is_ok() {
-            _ = all_written.recv_timeout(LAST_LINES_MAX);
+            _ = all_written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
@@ -66,7 +66,7 @@
         match self.messages.try_send(Message::Line(line.to_vec())) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.dropped_lines.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(line.len())
@@ -79,7 +79,7 @@
 
 fn write_all(
     messages: &Receiver<Message>,
-    left_out: &AtomicU64,
+    dropped_lines: &AtomicU64,
     mut out: impl Write,
 ) -> io::Result<()> {
     for message in messages {
@@ -87,15 +87,15 @@
             Message::Line(line) => out.write_all(&line)?,
             Message::Flush(written) => {
                 out.flush()?;
-                // Whoever asked may have stopped waiting.
+                // The receiver may have timed out.
                 _ = written.send(());
             }
         }
-        match left_out.swap(0, Ordering::Relaxed) {
+        match dropped_lines.swap(0, Ordering::Relaxed) {
             0 => {}
             count => writeln!(
                 out,
-                r#"{{"level":"WARN","target":"logging","message":"Lines were left out: the log was not read fast enough.","left_out":{count}}}"#
+                r#"{{"level":"WARN","target":"logging","message":"Log lines were dropped: the log was not read fast enough.","left_out":{count}}}"#
             )?,
         }
     }
