--- a/crates/standins/src/caller/load.rs
+++ b/crates/standins/src/caller/load.rs
@@ -1,4 +1,4 @@
-//! Many callers that start at the same instant.
+//! Generates load by many callers that start at the same instant.
 
 use std::{
     net::SocketAddr,
@@ -19,16 +19,16 @@
 use super::{AgentClient, CallPolicy, CallRequest, Caller, WeightedRoute};
 use crate::journal::{CallRecord, JournalWriter};
 
-/// How fast callers send.
+/// The rate at which callers send requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SendMode {
-    /// Each caller sends its next request once the former has ended.
+    /// Each caller sends its next request when its previous request has ended.
     ClosedLoop,
-    /// All callers together send at this rate, whatever the answers.
+    /// All callers together send at this rate, without waiting for answers.
     FixedRate { requests_per_s: f64 },
 }
 
-/// A load on one service.
+/// Parameters of a load on one service.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub service: String,
@@ -38,52 +38,55 @@
     pub duration: Duration,
     pub routes: Vec<WeightedRoute>,
     pub keys: Vec<String>,
-    /// Share of the requests that goes to the first key.
+    /// Share of the requests that are for the first key.
     pub hot_share: f64,
     pub answer_bytes: usize,
     pub deadline: Duration,
     pub policy: CallPolicy,
     pub seed: u64,
-    /// File of the journal; empty: none.
+    /// Path of the journal; empty for no journal.
     pub journal: String,
 }
 
-/// What became of a load.
+/// Result of a load.
 #[derive(Debug, Clone, Default)]
 pub struct LoadReport {
-    /// In the order of their ends.
+    /// The requests in the order in which they ended.
     pub records: Vec<CallRecord>,
 }
 
-struct Shared {
+struct LoadRun {
     load: Load,
     journal: JournalWriter,
     records: Mutex<Vec<CallRecord>>,
 }
 
-/// Runs a load from an instant on and waits for its last request.
+/// Runs a load that begins at `start`, and waits until its last request has ended.
 pub async fn run_load(load: Load, start: Instant) -> anyhow::Result<LoadReport> {
-    anyhow::ensure!(!load.targets.is_empty(), "a load needs an agent to call");
-    anyhow::ensure!(!load.keys.is_empty() && !load.routes.is_empty(), "a load needs keys, routes");
-    let shared = Arc::new(Shared {
+    anyhow::ensure!(!load.targets.is_empty(), "the load has no targets");
+    anyhow::ensure!(
+        !load.keys.is_empty() && !load.routes.is_empty(),
+        "the load has no keys or no routes"
+    );
+    let run = Arc::new(LoadRun {
         journal: JournalWriter::open(&load.journal)?,
         records: Mutex::default(),
         load,
     });
     let mut callers = JoinSet::new();
-    for index in 0..shared.load.callers {
-        callers.spawn(run_caller(Arc::clone(&shared), index, start));
+    for index in 0..run.load.callers {
+        callers.spawn(run_caller(Arc::clone(&run), index, start));
     }
     while let Some(ended) = callers.join_next().await {
-        ended.context("a caller broke off")??;
+        ended.context("a caller task failed")??;
     }
-    let records = std::mem::take(&mut *shared.lock_records());
+    let records = std::mem::take(&mut *run.lock_records());
     Ok(LoadReport { records })
 }
 
-async fn run_caller(shared: Arc<Shared>, index: usize, start: Instant) -> anyhow::Result<()> {
-    let load = &shared.load;
-    // Callers are apart from each other, so each has connections of its own.
+async fn run_caller(run: Arc<LoadRun>, index: usize, start: Instant) -> anyhow::Result<()> {
+    let load = &run.load;
+    // Each caller has its own client and connections, like a separate process.
     let caller = Arc::new(Caller {
         client: AgentClient::new()?,
         targets: load.targets.clone(),
@@ -95,35 +98,35 @@
     match load.send_mode {
         SendMode::ClosedLoop => {
             while Instant::now() < end {
-                let request = load.draw(&mut rng);
-                shared.send(&caller, request, index).await?;
+                let request = load.draw_request(&mut rng);
+                run.send(&caller, request, index).await?;
             }
         }
         SendMode::FixedRate { requests_per_s } => {
             let interval = Duration::from_secs_f64(load.callers as f64 / requests_per_s);
-            // Callers are spread over one interval; the first requests come at once.
+            // The callers' first requests are spread evenly over one interval.
             let offset = interval.mul_f64(index as f64 / load.callers as f64);
             let mut due = start + offset;
             let mut calls = JoinSet::new();
             while due < end {
                 sleep_until(due).await;
-                let request = load.draw(&mut rng);
-                let (shared, caller) = (Arc::clone(&shared), Arc::clone(&caller));
-                calls.spawn(async move { shared.send(&caller, request, index).await });
+                let request = load.draw_request(&mut rng);
+                let (run, caller) = (Arc::clone(&run), Arc::clone(&caller));
+                calls.spawn(async move { run.send(&caller, request, index).await });
                 due += interval;
                 while let Some(ended) = calls.try_join_next() {
-                    ended.context("a call broke off")??;
+                    ended.context("a call task failed")??;
                 }
             }
             while let Some(ended) = calls.join_next().await {
-                ended.context("a call broke off")??;
+                ended.context("a call task failed")??;
             }
         }
     }
     Ok(())
 }
 
-impl Shared {
+impl LoadRun {
     async fn send(
         &self,
         caller: &Caller,
@@ -142,7 +145,7 @@
 }
 
 impl Load {
-    fn draw(&self, rng: &mut Pcg64Mcg) -> CallRequest {
+    fn draw_request(&self, rng: &mut Pcg64Mcg) -> CallRequest {
         let route = self.draw_route(rng);
         let key = match rng.random_bool(self.hot_share) {
             true => &self.keys[0],
@@ -162,15 +165,15 @@
         }
     }
 
-    /// Routes are drawn in proportion to their shares.
+    /// Draws a route with a probability proportional to its share.
     fn draw_route(&self, rng: &mut Pcg64Mcg) -> &WeightedRoute {
         let total: f64 = self.routes.iter().map(|it| it.share).sum();
         let mut rest = rng.random_range(0.0..1.0) * total;
         let last = self.routes.len() - 1;
-        let found = self.routes.iter().position(|it| {
+        let index = self.routes.iter().position(|it| {
             rest -= it.share;
             rest < 0.0
         });
-        &self.routes[found.unwrap_or(last)]
+        &self.routes[index.unwrap_or(last)]
     }
 }
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP of the object API over the store.
+//! The HTTP server of the object API.
 
 use std::{
     net::SocketAddr,
@@ -27,17 +27,19 @@
 
 use super::{
     faults::{Counts, Faults},
-    store::{Conflict, Entry, Store},
+    store::{Conflict, ObjectEntry, Store},
+};
+use crate::http::{
+    bind, close_connection, json_response, print_address, text_response, with_header,
 };
-use crate::http::{answer, bind, hang_up, json, print_address, with_header};
 
 const VERSION: HeaderName = HeaderName::from_static("x-object-version");
 const EXPECTED_VERSION: HeaderName = HeaderName::from_static("if-object-version");
 const REVISION: HeaderName = HeaderName::from_static("x-revision");
 const ERA: HeaderName = HeaderName::from_static("x-store-era");
-/// The largest value of an object.
+/// Maximum size of an object's value.
 const BODY_MAX_BYTES: usize = 1 << 20;
-/// The longest that a watch waits.
+/// Maximum time for which a watch waits.
 const WATCH_MAX: Duration = Duration::from_secs(300);
 
 /// Flags of `standin-platform`.
@@ -46,11 +48,11 @@
 pub struct PlatformOptions {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(help = "IP:PORT to listen at; port 0 takes a free one", default = "127.0.0.1:0")]
+    #[options(help = "IP:PORT to listen on; port 0 selects a free port", default = "127.0.0.1:0")]
     pub listen: String,
 }
 
-/// Serves until a signal ends the process.
+/// Runs the server until a signal ends the process.
 pub async fn run(options: PlatformOptions) -> anyhow::Result<()> {
     let address: SocketAddr = options.listen.parse()?;
     let (listener, bound) = bind(address).await?;
@@ -58,7 +60,7 @@
     serve(listener).await
 }
 
-/// Serves an empty store at a listener.
+/// Serves an empty store on a listener.
 pub(crate) async fn serve(listener: TcpListener) -> anyhow::Result<()> {
     let server = Arc::new(PlatformServer::new());
     let handler = {
@@ -67,12 +69,12 @@
             let (parts, body) = request.into_parts();
             match body.into_bytes().await {
                 Ok(body) => server.call(parts, body).await,
-                Err(_) => answer(StatusCode::BAD_REQUEST, "the body broke off"),
+                Err(_) => text_response(StatusCode::BAD_REQUEST, "the body broke off"),
             }
         }
     };
     Server::new(Router::new().fallback(handler))
-        // Nothing has to outlive the process, so waiting watches are not waited for.
+        // The store is only in memory, so the process exits at once, without waiting for watches.
         .register_shutdown_hook(|| Box::pin(async { std::process::exit(0) }))
         .run(DefaultIncoming::from(listener))
         .await
@@ -80,14 +82,14 @@
 }
 
 struct PlatformServer {
-    state: Mutex<State>,
-    /// The store's revision, for waiting watches.
+    state: Mutex<ServerState>,
+    /// The store's revision; a change wakes waiting watches.
     revision: watch::Sender<u64>,
     faults: watch::Sender<Faults>,
 }
 
 #[derive(Default)]
-struct State {
+struct ServerState {
     store: Store,
     counts: Counts,
 }
@@ -97,17 +99,17 @@
     wait_ms: u64,
 }
 
-/// Counts a waiting watch for as long as it lives.
-struct WaitingWatch<'a>(&'a PlatformServer);
+/// Guard that counts a watch as waiting until it is dropped.
+struct WaitingWatchGuard<'a>(&'a PlatformServer);
 
-impl<'a> WaitingWatch<'a> {
-    fn new(server: &'a PlatformServer) -> WaitingWatch<'a> {
+impl<'a> WaitingWatchGuard<'a> {
+    fn new(server: &'a PlatformServer) -> WaitingWatchGuard<'a> {
         server.state().counts.watches_waiting += 1;
-        WaitingWatch(server)
+        WaitingWatchGuard(server)
     }
 }
 
-impl Drop for WaitingWatch<'_> {
+impl Drop for WaitingWatchGuard<'_> {
     fn drop(&mut self) {
         self.0.state().counts.watches_waiting -= 1;
     }
@@ -122,8 +124,8 @@
         }
     }
 
-    /// A connection dropped on purpose never holds the lock, so a poisoned one is sound.
-    fn state(&self) -> MutexGuard<'_, State> {
+    /// Locks the state. A poisoned lock is ignored: `close_connection` panics only while the lock is not held.
+    fn state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -133,25 +135,25 @@
         match path {
             "admin/fault" if method == Method::POST => return self.set_faults(&body),
             "admin/keep-copy" if method == Method::POST => {
-                self.state().store.keep_copy();
-                return answer(StatusCode::OK, "");
+                self.state().store.take_snapshot();
+                return text_response(StatusCode::OK, "");
             }
             "admin/roll-back" if method == Method::POST => {
                 let revision = {
                     let store = &mut self.state().store;
-                    store.roll_back();
+                    store.restore_snapshot();
                     store.revision()
                 };
                 self.revision.send_replace(revision);
-                return answer(StatusCode::OK, "");
+                return text_response(StatusCode::OK, "");
             }
-            "admin/counts" => return json(&self.state().counts),
+            "admin/counts" => return json_response(&self.state().counts),
             _ => {}
         }
-        self.fail_or_delay().await;
+        self.apply_faults().await;
         let era = self.state().store.era();
         let response = self.object_call(path, method, &uri, &headers, body).await;
-        // An answer that was made before the store came back is of the era before.
+        // The era is read before the call: an answer made before a rollback belongs to the earlier era.
         if era == 0 { response } else { with_header(response, ERA, era) }
     }
 
@@ -173,30 +175,30 @@
             Some(("watch", prefix)) if method == Method::GET => {
                 self.watch(prefix, uri.query().unwrap_or("")).await
             }
-            _ => answer(StatusCode::NOT_FOUND, "no such call"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
-    /// Takes over the fields that the body names and leaves the others.
+    /// Sets the faults that the body names and leaves the others unchanged.
     fn set_faults(&self, body: &[u8]) -> Response {
         let current = *self.faults.borrow();
         match merge_faults(current, body) {
             Ok(faults) => {
-                log::info!(target: "platform", "Faults are now {faults:?}.");
+                log::info!(target: "platform", "Faults were set to {faults:?}.");
                 self.faults.send_replace(faults);
-                json(&faults)
+                json_response(&faults)
             }
-            Err(error) => answer(StatusCode::BAD_REQUEST, error.to_string()),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, error.to_string()),
         }
     }
 
-    async fn fail_or_delay(&self) {
+    async fn apply_faults(&self) {
         let faults = *self.faults.borrow();
         if faults.slow_ms > 0 {
             sleep(Duration::from_millis(faults.slow_ms)).await;
         }
         if self.faults.borrow().down {
-            hang_up();
+            close_connection();
         }
     }
 
@@ -204,29 +206,33 @@
         let mut state = self.state();
         state.counts.reads += 1;
         match state.store.read(path) {
-            Some((version, body)) => with_header(answer(StatusCode::OK, body), VERSION, version),
-            None => answer(StatusCode::NOT_FOUND, ""),
+            Some((version, body)) => {
+                with_header(text_response(StatusCode::OK, body), VERSION, version)
+            }
+            None => text_response(StatusCode::NOT_FOUND, ""),
         }
     }
 
     fn update(&self, path: &str, headers: &HeaderMap, body: Option<Bytes>) -> Response {
         if body.as_ref().is_some_and(|it| it.len() > BODY_MAX_BYTES) {
-            return answer(StatusCode::PAYLOAD_TOO_LARGE, "a value has at most 1 MB");
+            return text_response(StatusCode::PAYLOAD_TOO_LARGE, "a value has at most 1 MB");
         }
         let Ok(body) = body.map(|it| String::from_utf8(it.to_vec())).transpose() else {
-            return answer(StatusCode::BAD_REQUEST, "a value is UTF-8 text");
+            return text_response(StatusCode::BAD_REQUEST, "a value is UTF-8 text");
         };
         let expected = match headers.get(EXPECTED_VERSION).map(|it| it.to_str()) {
             None => None,
             Some(Ok(text)) if text.parse::<u64>().is_ok() => text.parse().ok(),
-            Some(_) => return answer(StatusCode::BAD_REQUEST, "if-object-version is a number"),
+            Some(_) => {
+                return text_response(StatusCode::BAD_REQUEST, "if-object-version is a number");
+            }
         };
         let written = self.write(path, expected, body);
         match written {
-            Ok(_) if self.loses_answer() => hang_up(),
-            Ok(version) => with_header(answer(StatusCode::OK, ""), VERSION, version),
+            Ok(_) if self.take_lost_answer() => close_connection(),
+            Ok(version) => with_header(text_response(StatusCode::OK, ""), VERSION, version),
             Err(Conflict { current }) => {
-                with_header(answer(StatusCode::CONFLICT, ""), VERSION, current)
+                with_header(text_response(StatusCode::CONFLICT, ""), VERSION, current)
             }
         }
     }
@@ -249,8 +255,8 @@
         written
     }
 
-    /// Whether this update's answer is one of those to be lost.
-    fn loses_answer(&self) -> bool {
+    /// Returns whether the answer to this update is to be lost, and counts down `lose_answers`.
+    fn take_lost_answer(&self) -> bool {
         self.faults.send_if_modified(|it| {
             let lost = it.lose_answers > 0;
             it.lose_answers = it.lose_answers.saturating_sub(1);
@@ -261,15 +267,15 @@
     fn list(&self, prefix: &str) -> Response {
         let mut state = self.state();
         state.counts.lists += 1;
-        entries(&state.store.list(prefix), state.store.revision())
+        entries_response(&state.store.list(prefix), state.store.revision())
     }
 
     async fn watch(&self, prefix: &str, query: &str) -> Response {
         let Some(query) = parse_watch_query(query) else {
-            return answer(StatusCode::BAD_REQUEST, "a watch needs after and wait_ms");
+            return text_response(StatusCode::BAD_REQUEST, "a watch needs after and wait_ms");
         };
         self.state().counts.watches += 1;
-        let _waiting = WaitingWatch::new(self);
+        let _waiting = WaitingWatchGuard::new(self);
         let deadline = Instant::now() + Duration::from_millis(query.wait_ms).min(WATCH_MAX);
         let mut revision = self.revision.subscribe();
         let mut faults = self.faults.subscribe();
@@ -277,38 +283,38 @@
         loop {
             revision.mark_unchanged();
             if !self.has_history(era, query.after) {
-                return answer(StatusCode::GONE, "the history has been lost");
+                return text_response(StatusCode::GONE, "the history has been lost");
             }
-            if let Some(found) = self.changed(prefix, query.after) {
-                return found;
+            if let Some(response) = self.changes_after(prefix, query.after) {
+                return response;
             }
             let event = timeout_at(deadline, async {
                 tokio::select! {
                     _ = revision.changed() => {}
-                    _ = faults.wait_for(|it| it.down) => hang_up(),
+                    _ = faults.wait_for(|it| it.down) => close_connection(),
                 }
             });
             if event.await.is_err() {
-                return answer(StatusCode::NO_CONTENT, "");
+                return text_response(StatusCode::NO_CONTENT, "");
             }
         }
     }
 
-    /// Whether a watch of this era can go on from the revision.
+    /// Returns whether the store still has the changes after a revision of the given era. A rollback loses them.
     fn has_history(&self, era: u64, after: u64) -> bool {
         let state = self.state();
         state.store.era() == era && after <= state.store.revision()
     }
 
-    fn changed(&self, prefix: &str, after: u64) -> Option<Response> {
+    fn changes_after(&self, prefix: &str, after: u64) -> Option<Response> {
         let state = self.state();
-        let changed = state.store.changed(prefix, after);
-        (!changed.is_empty()).then(|| entries(&changed, state.store.revision()))
+        let changed = state.store.changes_after(prefix, after);
+        (!changed.is_empty()).then(|| entries_response(&changed, state.store.revision()))
     }
 }
 
-fn entries(entries: &[Entry], revision: u64) -> Response {
-    let response = with_header(json(&entries), REVISION, revision);
+fn entries_response(entries: &[ObjectEntry], revision: u64) -> Response {
+    let response = with_header(json_response(&entries), REVISION, revision);
     with_header(response, CONTENT_TYPE, "application/json")
 }
 
--- a/crates/standins/src/platform/tests.rs
+++ b/crates/standins/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the store's versions and of the API over a socket.
+//! Tests of the store, and of the API over a socket.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn updates_are_conditional() {
+fn a_write_with_another_expected_version_is_a_conflict() {
     let mut store = Store::default();
     let mut check = |expected, result| {
         assert_eq!(store.write("a/b", expected, Some("x".to_owned())), result);
@@ -27,24 +27,24 @@
 }
 
 #[test]
-fn a_deletion_is_seen_by_watches_only() {
+fn watches_report_a_deletion_and_lists_omit_it() {
     let mut store = Store::default();
     store.write("a/b", None, Some("x".to_owned())).unwrap();
     store.write("a/b", Some(1), None).unwrap();
     assert!(store.list("a/").is_empty());
-    let changed = store.changed("a/", 1);
+    let changed = store.changes_after("a/", 1);
     assert_eq!(changed.iter().map(|it| (it.version, &it.body)).collect::<Vec<_>>(), [(2, &None)]);
-    assert!(store.changed("a/", 2).is_empty());
+    assert!(store.changes_after("a/", 2).is_empty());
     assert_eq!(store.write("a/b", Some(0), Some("y".to_owned())), Ok(3));
 }
 
 #[test]
-fn a_store_that_comes_back_from_its_copy_gives_revisions_out_again() {
+fn revisions_are_assigned_again_after_a_rollback() {
     let mut store = Store::default();
     store.write("a/b", None, Some("x".to_owned())).unwrap();
-    store.keep_copy();
+    store.take_snapshot();
     store.write("a/b", None, Some("y".to_owned())).unwrap();
-    store.roll_back();
+    store.restore_snapshot();
     assert_eq!((store.era(), store.revision(), store.read("a/b")), (1, 1, Some((1, "x".into()))));
     assert_eq!(store.write("a/c", Some(0), Some("z".to_owned())), Ok(2));
 }
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_follows_an_update_that_took_effect() {
+async fn an_update_whose_answer_is_lost_is_applied() {
     let (address, client) = start().await;
     fault(&client, address, r#"{"lose_answers": 1}"#).await;
     assert_eq!(put(&client, address, 0, "x").await, None);
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn an_outage_cuts_calls_and_ends() {
+async fn calls_fail_during_an_outage_and_succeed_after_it() {
     let (address, client) = start().await;
     fault(&client, address, r#"{"down": true}"#).await;
     assert_eq!(put(&client, address, 0, "x").await, None);
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_waits_for_a_change() {
+async fn a_waiting_watch_returns_the_next_change() {
     let (address, client) = start().await;
     let watch = tokio::spawn({
         let client = client.clone();
--- a/crates/standins/src/upstream/announce.rs
+++ b/crates/standins/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements to the agent beside the upstream.
+//! Announces the upstream to the agent beside it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,42 +6,42 @@
 use tokio::time::{sleep, timeout};
 use volo_http::{body::Body, client::Client};
 
-use super::state::{Stage, Upstream};
+use super::state::{Upstream, UpstreamState};
 
-const ANNOUNCE_EVERY: Duration = Duration::from_secs(1);
-/// While the agent has not heard of a change yet.
-const ANNOUNCE_AGAIN: Duration = Duration::from_millis(50);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Retry delay until the agent acknowledges a change, and interval of checks for the next change.
+const ANNOUNCE_RETRY_DELAY: Duration = Duration::from_millis(50);
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
 struct Announcement<'a> {
     service: &'a str,
     address: SocketAddr,
-    state: Stage,
+    state: UpstreamState,
     slots: u16,
     checks_fence: bool,
     clock_ms: u64,
 }
 
-/// Announces the upstream for ever, at once whenever its stage changes.
+/// Announces the upstream periodically, and at once when its state changes. Never returns.
 pub(crate) async fn announce(upstream: &Upstream, agent: SocketAddr, address: SocketAddr) {
     let client = match Client::builder().build() {
         Ok(client) => client,
         Err(error) => {
-            log::error!(target: "upstream", "No HTTP client: {error}.");
+            log::error!(target: "upstream", "Could not create an HTTP client, so the upstream is not announced: {error}.");
             return;
         }
     };
     loop {
-        let stage = upstream.stage();
-        let heard = send(&client, upstream, agent, address, stage).await;
-        let wait = if heard { ANNOUNCE_EVERY } else { ANNOUNCE_AGAIN };
+        let state = upstream.state();
+        let is_acknowledged = send(&client, upstream, agent, address, state).await;
+        let wait = if is_acknowledged { ANNOUNCE_INTERVAL } else { ANNOUNCE_RETRY_DELAY };
         let changed = async {
-            while upstream.stage() == stage {
-                sleep(ANNOUNCE_AGAIN).await;
+            while upstream.state() == state {
+                sleep(ANNOUNCE_RETRY_DELAY).await;
             }
         };
-        // Either the time or the change ends the wait.
+        // The wait ends after its time or with a change, so the result doesn't matter.
         let _ = timeout(wait, changed).await;
     }
 }
@@ -51,9 +51,9 @@
     upstream: &Upstream,
     agent: SocketAddr,
     address: SocketAddr,
-    state: Stage,
+    state: UpstreamState,
 ) -> bool {
-    upstream.thaw().await;
+    upstream.wait_while_frozen().await;
     let announcement = Announcement {
         service: &upstream.config.service,
         address,
