--- a/crates/client/src/commands/apply.rs
+++ b/crates/client/src/commands/apply.rs
@@ -15,7 +15,7 @@
     terminal::Terminal,
 };
 
-/// The version that stands for a document that does not exist.
+/// Version of a document that does not exist.
 const ABSENT_VERSION: ObjectVersion = ObjectVersion(0);
 
 /// An edited document, with the platform's current and accepted documents of the service.
@@ -44,7 +44,7 @@
         return wait::wait_unless_disabled(args, store, service, version, terminal).await;
     }
     if edit.base != edit.current_version() {
-        return Err(edit.conflict());
+        return Err(edit.conflict_error());
     }
     let old = format!("{service}, version {}", edit.base);
     terminal.print_diff(&difference((&old, &edit.current_text()), (&args.file, edit.text)));
@@ -76,7 +76,7 @@
             return Err(CommandError::Usage(message));
         }
         let current = store.read(&service_path(service)).await?;
-        let accepted = accepted(store, &accepted_path(service)).await?;
+        let accepted = read_accepted(store, &accepted_path(service)).await?;
         let previous = accepted.as_ref().and_then(|it| ServiceDocument::parse(&it.document).ok());
         if let Some(previous) = &previous {
             ServiceDocument::parse_change(file, previous).map_err(problems)?;
@@ -122,7 +122,7 @@
                     accepted: self.accepted.clone(),
                     ..*self
                 };
-                Err(outdated.conflict())
+                Err(outdated.conflict_error())
             }
         }
     }
@@ -139,11 +139,11 @@
             .map_err(|source| CommandError::FileAccess { path: path.clone(), source })
     }
 
-    fn conflict(&self) -> CommandError {
+    fn conflict_error(&self) -> CommandError {
         let service = &self.document.service;
         if self.current.is_none() {
             let message = format!(
-                "{service} was removed since: your file is based on version {}. Nothing was \
+                "{service} has been removed: your file is based on version {}. Nothing was \
                  written. To create the service again: pomelohill apply --base 0 {}",
                 self.base, self.args.file
             );
@@ -175,7 +175,7 @@
     }
 }
 
-async fn accepted(
+async fn read_accepted(
     store: &RetryingStore,
     path: &str,
 ) -> Result<Option<AcceptedDocument>, CommandError> {
--- a/crates/client/src/commands/explain.rs
+++ b/crates/client/src/commands/explain.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     args::ExplainArgs,
-    commands::service_name,
+    commands::parse_service_name,
     error::CommandError,
     retry::{RetryingStore, decode},
     table::{format_age, now_unix_ms},
@@ -34,8 +34,8 @@
     args: &ExplainArgs,
     terminal: &Terminal,
 ) -> Result<(), CommandError> {
-    let service = service_name(&args.service)?;
-    let document = document(store, &service).await?;
+    let service = parse_service_name(&args.service)?;
+    let document = read_document(store, &service).await?;
     if document.as_ref().is_some_and(|it| !it.1.keyed) {
         terminal.print_line(&format!(
             "{service} is not sharded by key: any ready instance can serve {:?}.",
@@ -43,40 +43,40 @@
         ));
         return Ok(());
     }
-    let findings = findings(store, service, &args.key, document).await?;
-    findings.lines().iter().for_each(|it| terminal.print_line(it));
+    let report = collect_report(store, service, &args.key, document).await?;
+    report.format_lines().iter().for_each(|it| terminal.print_line(it));
     Ok(())
 }
 
-async fn document(
+async fn read_document(
     store: &RetryingStore,
     service: &ServiceName,
 ) -> Result<Option<(u64, ServiceDocument)>, CommandError> {
-    let accepted: Option<AcceptedDocument> = object(store, &accepted_path(service)).await?;
+    let accepted: Option<AcceptedDocument> = read_object(store, &accepted_path(service)).await?;
     let parsed = accepted.map(|it| (it.version.0, ServiceDocument::parse(&it.document)));
     Ok(parsed.and_then(|(version, it)| Some((version, it.ok()?))))
 }
 
-async fn findings(
+async fn collect_report(
     store: &RetryingStore,
     service: ServiceName,
     key: &str,
     document: Option<(u64, ServiceDocument)>,
 ) -> Result<KeyReport, CommandError> {
     let plans = store.list(&format!("plans/{service}/")).await?;
-    let mut found = None;
+    let mut last_plan = None;
     for change in &plans.changes {
         let Some(body) = &change.body else { continue };
-        found = Some(decode::<Plan>(&change.path, body)?);
+        last_plan = Some(decode::<Plan>(&change.path, body)?);
     }
-    let Some(plan) = found else {
+    let Some(plan) = last_plan else {
         let message = format!("no coordinator has written a plan for service {service}");
         return Err(CommandError::NotFound(message));
     };
     let group = plan.group;
     Ok(KeyReport {
-        coordinator: object(store, &format!("coordinators/{service}/{group}")).await?,
-        status: object(store, &status_path(&service, group)).await?,
+        coordinator: read_object(store, &format!("coordinators/{service}/{group}")).await?,
+        status: read_object(store, &status_path(&service, group)).await?,
         key: key.to_owned(),
         key_hash: key_hash(key.as_bytes()),
         service,
@@ -85,7 +85,7 @@
     })
 }
 
-async fn object<T: DeserializeOwned>(
+async fn read_object<T: DeserializeOwned>(
     store: &RetryingStore,
     path: &str,
 ) -> Result<Option<T>, CommandError> {
@@ -100,7 +100,7 @@
 
     /// Returns the planned owner and successors, and whether the key is a hot key with an entry of its own.
     /// Other keys share the entry of their slot.
-    fn owners(&self) -> (Option<u16>, &[u16], bool) {
+    fn planned_owners(&self) -> (Option<u16>, &[u16], bool) {
         if let Some(hot) = self.plan.hot_keys.iter().find(|it| it.key_hash == self.key_hash) {
             return (hot.owner, &hot.successors, true);
         }
@@ -114,8 +114,8 @@
         self.plan.members.get(usize::from(index))
     }
 
-    fn lines(&self) -> Vec<String> {
-        let (owner, successors, is_hot) = self.owners();
+    fn format_lines(&self) -> Vec<String> {
+        let (owner, successors, is_hot) = self.planned_owners();
         let hot = if is_hot { ", hot key with its own owner" } else { "" };
         let (plan, slot) = (&self.plan, self.slot());
         let owner =
@@ -133,14 +133,14 @@
             format!("owner        {}", self.granted_owner().unwrap_or("unknown".to_owned())),
             format!("planned      {owner}, in plan {} of term {}", plan.version, plan.term),
             format!("successors   {}", join_or_none(&successors)),
-            format!("lease        {}", self.lease()),
-            format!("token        {}", self.token()),
-            format!("why          {}", self.reason()),
+            format!("lease        {}", self.describe_lease()),
+            format!("token        {}", self.describe_token()),
+            format!("why          {}", self.describe_reason()),
             format!("coordinator  {}", self.describe_coordinator()),
         ]
     }
 
-    fn lease(&self) -> String {
+    fn describe_lease(&self) -> String {
         let Some((version, document)) = &self.document else {
             return "unknown, no document has been accepted".to_owned();
         };
@@ -172,14 +172,14 @@
         Some(format!("{} ({})", owner.instance, owner.zone))
     }
 
-    fn token(&self) -> String {
+    fn describe_token(&self) -> String {
         match self.grant() {
             Some(it) => format!("{} from the grant of the slot", it.token),
             None => format!("at least {}, from the plan", self.plan.token_floor),
         }
     }
 
-    fn reason(&self) -> String {
+    fn describe_reason(&self) -> String {
         match (self.last_move(), &self.status) {
             (Some(it), _) => {
                 let when = format_age(it.at_unix_ms, now_unix_ms());
--- a/crates/client/src/commands/explain_request.rs
+++ b/crates/client/src/commands/explain_request.rs
@@ -29,30 +29,30 @@
     if args.files.is_empty() {
         return Err(CommandError::Usage("no log file is given; see pomelohill --help".to_owned()));
     }
-    let id = id(&args.id)?;
-    let found = read_all(&args.files, |it| it.target == REQUESTS_TARGET && it.text("id") == id)?;
-    if found.unreadable > 0 {
+    let id = parse_id(&args.id)?;
+    let scan = read_all(&args.files, |it| it.target == REQUESTS_TARGET && it.text("id") == id)?;
+    if scan.unreadable > 0 {
         terminal.print_progress(&format!(
             "{} lines are not log records of an agent and were skipped",
-            found.unreadable
+            scan.unreadable
         ));
     }
-    let (Some(first), Some(last)) = (found.lines.first(), found.lines.last()) else {
+    let (Some(first), Some(last)) = (scan.lines.first(), scan.lines.last()) else {
         let message = format!(
             "no log line about request {id}: it succeeded (logged only with the log filter \
              \"info,requests=debug\"), its lines were dropped by the rate limit, or other instances handled it"
         );
         return Err(CommandError::NotFound(message));
     };
-    found.lines.iter().for_each(|it| terminal.print_line(&line(it)));
-    terminal.print_line(&format!("\nCause: {}", cause(&found.lines)));
-    let context = context(args, &found.lines, first.at, last.at)?;
+    scan.lines.iter().for_each(|it| terminal.print_line(&format_line(it)));
+    terminal.print_line(&format!("\nCause: {}", describe_cause(&scan.lines)));
+    let context = read_context(args, &scan.lines, first.at, last.at)?;
     if context.is_empty() {
         return Ok(());
     }
     terminal
         .print_line(&format!("\nOther log lines of these instances within {} s:", args.around_s));
-    context.iter().take(CONTEXT_LINES_MAX).for_each(|it| terminal.print_line(&line(it)));
+    context.iter().take(CONTEXT_LINES_MAX).for_each(|it| terminal.print_line(&format_line(it)));
     if context.len() > CONTEXT_LINES_MAX {
         terminal.print_line(&format!("and {} more", context.len() - CONTEXT_LINES_MAX));
     }
@@ -60,7 +60,7 @@
 }
 
 /// Returns the id in the form of the logs: lower case, padded with zeros to 16 digits.
-fn id(text: &str) -> Result<String, CommandError> {
+fn parse_id(text: &str) -> Result<String, CommandError> {
     let number = u128::from_str_radix(text, 16);
     let number = number.map_err(|_| {
         CommandError::Usage(format!("invalid request id {text:?}: not hexadecimal"))
@@ -80,7 +80,7 @@
 }
 
 /// Returns the other lines of the instances that handled the request, `--around-s` before and after it.
-fn context(
+fn read_context(
     args: &ExplainRequestArgs,
     request_lines: &[LogLine],
     first: Timestamp,
@@ -101,7 +101,7 @@
 }
 
 /// Formats a log line: time of day, instance, message, fields.
-fn line(it: &LogLine) -> String {
+fn format_line(it: &LogLine) -> String {
     let time = it.at.strftime("%H:%M:%S%.3f");
     let mut line = format!("{time}  {:<24} {}", it.instance, it.message);
     for (name, value) in
@@ -122,14 +122,14 @@
 }
 
 /// Describes the outcome of the request and its cause in one or two sentences.
-fn cause(lines: &[LogLine]) -> String {
+fn describe_cause(lines: &[LogLine]) -> String {
     let last_line_with = |message: &str| lines.iter().rev().find(|it| it.message == message);
     let gate = last_line_with(GATE_REPLIED_MESSAGE);
     if let Some(ended) = last_line_with(ENDED_MESSAGE) {
         let is_last_gate_reply = |it: &&LogLine| {
             it.message == GATE_REPLIED_MESSAGE && *it.instance == *instance_of(ended)
         };
-        return cause_of_final_answer(ended, lines.iter().rev().find(is_last_gate_reply));
+        return describe_final_answer(ended, lines.iter().rev().find(is_last_gate_reply));
     }
     if let Some(refused) = last_line_with(REFUSED_MESSAGE) {
         return format!(
@@ -152,7 +152,7 @@
     }
 }
 
-fn cause_of_final_answer(ended: &LogLine, gate: Option<&LogLine>) -> String {
+fn describe_final_answer(ended: &LogLine, gate: Option<&LogLine>) -> String {
     let (outcome, reason) = match ended.text("outcome").split_once("; reason=") {
         Some((outcome, reason)) => (outcome, reason),
         None => (ended.text("outcome"), ""),
@@ -161,7 +161,7 @@
     let spent_ms = ended.number("spent_ms");
     match (outcome, reason) {
         ("answered", _) if ended.fields.get("is_late") == Some(&Value::Bool(true)) => {
-            cause_of_late_answer(ended, gate)
+            describe_late_answer(ended, gate)
         }
         ("answered", _) => {
             format!("answered with status {} after {spent_ms} ms.", ended.text("status"))
@@ -221,7 +221,7 @@
     }
 }
 
-fn cause_of_late_answer(ended: &LogLine, gate: Option<&LogLine>) -> String {
+fn describe_late_answer(ended: &LogLine, gate: Option<&LogLine>) -> String {
     let spent_ms = ended.number("spent_ms");
     let tries = ended.number("tries");
     let sent_to = ended.text("sent_to");
--- a/crates/client/src/commands/get.rs
+++ b/crates/client/src/commands/get.rs
@@ -3,8 +3,8 @@
 use settings::service_path;
 
 use crate::{
-    args::ServiceArgs, base, commands::service_name, error::CommandError, retry::RetryingStore,
-    terminal::Terminal,
+    args::ServiceArgs, base, commands::parse_service_name, error::CommandError,
+    retry::RetryingStore, terminal::Terminal,
 };
 
 pub(crate) async fn run(
@@ -12,7 +12,7 @@
     args: &ServiceArgs,
     terminal: &Terminal,
 ) -> Result<(), CommandError> {
-    let service = service_name(&args.service)?;
+    let service = parse_service_name(&args.service)?;
     let path = service_path(&service);
     let Some(object) = store.read(&path).await? else {
         return Err(CommandError::NotFound(format!("service {service} does not exist")));
--- a/crates/client/src/commands/mod.rs
+++ b/crates/client/src/commands/mod.rs
@@ -26,19 +26,19 @@
 ) -> Result<(), CommandError> {
     match command {
         Command::Check(args) => check::run(&args, terminal),
-        Command::Apply(args) => apply::run(&store(platform)?, &args, terminal).await,
-        Command::Get(args) => get::run(&store(platform)?, &args, terminal).await,
-        Command::Status(args) => status::run(&store(platform)?, &args, terminal).await,
-        Command::Watch(args) => watch::run(&store(platform)?, &args, terminal).await,
-        Command::Explain(args) => explain::run(&store(platform)?, &args, terminal).await,
-        Command::Zone(args) => zone::run(&store(platform)?, &args, terminal).await,
+        Command::Apply(args) => apply::run(&open_store(platform)?, &args, terminal).await,
+        Command::Get(args) => get::run(&open_store(platform)?, &args, terminal).await,
+        Command::Status(args) => status::run(&open_store(platform)?, &args, terminal).await,
+        Command::Watch(args) => watch::run(&open_store(platform)?, &args, terminal).await,
+        Command::Explain(args) => explain::run(&open_store(platform)?, &args, terminal).await,
+        Command::Zone(args) => zone::run(&open_store(platform)?, &args, terminal).await,
         Command::ExplainRequest(args) => explain_request::run(&args, terminal),
     }
 }
 
-fn store(platform: Option<String>) -> Result<RetryingStore, CommandError> {
-    let given = platform.or_else(|| env::var(PLATFORM_VARIABLE).ok());
-    let Some(text) = given else {
+fn open_store(platform: Option<String>) -> Result<RetryingStore, CommandError> {
+    let address = platform.or_else(|| env::var(PLATFORM_VARIABLE).ok());
+    let Some(text) = address else {
         let message = format!(
             "no platform address is given: use --platform IP:PORT or set {PLATFORM_VARIABLE}"
         );
@@ -50,7 +50,7 @@
     RetryingStore::new(address)
 }
 
-fn service_name(text: &str) -> Result<ServiceName, CommandError> {
+fn parse_service_name(text: &str) -> Result<ServiceName, CommandError> {
     ServiceName::new(text)
         .map_err(|error| CommandError::Usage(format!("invalid service name {text:?}: {error}")))
 }
--- a/crates/client/src/commands/status.rs
+++ b/crates/client/src/commands/status.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     args::StatusArgs,
-    commands::{service_name, wait::apply_changes},
+    commands::{parse_service_name, wait::apply_changes},
     error::CommandError,
     retry::RetryingStore,
     table::{Table, format_age, now_unix_ms},
@@ -29,7 +29,7 @@
     terminal: &Terminal,
 ) -> Result<(), CommandError> {
     let prefix = match &args.service {
-        Some(service) => status_prefix(&service_name(service)?),
+        Some(service) => status_prefix(&parse_service_name(service)?),
         None => STATUS_PREFIX.to_owned(),
     };
     let mut statuses = Vec::new();
@@ -46,15 +46,15 @@
             terminal.print_line(&report);
         }
         Some(_) => {
-            terminal.print_line(&overview(&groups));
-            groups.iter().for_each(|it| terminal.print_line(&details(it)));
+            terminal.print_line(&overview_table(&groups));
+            groups.iter().for_each(|it| terminal.print_line(&format_details(it)));
         }
-        None => terminal.print_line(&overview(&groups)),
+        None => terminal.print_line(&overview_table(&groups)),
     }
     Ok(())
 }
 
-fn overview(groups: &[&GroupStatus]) -> String {
+fn overview_table(groups: &[&GroupStatus]) -> String {
     let mut table = Table::new(&[
         "SERVICE",
         "GROUP",
@@ -72,8 +72,8 @@
         table.add_row(&[
             status.service.to_string(),
             status.group.to_string(),
-            accepted(status),
-            in_force(status),
+            format_accepted(status),
+            format_in_force(status),
             format!("{} (term {})", coordinator.instance, coordinator.term),
             format!("{:.2}", status.measures.imbalance),
             format!("{:.1} %", status.measures.churn_per_minute * 100.0),
@@ -84,11 +84,11 @@
     table.render()
 }
 
-fn accepted(status: &GroupStatus) -> String {
+fn format_accepted(status: &GroupStatus) -> String {
     status.accepted.map_or("none".to_owned(), |it| it.to_string())
 }
 
-fn in_force(status: &GroupStatus) -> String {
+fn format_in_force(status: &GroupStatus) -> String {
     let it = status.in_force;
     match it.since_unix_ms {
         Some(since) => {
@@ -98,7 +98,7 @@
     }
 }
 
-fn details(status: &GroupStatus) -> String {
+fn format_details(status: &GroupStatus) -> String {
     let coordinator = &status.coordinator;
     let settled = if coordinator.settled { "settled" } else { "not settled" };
     let mut parts = vec![format!(
@@ -109,33 +109,33 @@
         parts.push(format!("\nversion {} was refused:", refused.version));
         parts.extend(refused.reasons.iter().map(|it| format!("  {it}")));
     }
-    parts.push(format!("\n{}", instances(status)));
+    parts.push(format!("\n{}", instances_table(status)));
     if !status.hot_keys.is_empty() {
-        parts.push(format!("\n{}", hot_keys(status)));
+        parts.push(format!("\n{}", hot_keys_table(status)));
     }
     if !status.moves.is_empty() {
-        parts.push(format!("\n{}", moves(status)));
+        parts.push(format!("\n{}", moves_table(status)));
     }
     parts.join("\n")
 }
 
-fn instances(status: &GroupStatus) -> String {
+fn instances_table(status: &GroupStatus) -> String {
     let mut table = Table::new(&["INSTANCE", "ZONE", "UPSTREAM", "SLOTS", "LOAD", "VERSION"]);
     for upstream in &status.upstreams {
         let owner = status.owners.iter().find(|it| it.instance == upstream.instance);
         table.add_row(&[
             upstream.instance.to_string(),
             upstream.zone.to_string(),
-            state(upstream.state).to_owned(),
+            state_name(upstream.state).to_owned(),
             owner.map_or("-".to_owned(), |it| it.slots.to_string()),
-            owner.map_or("-".to_owned(), |it| load(it.load_us_per_s)),
+            owner.map_or("-".to_owned(), |it| format_load(it.load_us_per_s)),
             owner.map_or("-".to_owned(), |it| it.config.to_string()),
         ]);
     }
     table.render()
 }
 
-fn hot_keys(status: &GroupStatus) -> String {
+fn hot_keys_table(status: &GroupStatus) -> String {
     let mut table = Table::new(&["HOT KEY", "OWNER"]);
     for key in &status.hot_keys {
         let owner = key.owner.as_ref();
@@ -147,7 +147,7 @@
     table.render()
 }
 
-fn moves(status: &GroupStatus) -> String {
+fn moves_table(status: &GroupStatus) -> String {
     let mut table = Table::new(&["MOVED", "SLOT", "TO", "TOKEN", "WHY"]);
     let now = now_unix_ms();
     for it in status.moves.iter().take(MOVES_SHOWN_MAX) {
@@ -163,11 +163,11 @@
 }
 
 /// Formats a load as the mean number of busy upstream slots: 1,000,000 µs per second is one slot.
-fn load(us_per_s: u64) -> String {
+fn format_load(us_per_s: u64) -> String {
     format!("{:.2}", us_per_s as f64 / 1e6)
 }
 
-fn state(state: UpstreamStateName) -> &'static str {
+fn state_name(state: UpstreamStateName) -> &'static str {
     match state {
         UpstreamStateName::Starting => "starting",
         UpstreamStateName::Ready => "ready",
--- a/crates/client/src/commands/watch.rs
+++ b/crates/client/src/commands/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     args::WatchArgs,
-    commands::service_name,
+    commands::parse_service_name,
     error::CommandError,
     retry::{RetryingStore, decode},
     terminal::Terminal,
@@ -16,7 +16,7 @@
     args: &WatchArgs,
     terminal: &Terminal,
 ) -> Result<(), CommandError> {
-    let service = service_name(&args.service)?;
+    let service = parse_service_name(&args.service)?;
     let mut follower = store.follow(&status_prefix(&service));
     let mut lines_left = args.count.unwrap_or(u64::MAX);
     while lines_left > 0 {
--- a/crates/client/src/commands/zone.rs
+++ b/crates/client/src/commands/zone.rs
@@ -24,16 +24,18 @@
         (close, _) => Some(close),
     };
     match (&args.zone, closed) {
-        (Some(zone), Some(closed)) => set_closed(store, &zone_name(zone)?, closed, terminal).await,
+        (Some(zone), Some(closed)) => {
+            set_closed(store, &parse_zone_name(zone)?, closed, terminal).await
+        }
         (None, Some(_)) => Err(CommandError::Usage("no zone is given".to_owned())),
         (zone, None) => {
-            let zone = zone.as_deref().map(zone_name).transpose()?;
+            let zone = zone.as_deref().map(parse_zone_name).transpose()?;
             show_zones(store, zone.as_ref(), terminal).await
         }
     }
 }
 
-fn zone_name(text: &str) -> Result<Zone, CommandError> {
+fn parse_zone_name(text: &str) -> Result<Zone, CommandError> {
     Zone::new(text)
         .map_err(|error| CommandError::Usage(format!("invalid zone name {text:?}: {error}")))
 }
--- a/crates/client/src/conflict.rs
+++ b/crates/client/src/conflict.rs
@@ -29,7 +29,7 @@
     pub(crate) fn explain(&self) -> String {
         let Conflict { service, file, base, current, .. } = self;
         let mut text = format!(
-            "{service} was changed since: your file is based on version {base}, the current \
+            "{service} has changed: your file is based on version {base}, but the current \
              version is {current}. Nothing was written.\n\n"
         );
         if let Some(base_text) = self.base_text {
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -23,7 +23,7 @@
     #[error("{0}; the document may or may not have been written: run apply again to find out")]
     UnknownEffect(StoreError),
     #[error(
-        "version {version} was written, but is not in force everywhere after {waited_s} s: {state}"
+        "version {version} was written, but is not in force on all instances after {waited_s} s: {state}"
     )]
     NotInForce { version: ObjectVersion, waited_s: u64, state: String },
     #[error("{0}")]
--- a/crates/client/src/terminal.rs
+++ b/crates/client/src/terminal.rs
@@ -19,8 +19,8 @@
 impl Terminal {
     /// Uses colours if standard output is a terminal and `NO_COLOR` is unset or empty.
     pub(crate) fn detect() -> Terminal {
-        let wanted = env::var_os("NO_COLOR").is_none_or(|it| it.is_empty());
-        Terminal { has_colours: wanted && io::stdout().is_terminal() }
+        let is_allowed = env::var_os("NO_COLOR").is_none_or(|it| it.is_empty());
+        Terminal { has_colours: is_allowed && io::stdout().is_terminal() }
     }
 
     /// Writes a line of the result. A closed standard output is not an error.
--- a/crates/client/tests/cli/apply.rs
+++ b/crates/client/tests/cli/apply.rs
@@ -127,7 +127,7 @@
             3,
             &[],
             &[
-                "your file is based on version 1, the current version is 3. Nothing was written.",
+                "your file is based on version 1, but the current version is 3. Nothing was written.",
                 "Changes since the base version of your file:",
                 "-  // Laps and penalties.\n+  // Theirs.",
                 "Changes from the current version to your file:",
@@ -147,7 +147,7 @@
     fixture.write(&mine);
     let theirs = DOCUMENT.replace("Laps", "Theirs");
     fixture.platform.fail_next(Fault::ConcurrentWrite(theirs.clone()));
-    let expected = ["based on version 1, the current version is 2", "+  \"team\": \"mine\","];
+    let expected = ["based on version 1, but the current version is 2", "+  \"team\": \"mine\","];
     fixture.check(&["apply", "--base", "1", "--no-wait", "file.jsonc"], (3, &[], &expected));
     assert_eq!(fixture.platform.body(SERVICE), Some(theirs));
     assert_eq!(fixture.text(), mine, "the file stays as it was");
@@ -221,7 +221,7 @@
     fixture.platform.write_after_next_update(|version| vec![status_object(version, 3)]);
     let expected = [
         "standings: version 1: in force on 3 of 4 instances",
-        "version 1 was written, but is not in force everywhere after 0 s: in force on 3 of 4 instances",
+        "version 1 was written, but is not in force on all instances after 0 s: in force on 3 of 4 instances",
     ];
     fixture.check(&["apply", "--timeout-s", "0", "file.jsonc"], (5, &[], &expected));
 }
