--- a/crates/standins/src/caller/attempt.rs
+++ b/crates/standins/src/caller/attempt.rs
@@ -19,6 +19,7 @@
 };
 
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// Request header: time since the first attempt that may have run, in milliseconds.
 const FIRST_SENT: HeaderName = HeaderName::from_static("x-first-sent-ms");
 const NOT_RUN: &str = "x-not-run";
 const RETRY_AFTER: &str = "retry-after";
@@ -113,7 +114,7 @@
     target_kind: TargetKind,
 ) -> AttemptEnd {
     let (parts, body) = response.into_parts();
-    let retry_after = retry_after(&parts.headers);
+    let retry_after = parse_retry_after(&parts.headers);
     let Ok(body) = body.into_bytes().await else {
         return AttemptEnd { result: AttemptResult::ConnectionLost, retry_after };
     };
@@ -152,7 +153,7 @@
     }
 }
 
-fn retry_after(headers: &HeaderMap) -> Option<Duration> {
+fn parse_retry_after(headers: &HeaderMap) -> Option<Duration> {
     let number = |name: &str| headers.get(name)?.to_str().ok()?.trim().parse::<f64>().ok();
     let seconds = match number(RETRY_AFTER_MS) {
         Some(ms) => ms / 1e3,
--- a/crates/standins/src/caller/options.rs
+++ b/crates/standins/src/caller/options.rs
@@ -38,7 +38,9 @@
         let idempotent = match repeat {
             "repeat" => true,
             "once" => false,
-            other => anyhow::bail!("invalid part {other:?} of a route, expected repeat or once"),
+            other => {
+                anyhow::bail!("invalid {other:?} in a route, expected repeat or once")
+            }
         };
         Ok(WeightedRoute {
             method: method.parse().context("parsing the method of a route")?,
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -68,7 +68,7 @@
         move |request: Request| async move {
             let (parts, body) = request.into_parts();
             match body.into_bytes().await {
-                Ok(body) => server.call(parts, body).await,
+                Ok(body) => server.handle(parts, body).await,
                 Err(_) => text_response(StatusCode::BAD_REQUEST, "the body broke off"),
             }
         }
@@ -104,14 +104,14 @@
 
 impl<'a> WaitingWatchGuard<'a> {
     fn new(server: &'a PlatformServer) -> WaitingWatchGuard<'a> {
-        server.state().counts.watches_waiting += 1;
+        server.lock_state().counts.watches_waiting += 1;
         WaitingWatchGuard(server)
     }
 }
 
 impl Drop for WaitingWatchGuard<'_> {
     fn drop(&mut self) {
-        self.0.state().counts.watches_waiting -= 1;
+        self.0.lock_state().counts.watches_waiting -= 1;
     }
 }
 
@@ -125,39 +125,39 @@
     }
 
     /// Locks the state. A poisoned lock is ignored: `close_connection` panics only while the lock is not held.
-    fn state(&self) -> MutexGuard<'_, ServerState> {
+    fn lock_state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn call(&self, parts: Parts, body: Bytes) -> Response {
+    async fn handle(&self, parts: Parts, body: Bytes) -> Response {
         let Parts { method, uri, headers, .. } = parts;
         let path = uri.path().trim_start_matches('/');
         match path {
             "admin/fault" if method == Method::POST => return self.set_faults(&body),
             "admin/keep-copy" if method == Method::POST => {
-                self.state().store.take_snapshot();
+                self.lock_state().store.take_snapshot();
                 return text_response(StatusCode::OK, "");
             }
             "admin/roll-back" if method == Method::POST => {
                 let revision = {
-                    let store = &mut self.state().store;
+                    let store = &mut self.lock_state().store;
                     store.restore_snapshot();
                     store.revision()
                 };
                 self.revision.send_replace(revision);
                 return text_response(StatusCode::OK, "");
             }
-            "admin/counts" => return json_response(&self.state().counts),
+            "admin/counts" => return json_response(&self.lock_state().counts),
             _ => {}
         }
         self.apply_faults().await;
-        let era = self.state().store.era();
-        let response = self.object_call(path, method, &uri, &headers, body).await;
+        let era = self.lock_state().store.era();
+        let response = self.handle_object_call(path, method, &uri, &headers, body).await;
         // The era is read before the call: an answer made before a rollback belongs to the earlier era.
         if era == 0 { response } else { with_header(response, ERA, era) }
     }
 
-    async fn object_call(
+    async fn handle_object_call(
         &self,
         path: &str,
         method: Method,
@@ -203,7 +203,7 @@
     }
 
     fn read(&self, path: &str) -> Response {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         state.counts.reads += 1;
         match state.store.read(path) {
             Some((version, body)) => {
@@ -243,7 +243,7 @@
         expected: Option<u64>,
         body: Option<String>,
     ) -> Result<u64, Conflict> {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         state.counts.writes += 1;
         let written = state.store.write(path, expected, body);
         match written {
@@ -265,7 +265,7 @@
     }
 
     fn list(&self, prefix: &str) -> Response {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         state.counts.lists += 1;
         entries_response(&state.store.list(prefix), state.store.revision())
     }
@@ -274,12 +274,12 @@
         let Some(query) = parse_watch_query(query) else {
             return text_response(StatusCode::BAD_REQUEST, "a watch needs after and wait_ms");
         };
-        self.state().counts.watches += 1;
+        self.lock_state().counts.watches += 1;
         let _waiting = WaitingWatchGuard::new(self);
         let deadline = Instant::now() + Duration::from_millis(query.wait_ms).min(WATCH_MAX);
         let mut revision = self.revision.subscribe();
         let mut faults = self.faults.subscribe();
-        let era = self.state().store.era();
+        let era = self.lock_state().store.era();
         loop {
             revision.mark_unchanged();
             if !self.has_history(era, query.after) {
@@ -302,12 +302,12 @@
 
     /// Returns whether the store still has the changes after a revision of the given era. A rollback loses them.
     fn has_history(&self, era: u64, after: u64) -> bool {
-        let state = self.state();
+        let state = self.lock_state();
         state.store.era() == era && after <= state.store.revision()
     }
 
     fn changes_after(&self, prefix: &str, after: u64) -> Option<Response> {
-        let state = self.state();
+        let state = self.lock_state();
         let changed = state.store.changes_after(prefix, after);
         (!changed.is_empty()).then(|| entries_response(&changed, state.store.revision()))
     }
--- a/crates/standins/src/upstream/announce.rs
+++ b/crates/standins/src/upstream/announce.rs
@@ -23,7 +23,7 @@
     clock_ms: u64,
 }
 
-/// Announces the upstream periodically, and at once when its state changes. Never returns.
+/// Announces the upstream in an endless loop: periodically, and at once when its state changes.
 pub(crate) async fn announce(upstream: &Upstream, agent: SocketAddr, address: SocketAddr) {
     let client = match Client::builder().build() {
         Ok(client) => client,
--- a/crates/standins/src/upstream/control.rs
+++ b/crates/standins/src/upstream/control.rs
@@ -63,9 +63,9 @@
             let report = upstream.report();
             json_response(&Load { in_flight: report.in_flight, queued: report.queued })
         }
-        "grant" if method == Method::POST => grant(body),
-        "prepare" if method == Method::POST => prepare(upstream, body).await,
-        "cancel" if method == Method::POST => cancel(upstream, body),
+        "grant" if method == Method::POST => handle_grant(body),
+        "prepare" if method == Method::POST => handle_prepare(upstream, body).await,
+        "cancel" if method == Method::POST => handle_cancel(upstream, body),
         _ => text_response(StatusCode::NOT_FOUND, "no such call"),
     };
     Some(response)
@@ -81,8 +81,8 @@
     }
 }
 
-/// Accepts a grant without storing it: this upstream checks the tokens of requests against each other only.
-fn grant(body: &[u8]) -> Response {
+/// Checks the form of a grant without storing it: fence tokens are checked only in requests that carry them.
+fn handle_grant(body: &[u8]) -> Response {
     match serde_json::from_slice::<Grant>(body) {
         Ok(grant) if parse_token(&grant.token).is_some() => {
             log::debug!(
@@ -96,16 +96,16 @@
     }
 }
 
-async fn prepare(upstream: &Upstream, body: &[u8]) -> Response {
+async fn handle_prepare(upstream: &Upstream, body: &[u8]) -> Response {
     let Ok(prepare) = serde_json::from_slice::<Prepare>(body) else {
         return text_response(StatusCode::BAD_REQUEST, "prepare needs a slot");
     };
     sleep_until(upstream.ready_at()).await;
-    log::debug!(target: "upstream", "Slot {} is prepared.", prepare.slot);
+    log::debug!(target: "upstream", "Prepared slot {}.", prepare.slot);
     text_response(StatusCode::OK, "")
 }
 
-fn cancel(upstream: &Upstream, body: &[u8]) -> Response {
+fn handle_cancel(upstream: &Upstream, body: &[u8]) -> Response {
     let id = serde_json::from_slice::<Cancel>(body)
         .ok()
         .and_then(|it| u128::from_str_radix(&it.request_id, 16).ok());
--- a/crates/standins/src/upstream/execution.rs
+++ b/crates/standins/src/upstream/execution.rs
@@ -167,8 +167,8 @@
         with_header(response, KEY, &request.key)
     }
 
-    /// Waits until the run ends and returns how. The deadline has priority over completion: a process that was
-    /// frozen past the deadline must not complete the run.
+    /// Waits for the end of the run and returns its kind. The deadline has priority over completion: a process that
+    /// was frozen past the deadline must not complete the run.
     async fn run_until_end(&self, deadline: Instant) -> RunEnd {
         let done = Instant::now() + self.upstream.draw_service_time();
         let work = async {
--- a/crates/standins/src/upstream/state.rs
+++ b/crates/standins/src/upstream/state.rs
@@ -21,7 +21,7 @@
 use super::options::Config;
 use crate::journal::{JournalWriter, RunEntry, wall_clock_ns};
 
-/// Range of random factors by which the mean service time is multiplied.
+/// Service times are drawn uniformly from this range of multiples of their mean.
 const SERVICE_TIME_FACTORS: std::ops::Range<f64> = 0.5..1.5;
 
 /// State of the upstream as reported by `GET /control/health` and in announcements.
@@ -124,7 +124,7 @@
     }
 
     /// Locks the inner state. A poisoned lock is ignored, because no holder panics in the middle of a change.
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+    fn lock_inner(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -137,7 +137,7 @@
     }
 
     pub(crate) fn state(&self) -> UpstreamState {
-        match self.inner().draining_since {
+        match self.lock_inner().draining_since {
             Some(_) => UpstreamState::Draining,
             None if self.started.elapsed() < self.config.warmup => UpstreamState::Starting,
             None => UpstreamState::Ready,
@@ -150,13 +150,13 @@
 
     /// Starts to drain: reports the state `Draining` and still accepts requests for the drain time.
     pub(crate) fn start_drain(&self) {
-        self.inner().draining_since.get_or_insert_with(Instant::now);
+        self.lock_inner().draining_since.get_or_insert_with(Instant::now);
         self.record(&RunEntry::Draining { at_ns: wall_clock_ns() });
     }
 
     /// Returns whether the drain time is over, so that new requests are refused.
     pub(crate) fn is_closed(&self) -> bool {
-        self.inner().draining_since.is_some_and(|it| it.elapsed() >= self.config.drain)
+        self.lock_inner().draining_since.is_some_and(|it| it.elapsed() >= self.config.drain)
     }
 
     pub(crate) fn accept(&self) -> AcceptedGuard<'_> {
@@ -169,11 +169,11 @@
     }
 
     pub(crate) fn is_shedding(&self) -> bool {
-        self.inner().shed
+        self.lock_inner().shed
     }
 
     pub(crate) fn set_faults(&self, request: FaultRequest) {
-        let mut inner = self.inner();
+        let mut inner = self.lock_inner();
         inner.frozen_until = Instant::now() + Duration::from_millis(request.freeze_ms);
         inner.shed = request.shed;
         inner.lie = request.lie;
@@ -181,7 +181,7 @@
 
     /// Waits until the freeze is over, if the upstream is frozen.
     pub(crate) async fn wait_while_frozen(&self) {
-        let until = self.inner().frozen_until;
+        let until = self.lock_inner().frozen_until;
         if until > Instant::now() {
             sleep_until(until).await;
         }
@@ -190,7 +190,7 @@
     /// Returns health and load, at most `health_lag` old, or a false report if that fault is set.
     pub(crate) fn report(&self) -> Report {
         let fresh = self.measure();
-        let mut inner = self.inner();
+        let mut inner = self.lock_inner();
         if inner.lie {
             return Report { state: UpstreamState::Ready, in_flight: 0, queued: 0, ..fresh };
         }
@@ -207,13 +207,13 @@
     }
 
     pub(crate) fn draw_service_time(&self) -> Duration {
-        let factor = self.inner().rng.random_range(SERVICE_TIME_FACTORS);
+        let factor = self.lock_inner().rng.random_range(SERVICE_TIME_FACTORS);
         self.config.service_time.mul_f64(factor)
     }
 
     /// Registers a run. Returns its number and the signal by which `cancel` ends it.
     pub(crate) fn register_run(&self, id: RequestId) -> (u64, Arc<Notify>) {
-        let mut inner = self.inner();
+        let mut inner = self.lock_inner();
         inner.run_count += 1;
         let run = inner.run_count;
         let cancelled = Arc::clone(inner.running.entry(id).or_default());
@@ -221,11 +221,11 @@
     }
 
     pub(crate) fn remove_run(&self, id: RequestId) {
-        self.inner().running.remove(&id);
+        self.lock_inner().running.remove(&id);
     }
 
     pub(crate) fn cancel(&self, id: RequestId) {
-        if let Some(running) = self.inner().running.get(&id) {
+        if let Some(running) = self.lock_inner().running.get(&id) {
             running.notify_waiters();
         }
     }
@@ -235,7 +235,7 @@
         if !self.config.checks_fence {
             return true;
         }
-        let mut inner = self.inner();
+        let mut inner = self.lock_inner();
         let fence = inner.fences.entry(key.to_owned()).or_default();
         *fence = token.max(*fence);
         *fence == token
