--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements. Speed is measured here only; tests assert none.
+//! Measurements. Performance is measured only here; no test asserts it.
 
 mod config;
 mod faults;
@@ -34,29 +34,29 @@
     name: String,
     #[options(no_short, help = "print one JSON object as the last line")]
     json: bool,
-    #[options(no_short, help = "keep the result under docs/measurements")]
+    #[options(no_short, help = "save the result under docs/measurements")]
     save: bool,
     #[options(no_short, help = "draw slopes under docs/measurements")]
     plot: bool,
-    #[options(no_short, help = "what a measurement draws from", default = "1")]
+    #[options(no_short, help = "seed of the measurement", default = "1")]
     seed: u64,
-    #[options(no_short, help = "how often each case is repeated", default = "3")]
+    #[options(no_short, help = "number of runs of each case", default = "3")]
     repeats: usize,
-    #[options(no_short, help = "measure this case only; of faults also several, with commas")]
+    #[options(no_short, help = "measure only this case; for faults, a comma-separated list")]
     case: String,
 }
 
-/// A kept result.
+/// Result as it is saved.
 #[derive(Debug)]
 #[derive(Serialize)]
-struct Kept<'a> {
+struct SavedResult<'a> {
     name: &'a str,
     machine: &'a Machine,
     result: &'a serde_json::Value,
 }
 
-/// Runs one measurement. Callers and the cores without I/O run in this process, so it has to be
-/// built like what it measures: an unoptimised one starts an optimised one of itself.
+/// Runs one measurement. Callers and the cores without I/O run in this process, so that it has to be
+/// optimised like the measured programs: an unoptimised build runs an optimised build of itself.
 pub(crate) async fn run(options: BenchOptions) -> anyhow::Result<ExitCode> {
     if cfg!(debug_assertions) {
         return run_optimised();
@@ -83,7 +83,7 @@
         }
         other => {
             anyhow::bail!(
-                "no measurement {other:?}; there are config, path, faults, losses, slopes, rest and ownership"
+                "unknown measurement {other:?}; expected config, path, faults, losses, slopes, rest or ownership"
             )
         }
     };
@@ -96,8 +96,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// What people would rather look at.
-const PLOTTED: &[(&str, &str)] = &[
+/// Slopes that are plotted, as (quantity, size).
+const PLOTTED_SLOPES: &[(&str, &str)] = &[
     ("coordinator_bytes_per_s", "members"),
     ("coordinator_cpu_us_per_s", "members"),
     ("coordinator_cpu_us_per_s", "slots"),
@@ -106,8 +106,8 @@
 ];
 
 fn plot_slopes(report: &slopes::SlopesReport) -> anyhow::Result<()> {
-    let folder = measurements()?;
-    let is_plotted = |it: &&slopes::Slope| PLOTTED.contains(&(it.quantity, it.against));
+    let folder = measurements_folder()?;
+    let is_plotted = |it: &&slopes::Slope| PLOTTED_SLOPES.contains(&(it.quantity, it.against));
     for slope in report.slopes.iter().filter(is_plotted) {
         let name = format!("{}-against-{}.svg", slope.quantity, slope.against);
         plot::draw_slope(slope, &folder.join(name))?;
@@ -115,9 +115,9 @@
     Ok(())
 }
 
-fn measurements() -> anyhow::Result<PathBuf> {
+fn measurements_folder() -> anyhow::Result<PathBuf> {
     let folder = repository().join("docs/measurements");
-    std::fs::create_dir_all(&folder).context("making docs/measurements")?;
+    std::fs::create_dir_all(&folder).context("creating docs/measurements")?;
     Ok(folder)
 }
 
@@ -128,7 +128,7 @@
         .args(["run", "--quiet", "--release", "--package", "xtask", "--"])
         .args(std::env::args_os().skip(1))
         .status()
-        .context("starting an optimised xtask")?;
+        .context("starting an optimised build of xtask")?;
     Ok(if status.success() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
@@ -137,10 +137,10 @@
     machine: &Machine,
     result: &serde_json::Value,
 ) -> anyhow::Result<()> {
-    let folder = measurements()?;
+    let folder = measurements_folder()?;
     let name = options.name.clone();
-    let kept = Kept { name: &name, machine, result };
-    let text = serde_json::to_string_pretty(&kept).context("encoding a measurement")?;
+    let saved = SavedResult { name: &name, machine, result };
+    let text = serde_json::to_string_pretty(&saved).context("encoding a measurement")?;
     let path = folder.join(format!("{name}.json"));
     std::fs::write(&path, text + "\n").with_context(|| format!("writing {name}.json"))
 }
--- a/xtask/src/bench/path/cases.rs
+++ b/xtask/src/bench/path/cases.rs
@@ -1,4 +1,4 @@
-//! The cases of the request path.
+//! Cases of the measurement of the request path.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 const ROUTE: &str = "GET:/lapboard/results:repeat:1";
 const STEADY_REQUESTS_PER_S: f64 = 2_100.0;
 const STEADY_CALLERS: usize = 50;
-const STEADY: Duration = Duration::from_secs(5);
-const WARM_MARGIN: Duration = Duration::from_millis(500);
-const PEAK: Duration = Duration::from_secs(3);
-const PEAK_CALLERS: [usize; 4] = [16, 32, 64, 100];
+const STEADY_DURATION: Duration = Duration::from_secs(5);
+const WARMUP_MARGIN: Duration = Duration::from_millis(500);
+const PEAK_DURATION: Duration = Duration::from_secs(3);
+const PEAK_CALLER_COUNTS: [usize; 4] = [16, 32, 64, 100];
 const OPEN_CALLERS: usize = 1_000;
-const UPSTREAMS: [usize; 4] = [1, 2, 4, 8];
-const RUSH: Duration = Duration::from_secs(4);
+const UPSTREAM_COUNTS: [usize; 4] = [1, 2, 4, 8];
+const RUSH_DURATION: Duration = Duration::from_secs(4);
 const RUSH_FACTORS: [f64; 3] = [1.0, 2.0, 3.0];
 const RUSH_CALLERS: usize = 500;
-/// Mean time of a request in the rush: with 12 slots, about 2,000 requests a second.
+/// Mean service time in the rush: with 12 slots, a capacity of about 2,000 requests a second.
 const RUSH_SERVICE_MS: f64 = 5.0;
 
 fn spec(instances: usize, service_ms: f64) -> ServiceSpec {
@@ -38,17 +38,17 @@
     }
 }
 
-/// A cluster of one service that is not divided by key.
+/// Cluster of one service that is not sharded by key.
 struct Bench<'a> {
     cluster: Cluster,
     binaries: &'a Binaries,
     seed: u64,
 }
 
-/// What one load came to, and what it cost the agent that took it.
+/// Result of one load, with its cost at the agent and the upstream.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
-pub(super) struct Measured {
+pub(super) struct LoadResult {
     summary: LoadSummary,
     answered_per_s: f64,
     agent_cpu_us_each: f64,
@@ -66,21 +66,21 @@
         let specs = [spec(instances, service_ms)];
         let cluster = Cluster::start(&specs, binaries, options.seed).await?;
         cluster.wait_until_serving().await?;
-        // New upstreams are given their full share after a while only.
-        sleep(cluster.services[0].document.upstream.warmup + WARM_MARGIN).await;
+        // Upstreams get their full share of requests only after their warm-up.
+        sleep(cluster.services[0].document.upstream.warmup + WARMUP_MARGIN).await;
         Ok(Bench { cluster, binaries, seed: options.seed })
     }
 
     async fn measure(
         &self,
         name: &str,
-        direct: bool,
+        is_direct: bool,
         callers: usize,
         requests_per_s: f64,
         duration: Duration,
-    ) -> anyhow::Result<Measured> {
+    ) -> anyhow::Result<LoadResult> {
         let instance = &self.cluster.instances[0];
-        let target = if direct { instance.upstream_address } else { instance.caller };
+        let target = if is_direct { instance.upstream_address } else { instance.caller };
         let load = CallerLoad {
             targets: vec![target],
             service: "lapboard".to_owned(),
@@ -88,7 +88,7 @@
             callers,
             requests_per_s,
             duration,
-            direct,
+            is_direct,
             seed: self.seed,
         };
         let agent = instance.agent()?.pid();
@@ -96,7 +96,7 @@
         let before = (Usage::read(agent)?, Usage::read(upstream)?);
         let summary = load.run(name, self.binaries, &self.cluster.dir).await?;
         let after = (Usage::read(agent)?, Usage::read(upstream)?);
-        Ok(Measured {
+        Ok(LoadResult {
             answered_per_s: summary.answered_per_s(),
             agent_cpu_us_each: after.0.cpu_us_each_since(before.0, summary.requests),
             agent_memory_kb: after.0.memory_kb,
@@ -106,14 +106,14 @@
     }
 }
 
-/// Direct calls and calls through the agent at the same rate, taking turns.
+/// Latency of direct calls and of calls through the agent, at the same rate and in alternating runs.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Latencies {
     requests_per_s: f64,
     direct: Vec<Latency>,
     agent: Vec<Latency>,
-    /// Of the medians over the turns.
+    /// Difference of the medians over the runs.
     added_p50_us: i64,
     added_p99_us: i64,
     agent_cpu_us_each: f64,
@@ -130,8 +130,9 @@
         for is_direct in [true, false] {
             let name = format!("steady-{turn}-{is_direct}");
             let callers = STEADY_CALLERS;
-            let measured =
-                bench.measure(&name, is_direct, callers, STEADY_REQUESTS_PER_S, STEADY).await?;
+            let measured = bench
+                .measure(&name, is_direct, callers, STEADY_REQUESTS_PER_S, STEADY_DURATION)
+                .await?;
             ensure_all_answered(&measured.summary)?;
             match is_direct {
                 true => direct.push(measured.summary.latency),
@@ -161,11 +162,11 @@
 
 fn ensure_all_answered(summary: &LoadSummary) -> anyhow::Result<()> {
     let all = summary.answered == summary.requests;
-    anyhow::ensure!(all, "not all requests of a steady load were answered: {summary:?}");
+    anyhow::ensure!(all, "expected an answer to each request of the steady load, got {summary:?}");
     Ok(())
 }
 
-/// The most that goes through one agent, and directly to the upstream.
+/// Highest throughput through one agent, and directly to the upstream.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Peak {
@@ -180,16 +181,16 @@
 struct PeakPoint {
     callers: usize,
     #[serde(flatten)]
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn peak(binaries: &Binaries, options: &BenchOptions) -> anyhow::Result<Peak> {
     let bench = Bench::start(binaries, options, 1, 0.0).await?;
     let (mut direct, mut agent) = (Vec::new(), Vec::new());
-    for callers in PEAK_CALLERS {
+    for callers in PEAK_CALLER_COUNTS {
         for is_direct in [true, false] {
             let name = format!("peak-{callers}-{is_direct}");
-            let measured = bench.measure(&name, is_direct, callers, 0.0, PEAK).await?;
+            let measured = bench.measure(&name, is_direct, callers, 0.0, PEAK_DURATION).await?;
             let point = PeakPoint { callers, measured };
             if is_direct { direct.push(point) } else { agent.push(point) }
         }
@@ -200,36 +201,37 @@
     Ok(Peak { direct_max_per_s: max(&direct), agent_max_per_s: max(&agent), direct, agent })
 }
 
-/// What many callers that stay connected cost an agent.
+/// Cost of many connected callers at an agent.
 #[derive(Debug)]
 #[derive(Serialize)]
-pub(super) struct Members {
+pub(super) struct OpenCallers {
     callers: usize,
     memory_before_kb: u64,
     memory_after_kb: u64,
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn open_callers(
     binaries: &Binaries,
     options: &BenchOptions,
-) -> anyhow::Result<Members> {
+) -> anyhow::Result<OpenCallers> {
     let bench = Bench::start(binaries, options, 1, 0.0).await?;
     let agent = bench.cluster.instances[0].agent()?.pid();
     let memory_before_kb = Usage::read(agent)?.memory_kb;
     let callers = OPEN_CALLERS;
-    let measured =
-        bench.measure("open-callers", false, callers, STEADY_REQUESTS_PER_S, STEADY).await?;
+    let measured = bench
+        .measure("open-callers", false, callers, STEADY_REQUESTS_PER_S, STEADY_DURATION)
+        .await?;
     let memory_after_kb = measured.agent_memory_kb;
-    Ok(Members { callers, memory_before_kb, memory_after_kb, measured })
+    Ok(OpenCallers { callers, memory_before_kb, memory_after_kb, measured })
 }
 
-/// The same rate through one agent in front of more and more upstreams.
+/// Cost of the same rate through one agent, by the number of upstreams.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Scaling {
     upstreams: usize,
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn scaling(
@@ -237,37 +239,39 @@
     options: &BenchOptions,
 ) -> anyhow::Result<Vec<Scaling>> {
     let mut points = Vec::new();
-    for upstreams in UPSTREAMS {
+    for upstreams in UPSTREAM_COUNTS {
         let bench = Bench::start(binaries, options, upstreams, 1.0).await?;
         let name = format!("scaling-{upstreams}");
-        let measured =
-            bench.measure(&name, false, STEADY_CALLERS, STEADY_REQUESTS_PER_S, STEADY).await?;
+        let measured = bench
+            .measure(&name, false, STEADY_CALLERS, STEADY_REQUESTS_PER_S, STEADY_DURATION)
+            .await?;
         points.push(Scaling { upstreams, measured });
     }
     Ok(points)
 }
 
-/// All callers at one instant, at a multiple of what the upstream can do.
+/// Load at a multiple of the upstream's capacity, from callers that all start at one instant.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(super) struct Rush {
     factor: f64,
     capacity_per_s: f64,
-    /// Answered a second, over the capacity.
+    /// Answered requests a second, divided by the capacity.
     goodput: f64,
-    measured: Measured,
+    measured: LoadResult,
 }
 
 pub(super) async fn rush(binaries: &Binaries, options: &BenchOptions) -> anyhow::Result<Vec<Rush>> {
     let bench = Bench::start(binaries, options, 1, RUSH_SERVICE_MS).await?;
-    // As many callers as slots, each waiting for its answer, keep the upstream just busy.
+    // As many closed-loop callers as slots keep the upstream fully used without a queue.
     let slots = bench.cluster.services[0].document.upstream.slots as usize;
-    let capacity_per_s = bench.measure("capacity", true, slots, 0.0, PEAK).await?.answered_per_s;
+    let capacity_per_s =
+        bench.measure("capacity", true, slots, 0.0, PEAK_DURATION).await?.answered_per_s;
     let mut points = Vec::new();
     for factor in RUSH_FACTORS {
         let name = format!("rush-{factor}");
         let rate = capacity_per_s * factor;
-        let measured = bench.measure(&name, false, RUSH_CALLERS, rate, RUSH).await?;
+        let measured = bench.measure(&name, false, RUSH_CALLERS, rate, RUSH_DURATION).await?;
         let goodput = measured.answered_per_s / capacity_per_s;
         points.push(Rush { factor, capacity_per_s, goodput, measured });
     }
--- a/xtask/src/bench/path/mod.rs
+++ b/xtask/src/bench/path/mod.rs
@@ -1,11 +1,12 @@
-//! The request path through one agent, against direct calls to the same upstream in one run.
+//! Measurement of the request path through one agent, compared with direct calls to the same
+//! upstream in the same run.
 
 mod cases;
 mod caller;
 
 use serde::Serialize;
 
-use self::cases::{Latencies, Members, Peak, Rush, Scaling};
+use self::cases::{Latencies, OpenCallers, Peak, Rush, Scaling};
 use super::BenchOptions;
 use crate::{
     cluster::{Binaries, Profile},
@@ -13,18 +14,18 @@
     run_lock,
 };
 
-/// All figures of the request path.
+/// Results of all cases; those that were not run are empty.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct PathReport {
     latency: Option<Latencies>,
     peak: Option<Peak>,
-    open_callers: Option<Members>,
+    open_callers: Option<OpenCallers>,
     scaling: Vec<Scaling>,
     rush: Vec<Rush>,
 }
 
-/// Runs all cases, or the one that is asked for.
+/// Runs all cases, or the one given by `--case`.
 pub(crate) async fn run(options: &BenchOptions) -> anyhow::Result<PathReport> {
     let binaries = Binaries::build(Profile::Release)?;
     let _run_lock = run_lock::acquire().await?;
--- a/xtask/src/bench/slopes/group.rs
+++ b/xtask/src/bench/slopes/group.rs
@@ -1,4 +1,5 @@
-//! A group of nodes in virtual time, without faults, to count what the control of ownership costs.
+//! Simulation of a group of nodes in virtual time, without faults, that counts the costs of the
+//! control of ownership.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -17,20 +18,21 @@
     PlatformReply, PlatformRequest, SlotLoad, UpstreamState,
 };
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const LINK_DELAY: Duration = Duration::from_millis(1);
 const PLATFORM_DELAY: Duration = Duration::from_millis(3);
-const LOAD_EVERY: Duration = Duration::from_millis(250);
-/// Upstream time spent on an ordinary slot, and on a hot key, in a second.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Load of an ordinary slot, in microseconds of upstream time a second.
 const SLOT_LOAD_US_PER_S: u64 = 20_000;
+/// Load of a hot key, in microseconds of upstream time a second.
 const HOT_KEY_LOAD_US_PER_S: u64 = 200_000;
-/// Reports name at most so many slots and keys.
+/// Largest numbers of slots and keys in one load report.
 const REPORTED_SLOTS_MAX: usize = 64;
 const REPORTED_KEYS_MAX: usize = 16;
 
 use super::wire_size;
 
-/// How large a group is.
+/// Size of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct GroupSize {
     pub(crate) members: usize,
@@ -38,7 +40,7 @@
     pub(crate) hot_keys: usize,
 }
 
-/// What one node has cost since the counts were last cleared.
+/// Costs of one node since the last reset.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct NodeCost {
     pub(crate) cpu: Duration,
@@ -46,7 +48,7 @@
     pub(crate) sent_bytes: u64,
     pub(crate) received: u64,
     pub(crate) received_bytes: u64,
-    /// Encoding and decoding of messages.
+    /// Processor time for encoding and decoding messages.
     pub(crate) codec_cpu: Duration,
     pub(crate) platform_calls: u64,
 }
@@ -67,7 +69,7 @@
     Call { from: usize, call: CallId, request: Box<PlatformRequest> },
 }
 
-/// Objects of the platform, in their JSON form.
+/// Objects in the platform's store, as JSON.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -75,7 +77,7 @@
     plan: Option<(ObjectVersion, Bytes)>,
 }
 
-/// A group under way.
+/// Simulated group.
 pub(crate) struct Group {
     size: GroupSize,
     service: ServiceName,
@@ -85,7 +87,7 @@
     hosts: Vec<Host>,
     hot_keys: Vec<KeyHash>,
     store: Store,
-    /// What reading the clock twice costs by itself.
+    /// Processor time that two readings of the clock take, subtracted from measured times.
     clock_cost: Duration,
 }
 
@@ -108,28 +110,28 @@
             clock_cost: clock_cost(),
         };
         for host in 0..size.members {
-            // Nodes of different processes don't tick together.
-            let offset = TICK.mul_f64(host as f64 / size.members as f64);
+            // The ticks of different nodes are spread evenly, as those of separate processes would be.
+            let offset = TICK_INTERVAL.mul_f64(host as f64 / size.members as f64);
             group.schedule(offset, Event::Tick(host));
-            group.schedule(offset + LOAD_EVERY, Event::Load(host));
+            group.schedule(offset + LOAD_REPORT_INTERVAL, Event::Load(host));
             let input = Box::new(Input::Upstream(UpstreamState::Ready));
             group.schedule(offset, Event::Input { to: host, input });
         }
         group
     }
 
-    /// Goes on for some virtual time.
+    /// Runs the simulation for the given virtual time.
     pub(crate) fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(entry) = self.events.first_entry().filter(|it| it.key().0 < end) {
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    pub(crate) fn clear_costs(&mut self) {
+    pub(crate) fn reset_costs(&mut self) {
         for host in &mut self.hosts {
             host.cost = NodeCost::default();
         }
@@ -146,18 +148,18 @@
         self.hosts[host].cost
     }
 
-    /// How many slots some gate admits.
+    /// Returns the number of slots that the gates admit.
     #[cfg(test)]
     pub(crate) fn granted_slots(&self) -> usize {
         self.hosts.iter().map(|it| it.slots.len()).sum()
     }
 
-    /// How many hot keys some gate admits by an entry of their own.
+    /// Returns the number of hot keys that the gates admit by their own entries.
     pub(crate) fn granted_keys(&self) -> usize {
         self.hosts.iter().map(|it| it.keys.len()).sum()
     }
 
-    /// Bytes of the plan as the platform keeps it.
+    /// Returns the size in bytes of the plan in the platform's store.
     pub(crate) fn plan_bytes(&self) -> usize {
         self.store.plan.as_ref().map_or(0, |(_, body)| body.len())
     }
@@ -167,15 +169,15 @@
         self.events.insert((self.now + after, self.next_event), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick(host) => {
-                self.schedule(TICK, Event::Tick(host));
+                self.schedule(TICK_INTERVAL, Event::Tick(host));
                 self.step(host, Input::Tick);
             }
             Event::Load(host) => {
-                self.schedule(LOAD_EVERY, Event::Load(host));
-                let report = self.load_of(host);
+                self.schedule(LOAD_REPORT_INTERVAL, Event::Load(host));
+                let report = self.load_report(host);
                 self.step(host, Input::Load(report));
             }
             Event::Deliver { to, from, bytes } => self.receive(to, from, &bytes),
@@ -195,11 +197,11 @@
         let spent = self.spent_since(before);
         self.hosts[host].cost.cpu += spent;
         for output in out {
-            self.carry_out(host, output);
+            self.execute_output(host, output);
         }
     }
 
-    fn carry_out(&mut self, host: usize, output: Output) {
+    fn execute_output(&mut self, host: usize, output: Output) {
         match output {
             Output::Send { to, message } | Output::SendToAddress { to, message } => {
                 self.send(host, &to, message);
@@ -209,7 +211,7 @@
                 let request = Box::new(request);
                 self.schedule(PLATFORM_DELAY, Event::Call { from: host, call, request });
             }
-            Output::Gate(command) => self.obey(host, command),
+            Output::Gate(command) => self.execute_gate_command(host, command),
             Output::Event(_) | Output::Stopped => {}
         }
     }
@@ -221,7 +223,7 @@
         let cost = &mut self.hosts[from].cost;
         cost.codec_cpu += spent;
         cost.sent += 1;
-        cost.sent_bytes += wire_size::on_the_way(&bytes);
+        cost.sent_bytes += wire_size::bytes_on_wire(&bytes);
         if let Some(to) = self.hosts.iter().position(|it| it.instance == *to) {
             self.schedule(LINK_DELAY, Event::Deliver { to, from, bytes });
         }
@@ -234,7 +236,7 @@
         let cost = &mut self.hosts[to].cost;
         cost.codec_cpu += spent;
         cost.received += 1;
-        cost.received_bytes += wire_size::on_the_way(bytes);
+        cost.received_bytes += wire_size::bytes_on_wire(bytes);
         let from = self.hosts[from].instance.clone();
         self.step(to, Input::Message { from, message });
     }
@@ -243,7 +245,7 @@
         thread_cpu().saturating_sub(before).saturating_sub(self.clock_cost)
     }
 
-    fn obey(&mut self, host: usize, command: GateCommand) {
+    fn execute_gate_command(&mut self, host: usize, command: GateCommand) {
         let gate = &mut self.hosts[host];
         let done = match command {
             GateCommand::Lease { .. } | GateCommand::ExcludeKey { .. } => None,
@@ -280,8 +282,8 @@
         }
     }
 
-    fn load_of(&self, host: usize) -> LoadReport {
-        let share = |us_per_s: u64| us_per_s * LOAD_EVERY.as_millis() as u64 / 1_000;
+    fn load_report(&self, host: usize) -> LoadReport {
+        let share = |us_per_s: u64| us_per_s * LOAD_REPORT_INTERVAL.as_millis() as u64 / 1_000;
         let host = &self.hosts[host];
         let slot_count = self.size.slot_count();
         let holds = |key: &&KeyHash| {
@@ -299,7 +301,7 @@
             + keys.iter().map(|it| it.load_us).sum::<u64>();
         let load = |slot: Slot| SlotLoad { slot, load_us: share(SLOT_LOAD_US_PER_S), in_flight: 1 };
         LoadReport {
-            period_ms: LOAD_EVERY.as_millis() as u32,
+            period_ms: LOAD_REPORT_INTERVAL.as_millis() as u32,
             total_us,
             slots: slots.into_iter().take(REPORTED_SLOTS_MAX).map(load).collect(),
             keys,
@@ -309,7 +311,7 @@
 
 impl GroupSize {
     fn slot_count(self) -> SlotCount {
-        SlotCount::new(self.slots).expect("sizes are measured with valid numbers of slots")
+        SlotCount::new(self.slots).expect("all measured sizes have a valid number of slots")
     }
 }
 
@@ -390,12 +392,12 @@
     PlatformReply::Updated(ObjectVersion(*revision))
 }
 
-/// Processor time of this thread, which other processes on a busy machine don't add to.
+/// Returns the processor time of this thread, which does not include that of other processes.
 pub(super) fn thread_cpu() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
 
-/// What two readings of the clock cost: the least of many.
+/// Measures the processor time between two readings of the clock, as the minimum of many samples.
 fn clock_cost() -> Duration {
     (0..1_000)
         .map(|_| {
