--- a/crates/agent/src/control/calls.rs
+++ b/crates/agent/src/control/calls.rs
@@ -52,7 +52,7 @@
     },
 }
 
-/// The state of a group that is stored in the platform. A service that is not divided by key has
+/// The state of a group that is stored in the platform. A service that is not sharded by key has
 /// no plan.
 #[derive(Debug, Default)]
 pub(crate) struct StoredGroup {
--- a/crates/agent/src/control/publish.rs
+++ b/crates/agent/src/control/publish.rs
@@ -78,7 +78,7 @@
     MemberRoute { instance: member.instance.clone(), state }
 }
 
-/// Builds the routes of a service that is divided by key. Without a table, no slot has an owner.
+/// Builds the routes of a service that is sharded by key. Without a table, no slot has an owner.
 fn key_routes(in_force: &InForce, table: Option<&RouteTable>) -> KeyRoutes {
     let slot_count = in_force.document.slot_count;
     let mut slots = vec![OwnerRoute::default(); usize::from(slot_count.count())];
--- a/crates/agent/src/forward/mod.rs
+++ b/crates/agent/src/forward/mod.rs
@@ -250,7 +250,7 @@
     }
 }
 
-/// Returns whether a ready member has not been tried yet. Only services that are not divided by key
+/// Returns whether a ready member has not been tried yet. Only services that are not sharded by key
 /// have a choice of members.
 fn has_untried_target(routes: &ServiceRoutes, history: &AttemptHistory) -> bool {
     let Routes::Any(members) = &routes.routes else { return false };
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -97,7 +97,7 @@
     links: OnceLock<TrafficLinks>,
     /// When the upstream last answered, on the process's clock, in nanoseconds.
     last_response_ns: AtomicU64,
-    /// When the members of a service that is not divided by key last changed, on the process's
+    /// When the members of a service that is not sharded by key last changed, on the process's
     /// clock, in nanoseconds.
     members_changed_ns: AtomicU64,
     in_flight: AtomicUsize,
--- a/crates/agent/src/gate/run.rs
+++ b/crates/agent/src/gate/run.rs
@@ -47,7 +47,7 @@
 /// Share of its remaining time for which a request waits for a slot if its answer will miss the
 /// objective in any case.
 const LATE_QUEUE_TIME_SHARE: f64 = 0.25;
-/// The record unit of a service that is not divided by key.
+/// The record unit of a service that is not sharded by key.
 const WHOLE_SERVICE: RecordUnit = RecordUnit::Slot(Slot(0));
 
 /// Sender of the reply to a caller; closed once the caller has disconnected.
@@ -59,7 +59,7 @@
     bound: &'a BoundUpstream,
     request: &'a GateRequest,
     deadline: Timestamp,
-    /// The entry in the gate's table; `None` if the service is not divided by key.
+    /// The entry in the gate's table; `None` if the service is not sharded by key.
     entry: Option<Entry>,
 }
 
--- a/crates/agent/src/plane.rs
+++ b/crates/agent/src/plane.rs
@@ -78,7 +78,7 @@
     readiness: Arc<Readiness>,
     /// Set to close the listener for callers.
     closing: watch::Sender<bool>,
-    /// Tells the server that all requests have ended, so that it closes its connections and ends.
+    /// Notifies the server that all requests have ended, so that it closes its connections and exits.
     drained: oneshot::Sender<()>,
     server: JoinHandle<anyhow::Result<()>>,
 }
--- a/crates/ownership/src/node/mod.rs
+++ b/crates/ownership/src/node/mod.rs
@@ -27,9 +27,9 @@
     pub instance: Instance,
     pub service: ServiceName,
     pub group: GroupId,
-    /// Number of slots; unused for services that are not divided by key.
+    /// Number of slots; unused for services that are not sharded by key.
     pub slot_count: SlotCount,
-    /// Whether the service is divided by key. Otherwise nothing is granted, and the node only maintains the list of
+    /// Whether the service is sharded by key. Otherwise nothing is granted, and the node only maintains the list of
     /// members in its view.
     pub keyed: bool,
     /// Whether the keys have an order that the slots follow; neighbouring slots are then granted together.
@@ -63,7 +63,7 @@
     /// Version that rises with each change of an owner; members receive it from the coordinator.
     pub route_version: u64,
     pub owners: Vec<OwnerView>,
-    /// All live members, also for services that are not divided by key.
+    /// All live members, also for services that are not sharded by key.
     pub members: Vec<MemberView>,
     /// Highest version of the document that any member of the group has in force.
     pub config: ConfigVersion,
